--- a/gate/sched/admission.go
+++ b/gate/sched/admission.go
@@ -5,178 +5,178 @@
 	"time"
 )
 
-// Turn is what is known of a call of a program that wants a place.
+// Turn describes a call of a program that asks for a place at a replica.
 type Turn struct {
 	Program string
-	// Kind names its kind of work.
+	// Kind is the kind of program; load statistics are kept by kind.
 	Kind string
-	// Fresh says that its program has not begun: refusing it wastes nothing.
+	// Fresh is set if the program has not started, so that a refusal wastes no work.
 	Fresh bool
-	// Priority is the operators' rank, 0 first.
+	// Priority is the configured priority; 0 is the most urgent.
 	Priority int
-	// Left is the time until the program should be over, at Arrived; negative if that has passed,
-	// zero if it is not known.
+	// Left is the time from Arrived until the program's deadline: negative if the deadline has
+	// passed, zero if it is unknown.
 	Left    time.Duration
 	Arrived time.Time
 }
 
-// late reports whether the program can't end in time any more.
+// late reports whether the program's deadline has passed.
 func (t Turn) late(now time.Time) bool {
 	return t.Left != 0 && now.Sub(t.Arrived) >= t.Left
 }
 
-// Verdict is a decision on a turn.
+// Verdict is the admission decision on a turn.
 type Verdict struct {
-	// Refuse turns it away; it has not run.
+	// Refuse is set if the turn is refused before any of it has run.
 	Refuse bool
-	// After is when its caller should come again.
+	// After is how long the caller should wait before it retries.
 	After time.Duration
-	// Stretch and Taken are what decided; see Overload.
+	// Stretch and Taken are the load figures that the decision was based on; see Overload.
 	Stretch, Taken float64
 }
 
-// Admission decides which programs begin. It answers bursts that last, and engines that are too slow
-// for all that comes: each program that begins then makes those under way later, until all end
-// late: in a minute of more than engines can do, programs with 0.10 of all value end in time where all begin,
-// and with 0.52 by this (gate/replay). Turns of programs under way are never refused: what they have had would be lost.
-// Nor do they wait here for places to come free, in an order of their own: that gained nothing in
-// any pattern.
+// Admission decides which programs may start. Under sustained overload every program that starts
+// delays those that are running, until all miss their deadlines, so new programs are refused first.
+// Turns of running programs are never refused, since the work that they have done would be lost.
+// Admission does not queue turns.
 type Admission struct {
 	Figures  Figures
 	Overload Overload
 	profiles profiles
-	active   map[string]*progress
-	// refused tells of programs that were turned away before they began.
+	active   map[string]*activeProgram
+	// refused holds the programs that were refused before they started, by name.
 	refused map[string]refusal
 }
 
-// progress is a program under way.
-type progress struct {
+// activeProgram is the state of a program that has started.
+type activeProgram struct {
 	kind string
-	// under counts its turns under way, turns those that it took one after another.
-	under, turns int
-	// rested is when its last turn ended.
-	rested time.Time
+	// inFlight counts the turns in progress; turns counts those run one after another, where turns
+	// that overlap count once.
+	inFlight, turns int
+	// lastTurnEnd is when the last turn ended.
+	lastTurnEnd time.Time
 }
 
-// refusal is a program that was turned away before it began.
+// refusal records the first refusal of a program that has not started.
 type refusal struct {
-	at   time.Time
-	left time.Duration
+	at       time.Time
+	timeLeft time.Duration
 }
 
 const (
-	// leastAfter bounds the advice from below: sooner no turn has ended.
-	leastAfter = 150 * time.Millisecond
-	// lateAfter is the part of its time after which a program that was turned away is not likely to
-	// end in time any more.
-	lateAfter = 0.1
-	// maxRefused bounds the programs that are remembered for having been turned away.
+	// minRetryAfter is the least retry delay; within less, hardly any turn ends.
+	minRetryAfter = 150 * time.Millisecond
+	// maxLostTimeShare is the share of its time after which a refused program is unlikely to meet
+	// its deadline.
+	maxLostTimeShare = 0.1
+	// maxRefused bounds the number of remembered refusals.
 	maxRefused = 10_000
-	// restsFor is how long a program may rest before it counts as over: longer than tools and
-	// most callers take. forgetAtOnce is how many programs one look for those takes.
-	restsFor     = 2 * time.Second
-	forgetAtOnce = 8
+	// programIdleTimeout is the idle time after which a program counts as ended; tools and most
+	// callers take less. forgetBatch is the number of programs that are checked for it per call.
+	programIdleTimeout = 2 * time.Second
+	forgetBatch        = 8
 )
 
-// NewAdmission makes an admission without a history.
+// NewAdmission returns an Admission without any history.
 func NewAdmission() *Admission {
-	return &Admission{profiles: profiles{}, active: map[string]*progress{}, refused: map[string]refusal{}}
+	return &Admission{profiles: profiles{}, active: map[string]*activeProgram{}, refused: map[string]refusal{}}
 }
 
-// Admit decides on a turn that has just come.
+// Admit decides on a turn that has just arrived.
 func (a *Admission) Admit(now time.Time, turn Turn) Verdict {
 	verdict := Verdict{Stretch: a.Overload.Stretch(now), Taken: a.Overload.Taken()}
 	if !turn.Fresh {
 		return verdict
 	}
-	part := a.Overload.begin(now, turn.Priority, a.unlikely(now, turn))
-	if part >= 1 || rand.Float64() < part {
+	share := a.Overload.admitShare(now, turn.Priority, a.unlikelyInTime(now, turn))
+	if share >= 1 || rand.Float64() < share {
 		return verdict
 	}
-	a.remember(now, turn)
-	verdict.Refuse, verdict.After = true, spread(a.Figures.turn())
+	a.rememberRefusal(now, turn)
+	verdict.Refuse, verdict.After = true, jitter(a.Figures.turnTime())
 	return verdict
 }
 
-// spread is when to come again after a wait: at random within a time as long again, so that those
-// who were refused together don't come back together.
-func spread(wait time.Duration) time.Duration {
-	wait = max(wait, leastAfter)
+// jitter returns a random retry delay between wait and twice wait, so that callers that were
+// refused together don't retry together.
+func jitter(wait time.Duration) time.Duration {
+	wait = max(wait, minRetryAfter)
 	return wait + rand.N(wait)
 }
 
-func (a *Admission) remember(now time.Time, turn Turn) {
+func (a *Admission) rememberRefusal(now time.Time, turn Turn) {
 	if _, ok := a.refused[turn.Program]; ok || turn.Left <= 0 {
 		return
 	}
 	if len(a.refused) >= maxRefused {
 		clear(a.refused)
 	}
-	a.refused[turn.Program] = refusal{at: now, left: turn.Left}
+	a.refused[turn.Program] = refusal{at: now, timeLeft: turn.Left}
 }
 
-// unlikely reports whether a program that has not begun is unlikely to end in time.
-func (a *Admission) unlikely(now time.Time, turn Turn) bool {
+// unlikelyInTime reports whether a program that has not started is unlikely to meet its deadline.
+func (a *Admission) unlikelyInTime(now time.Time, turn Turn) bool {
 	if turn.late(now) {
 		return true
 	}
 	first, ok := a.refused[turn.Program]
-	return ok && float64(now.Sub(first.at)) > lateAfter*float64(first.left)
+	return ok && float64(now.Sub(first.at)) > maxLostTimeShare*float64(first.timeLeft)
 }
 
-// Begin notes that a turn has its place.
+// Begin records that a turn has got its place.
 func (a *Admission) Begin(now time.Time, turn Turn) {
-	k := a.profiles.of(turn.Kind)
+	kindProfile := a.profiles.get(turn.Kind)
 	if _, again := a.refused[turn.Program]; turn.Fresh && turn.Left > 0 && !again {
-		k.left = mean(k.left, turn.Left)
+		kindProfile.timeLeft = updateMean(kindProfile.timeLeft, turn.Left)
 	}
 	delete(a.refused, turn.Program)
 	p, ok := a.active[turn.Program]
 	if !ok {
-		p = &progress{kind: turn.Kind}
+		p = &activeProgram{kind: turn.Kind}
 		a.active[turn.Program] = p
 	}
-	if ok && p.under == 0 {
-		k.rested(now.Sub(p.rested))
+	if ok && p.inFlight == 0 {
+		kindProfile.addPause(now.Sub(p.lastTurnEnd))
 	}
-	if p.under == 0 {
+	if p.inFlight == 0 {
 		p.turns++
 	}
-	p.under++
+	p.inFlight++
 	a.forget(now)
 }
 
-// forget drops programs that have rested so long that they are likely over, a few at a time.
+// forget removes programs that have been idle for programIdleTimeout. It checks forgetBatch
+// programs per call.
 func (a *Admission) forget(now time.Time) {
-	looked := 0
+	checked := 0
 	for name, p := range a.active {
-		if p.under == 0 && now.Sub(p.rested) > restsFor {
-			a.profiles.of(p.kind).ended(p.turns)
+		if p.inFlight == 0 && now.Sub(p.lastTurnEnd) > programIdleTimeout {
+			a.profiles.get(p.kind).programEnded(p.turns)
 			delete(a.active, name)
 		}
-		if looked++; looked >= forgetAtOnce {
+		if checked++; checked >= forgetBatch {
 			return
 		}
 	}
 }
 
-// End notes that a turn is over.
+// End records that a turn has ended.
 func (a *Admission) End(now time.Time, turn Turn) {
 	if p, ok := a.active[turn.Program]; ok {
-		p.under--
-		p.rested = now
+		p.inFlight--
+		p.lastTurnEnd = now
 	}
 }
 
-// Answered notes a turn that was answered whole, and what it would have taken at a calm engine, zero if
-// that is not known.
+// Answered records a turn that was answered completely. Ideal is the estimated time of the turn at
+// an engine without other load, zero if it is unknown.
 func (a *Admission) Answered(now time.Time, turn Turn, ideal time.Duration) {
 	if ideal <= 0 {
 		return
 	}
 	a.Figures.Turn(ideal)
-	k := a.profiles.of(turn.Kind)
-	k.ideal = mean(k.ideal, ideal)
-	a.Overload.Seen(now, float64(now.Sub(turn.Arrived))/float64(ideal), k.allowed())
+	k := a.profiles.get(turn.Kind)
+	k.unloadedTurn = updateMean(k.unloadedTurn, ideal)
+	a.Overload.Seen(now, float64(now.Sub(turn.Arrived))/float64(ideal), k.allowedSlowdown())
 }
--- a/gate/sched/admission_test.go
+++ b/gate/sched/admission_test.go
@@ -8,10 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var begun = time.UnixMilli(1_700_000_000_000)
+var testStart = time.UnixMilli(1_700_000_000_000)
 
-// admitted counts how many of a hundred programs begin at the moment.
-func admitted(in *Admission, now time.Time, turn Turn) int {
+// countAdmitted returns how many of a hundred programs are admitted.
+func countAdmitted(in *Admission, now time.Time, turn Turn) int {
 	n := 0
 	for i := range 100 {
 		turn.Program = fmt.Sprint(turn.Kind, i)
@@ -22,10 +22,11 @@
 	return n
 }
 
-// loaded makes an admission whose service has been at the load for a while.
-func loaded(stretch, taken float64) (*Admission, time.Time) {
+// newLoadedAdmission returns an Admission that has observed the load for half a minute, and the
+// time then.
+func newLoadedAdmission(stretch, taken float64) (*Admission, time.Time) {
 	in := NewAdmission()
-	now := begun
+	now := testStart
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
 		in.Overload.Seen(now, stretch, 1)
@@ -34,111 +35,111 @@
 	return in, now
 }
 
-// TestProgramsBeginAsLongAsThereIsRoom checks which programs begin at which load: all at a usual one,
-// none where turns take too long or places are full for long, and those under way always.
-func TestProgramsBeginAsLongAsThereIsRoom(t *testing.T) {
-	fresh, under := Turn{Kind: "k", Fresh: true}, Turn{Kind: "k"}
+// TestAdmitByLoad checks that all programs start under usual load, none under sustained overload,
+// and that running programs are never refused.
+func TestAdmitByLoad(t *testing.T) {
+	starting, running := Turn{Kind: "k", Fresh: true}, Turn{Kind: "k"}
 	cases := []struct {
 		name           string
 		stretch, taken float64
-		fresh          int
+		admitted       int
 	}{
 		{"calm", 0.5, 0.3, 100},
 		{"nothing reported", 0.9, -1, 100},
-		{"places nearly full", 1, 0.89, 100},
-		{"places full for long", 1, 1.01, 0},
-		{"places free and turns slow", 1.6, 0.4, 0},
+		{"slots nearly full", 1, 0.89, 100},
+		{"slots full for long", 1, 1.01, 0},
+		{"slots free and turns slow", 1.6, 0.4, 0},
 		{"nothing reported and turns slow", 1.6, -1, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			in, now := loaded(c.stretch, c.taken)
-			got := []int{admitted(in, now, fresh), admitted(in, now, under)}
-			if diff := cmp.Diff([]int{c.fresh, 100}, got); diff != "" {
-				t.Errorf("of a hundred begin, and go on (-want +got):\n%s", diff)
+			in, now := newLoadedAdmission(c.stretch, c.taken)
+			got := []int{countAdmitted(in, now, starting), countAdmitted(in, now, running)}
+			if diff := cmp.Diff([]int{c.admitted, 100}, got); diff != "" {
+				t.Errorf("admitted of a hundred new and a hundred running programs (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestBurstOnFullPlaces checks that full places of a moment turn nobody away.
-func TestBurstOnFullPlaces(t *testing.T) {
-	in, now := loaded(0.5, 0.4)
+// TestAdmitInShortBurst checks that a burst of two seconds on the slots refuses no program.
+func TestAdmitInShortBurst(t *testing.T) {
+	in, now := newLoadedAdmission(0.5, 0.4)
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		in.Overload.Reported(now, 1.1)
 	}
-	if got := admitted(in, now, Turn{Kind: "k", Fresh: true}); got != 100 {
-		t.Errorf("%d of 100 begin", got)
+	if got := countAdmitted(in, now, Turn{Kind: "k", Fresh: true}); got != 100 {
+		t.Errorf("%d of 100 programs admitted, want all", got)
 	}
 }
 
-// TestUrgentProgramsBeginLonger checks that less urgent kinds are turned away first.
-func TestUrgentProgramsBeginLonger(t *testing.T) {
-	in, now := loaded(0.5, 0.93)
-	first := admitted(in, now, Turn{Kind: "first", Fresh: true})
-	third := admitted(in, now, Turn{Kind: "third", Fresh: true, Priority: 2})
+// TestAdmitByPriority checks that less urgent programs are refused first.
+func TestAdmitByPriority(t *testing.T) {
+	in, now := newLoadedAdmission(0.5, 0.93)
+	first := countAdmitted(in, now, Turn{Kind: "first", Fresh: true})
+	third := countAdmitted(in, now, Turn{Kind: "third", Fresh: true, Priority: 2})
 	if first < 40 || third != 0 {
-		t.Errorf("%d of the first rank begin, %d of the third", first, third)
+		t.Errorf("%d programs of priority 0 admitted, want at least 40; %d of priority 2, want 0", first, third)
 	}
 }
 
-// TestProgramsThatCameTooLate checks that a program which was turned away does not begin once too
-// much of its time is over, unless the service is nearly idle, and that others do.
-func TestProgramsThatCameTooLate(t *testing.T) {
-	in, now := loaded(0.9, 0.8)
+// TestAdmitAfterLostTime checks that a program that was refused is refused again once too much of
+// its time is lost, unless the load is low, and that a new one is admitted.
+func TestAdmitAfterLostTime(t *testing.T) {
+	in, now := newLoadedAdmission(0.9, 0.8)
 	turn := Turn{Program: "p", Kind: "k", Fresh: true, Left: 2 * time.Second, Arrived: now}
-	in.remember(now, turn)
+	in.rememberRefusal(now, turn)
 	later := now.Add(500 * time.Millisecond)
 	in.Overload.Seen(later, 0.9, 1)
 	turn.Left, turn.Arrived = turn.Left-500*time.Millisecond, later
 	if !in.Admit(later, turn).Refuse {
-		t.Error("a program begins that has lost a quarter of its time")
+		t.Error("a program that has lost a quarter of its time is admitted")
 	}
 	turn.Program = "q"
 	if in.Admit(later, turn).Refuse {
-		t.Error("a program is turned away that has come at once")
+		t.Error("a program that was not refused before is refused")
 	}
 	for _, taken := range []float64{0.1, 0.45} {
-		calm, now := loaded(0.5, taken)
+		calm, now := newLoadedAdmission(0.5, taken)
 		turn.Left, turn.Arrived, turn.Priority = -time.Second, now, 1
 		if calm.Admit(now, turn).Refuse {
-			t.Errorf("a service turns a late program away with %.2f of its places taken", taken)
+			t.Errorf("a late program is refused at a utilization of %.2f", taken)
 		}
 	}
 }
 
-// TestBoxThatTurnedAllAwayTriesAgain checks that overload fades while no turn ends.
-func TestBoxThatTurnedAllAwayTriesAgain(t *testing.T) {
-	in, now := loaded(5, -1)
+// TestSlowdownDecays checks that a box that refuses all programs admits them again after a while.
+func TestSlowdownDecays(t *testing.T) {
+	in, now := newLoadedAdmission(5, -1)
 	turn := Turn{Kind: "k", Fresh: true}
-	if admitted(in, now, turn) != 0 || admitted(in, now.Add(4*stretchFade), turn) != 100 {
-		t.Errorf("of a hundred begin at once %d, later %d", admitted(in, now, turn), admitted(in, now.Add(4*stretchFade), turn))
+	if countAdmitted(in, now, turn) != 0 || countAdmitted(in, now.Add(4*slowdownHalfLife), turn) != 100 {
+		t.Errorf("%d of 100 programs admitted at first, want 0; %d later, want 100", countAdmitted(in, now, turn), countAdmitted(in, now.Add(4*slowdownHalfLife), turn))
 	}
 }
 
-// TestAdviceIsSpread checks that those who are refused together don't come back together.
-func TestAdviceIsSpread(t *testing.T) {
-	in, now := loaded(5, 2)
+// TestRetryAfterIsJittered checks that callers that are refused together don't retry together.
+func TestRetryAfterIsJittered(t *testing.T) {
+	in, now := newLoadedAdmission(5, 2)
 	seen := map[time.Duration]bool{}
 	for range 50 {
 		after := in.Admit(now, Turn{Kind: "k", Fresh: true}).After
-		if after < leastAfter || after > 2*firstTurn {
-			t.Fatalf("come back after %v", after)
+		if after < minRetryAfter || after > 2*defaultTurnTime {
+			t.Fatalf("retry delay %v is out of range", after)
 		}
 		seen[after.Round(time.Millisecond)] = true
 	}
 	if len(seen) < 25 {
-		t.Errorf("%d different times for 50 callers", len(seen))
+		t.Errorf("%d different retry delays for 50 callers, want at least 25", len(seen))
 	}
 }
 
-// TestFiguresOfAnEngine checks that the reading rate, the time beside it and the time between events
-// are learned from turns alone, and that nothing is known before.
-func TestFiguresOfAnEngine(t *testing.T) {
+// TestFiguresIdeal checks that the prefill rate, the time to the first event and the time between
+// events are learned from turns, and that there is no estimate before the first turn.
+func TestFiguresIdeal(t *testing.T) {
 	var f Figures
 	if got := f.Ideal(1000, 10); got != 0 {
-		t.Errorf("known before any turn: %v", got)
+		t.Errorf("time of a turn before any was observed: %v, want 0", got)
 	}
 	for i := range 100 {
 		missing := 100 + 37*i%900
@@ -147,17 +148,18 @@
 	}
 	want := 30*time.Millisecond + 20*time.Millisecond + 9*25*time.Millisecond
 	if got := f.Ideal(1000, 10); got < want-time.Millisecond || got > want+time.Millisecond {
-		t.Errorf("a turn takes %v, want %v", got, want)
+		t.Errorf("time of a turn: %v, want %v", got, want)
 	}
 }
 
-// TestShapeOfPrograms checks what turns may take by what was seen of their programs.
-func TestShapeOfPrograms(t *testing.T) {
+// TestAllowedSlowdown checks the slowdown that a kind of program allows, before and after programs
+// are observed.
+func TestAllowedSlowdown(t *testing.T) {
 	in := NewAdmission()
-	if got := in.profiles.of("k").allowed(); got != firstStretch {
-		t.Errorf("allowed %v before any program was seen", got)
+	if got := in.profiles.get("k").allowedSlowdown(); got != defaultAllowedSlowdown {
+		t.Errorf("allowed slowdown before any program was observed: %v", got)
 	}
-	now := begun
+	now := testStart
 	for n := range 200 {
 		turn := Turn{Program: fmt.Sprint(n), Kind: "k", Fresh: true, Left: 2 * time.Second}
 		for range 4 {
@@ -169,13 +171,13 @@
 			now = now.Add(100 * time.Millisecond)
 			turn.Fresh = false
 		}
-		now = now.Add(2 * restsFor)
+		now = now.Add(2 * programIdleTimeout)
 	}
 	// Four turns in 2 s are 500 ms each, of which 100 ms are a pause: 200 ms more than they need.
-	if got, want := in.profiles.of("k").allowed(), 1+slackUsed; got < want-0.1 || got > want+0.1 {
-		t.Errorf("turns may take %.2f times their time, want %.2f", got, want)
+	if got, want := in.profiles.get("k").allowedSlowdown(), 1+usableSlack; got < want-0.1 || got > want+0.1 {
+		t.Errorf("allowed slowdown: %.2f, want %.2f", got, want)
 	}
-	if len(in.active) > 2*forgetAtOnce {
-		t.Errorf("%d programs are remembered", len(in.active))
+	if len(in.active) > 2*forgetBatch {
+		t.Errorf("%d programs are kept as active", len(in.active))
 	}
 }
--- a/gate/sched/cold.go
+++ b/gate/sched/cold.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// ColdBounds are what operators promise of the calls that all boxes together send to a cold replica.
+// ColdBounds are the operators' limits on the calls that all boxes together send to a cold replica,
+// one that has just started.
 type ColdBounds struct {
-	// Overshoot is a factor on the service's rate, and Slack calls beyond it, within any second.
+	// Overshoot multiplies the service's rate for cold replicas, and Slack is added to the product,
+	// in calls a second.
 	Overshoot, Slack float64
 }
 
-// Share is how many calls one box may send to a cold replica of a service that bears rate calls a second while
-// it is cold, within a second. It answers traffic that returns to replicas which have just started, from boxes of
-// which some are cut off: one box of each availability zone sends, on either side of a cut, and counts double,
-// since two boxes may take themselves for the one while their views differ.
+// Share returns how many calls one box may send to a cold replica within a second, where the
+// service's rate for cold replicas is rate calls a second. One box in each availability zone sends
+// such calls; during a partition two boxes of a zone may each take themselves for that one, so the
+// limit is divided by two senders a zone.
 func (b ColdBounds) Share(rate float64, zones int) int {
-	const doubt = 2
-	return int((rate*max(b.Overshoot, 1) + b.Slack) / float64(doubt*max(zones, 1)))
+	const sendersPerZone = 2
+	return int((rate*max(b.Overshoot, 1) + b.Slack) / float64(sendersPerZone*max(zones, 1)))
 }
 
-// coldWindow is a second and the time for which a call may be under way to the replica.
+// coldWindow is a second plus the longest time that a call may be in transit to the replica.
 const coldWindow = 1250 * time.Millisecond
 
-// Sent keeps when calls were sent to one cold replica.
-type Sent struct{ at []time.Time }
+// Sent records when calls were sent to one cold replica.
+type Sent struct{ times []time.Time }
 
-// Free reports whether one more may be sent where most are allowed in a second.
-func (s *Sent) Free(now time.Time, most int) bool {
-	s.at = slices.DeleteFunc(s.at, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
-	return len(s.at) < most
+// Free reports whether one more call may be sent under a limit of calls within a second.
+func (s *Sent) Free(now time.Time, limit int) bool {
+	s.times = slices.DeleteFunc(s.times, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
+	return len(s.times) < limit
 }
 
-// Note notes a call.
+// Note records that a call is sent.
 func (s *Sent) Note(now time.Time) {
-	s.at = append(s.at, now)
+	s.times = append(s.times, now)
 }
--- a/gate/sched/cold_test.go
+++ b/gate/sched/cold_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// TestColdShare plays callers that all want a cold replica, through boxes of which some take themselves wrongly for the
-// one that sends: within any second no more than the bound comes, and with right views the replica gets a good part of it.
+// TestColdShare checks that boxes which all want a cold replica send it no more calls than the
+// limit within any second, with one or two senders a zone, and that one sender a zone uses at least
+// half of the rate.
 func TestColdShare(t *testing.T) {
 	bounds := ColdBounds{Overshoot: 1.5, Slack: 5}
 	const rate, zones = 23.0, 3
 	for senders := 1; senders <= 2; senders++ {
 		rng := rand.New(rand.NewPCG(1, uint64(senders)))
 		boxes := make([]Sent, zones*senders)
-		most := bounds.Share(rate, zones)
+		limit := bounds.Share(rate, zones)
 		now := time.Unix(0, 0)
 		var arrived []time.Time
 		for range 4000 {
 			now = now.Add(time.Duration(rng.IntN(5)) * time.Millisecond)
 			box := &boxes[rng.IntN(len(boxes))]
-			if box.Free(now, most) {
+			if box.Free(now, limit) {
 				box.Note(now)
 				arrived = append(arrived, now)
 			}
@@ -33,11 +34,11 @@
 				}
 			}
 			if bound := rate*bounds.Overshoot + bounds.Slack; float64(in) > bound {
-				t.Fatalf("%d boxes a zone send %d calls in a second of at most %.1f", senders, in, bound)
+				t.Fatalf("%d senders a zone send %d calls within a second, want at most %.1f", senders, in, bound)
 			}
 		}
 		if perSecond := float64(len(arrived)) / now.Sub(time.Unix(0, 0)).Seconds(); senders == 1 && perSecond < rate/2 {
-			t.Errorf("a cold replica gets %.1f calls a second of %.1f", perSecond, rate)
+			t.Errorf("cold replica gets %.1f calls a second, want at least half of %.1f", perSecond, rate)
 		}
 	}
 }
--- a/gate/sched/cost.go
+++ b/gate/sched/cost.go
@@ -6,148 +6,151 @@
 	"time"
 )
 
-// Belief is what a box believes of a replica that has told no figures of its engine.
+// Belief is what a box knows of a replica whose engine reports no performance figures.
 type Belief struct {
-	// Busy is this box's calls under way there, BusyThen those at the replica's newest report.
+	// Busy is the number of this box's calls in flight there, BusyThen that number at the newest
+	// report.
 	Busy, BusyThen int
-	// Slots is the number of calls that it works on at once; 0 if it is not known.
+	// Slots is the number of calls that the replica runs at once, 0 if unknown.
 	Slots int
-	// Reported says that a report is new enough; Running and Waiting are by that report, of Age ago.
+	// Reported is set if the newest load report is recent enough to use. Running and Waiting are
+	// the calls in that report.
 	Reported         bool
 	Running, Waiting int
-	Age              time.Duration
+	// Age is the age of that report.
+	Age time.Duration
 	// Placers is the number of boxes that place calls at the same replicas, this one included.
 	Placers int
-	// UsualLoad is the part of their places that is taken at the replicas that report; zero if none does.
+	// UsualLoad is the share of slots in use at the replicas that report, 0 if none reports.
 	UsualLoad float64
-	// Slow is the time of a unit of work there against what it usually takes.
+	// Slow is the time of a unit of work there relative to the usual time.
 	Slow float64
-	// Failing is the share of calls that it failed lately.
+	// Failing is the share of recent calls that failed.
 	Failing float64
-	// Cached is how much of the prompt it is believed to hold, in tokens.
+	// Cached is how much of the prompt the replica is estimated to hold in its cache, in tokens.
 	Cached int
-	// Far says that it is in another availability zone.
+	// Far is set if the replica is in another availability zone.
 	Far bool
-	// Connected says that a connection to it rests.
+	// Connected is set if a call needs no new connection.
 	Connected bool
 }
 
-// Call is what has to be placed.
+// Call is a call that needs a replica.
 type Call struct {
-	// Model says that the call runs a model on a prompt of so many tokens.
-	Model  bool
+	// Model is set if the call runs a model.
+	Model bool
+	// Prompt is the length of its prompt, in tokens.
 	Prompt int
-	// Usual is the time that a unit of this kind of work takes: a call of a plain service, or the
-	// time between two events of a model.
+	// Usual is the usual time of a unit of this kind of work: a whole call of a plain service, or
+	// the time between two events of a model's answer.
 	Usual time.Duration
 }
 
 const (
-	// missWeight is how much more than its own time a prefill costs: it delays all that run
-	// there, and it pushes other programs' prompts out of memory. With 1, programs moved about
-	// under load until prefill filled the replicas (docs/decisions/0011).
-	missWeight = 4
-	// streamShare is what one more stream of this box costs a model call at a replica without a
-	// report, in parts of a turn; it stands for those of the other boxes too. With half of it, ten
-	// boxes heap their calls on the replicas that they can't see: of the value of a burst's programs 0.95 is
-	// reached in time in place of 0.99 (gate/replay).
-	streamShare = 0.1
-	// runningShare is what one more stream, of whatever box, costs a model call, in parts of a
-	// turn: its share of each step and its prefill.
-	runningShare = 0.02
-	// modelSteps weighs a replica's time between events into the cost of a call. More makes
-	// programs follow its noise.
-	modelSteps = 3
-	// farTime prices another availability zone: its round trips and the bytes of a chain.
-	farTime = 12 * time.Millisecond
-	// farCalls prices it for calls of plain services, in calls of this box under way: what a cut
-	// between zones breaks off is lost for good where a call may not be repeated.
-	farCalls = 0.7
-	// dialCalls prices a new connection for calls of plain services, in calls of this box under way: its
-	// round trips, and a place at the replica while it is opened. Without it 200 boxes that make a few calls a
-	// second each spread them over a hundred replicas, and every fourth needs a new connection.
+	// prefillWeight multiplies the prefill time: a prefill also delays the other calls at the
+	// replica and evicts other programs' prompts from its cache.
+	prefillWeight = 4
+	// unreportedCallShare is the cost of each call of this box in flight at a replica without a
+	// report, as a share of a turn's time. It also covers the calls of other boxes, which are
+	// unknown there.
+	unreportedCallShare = 0.1
+	// callShare is the cost of each call at the replica, as a share of a turn's time: its part of
+	// each batch step, and its prefill.
+	callShare = 0.02
+	// eventWeight is the number of events whose usual time, scaled by the replica's slowdown, is
+	// added to the cost. A higher weight would move programs on measurement noise.
+	eventWeight = 3
+	// otherZoneTime is the cost of another availability zone for a model call: round trips and data
+	// transfer.
+	otherZoneTime = 12 * time.Millisecond
+	// otherZoneCalls is the cost of another availability zone for a plain service, in calls of this
+	// box in flight: calls that a network partition cuts off are lost if they may not be repeated.
+	otherZoneCalls = 0.7
+	// dialCalls is the cost of a new connection for a plain service, in calls of this box in
+	// flight. It keeps boxes that make few calls from spreading them over all replicas.
 	dialCalls = 0.3
-	// failCost is what a call that goes wrong costs: about the time that its program loses.
-	// turnFailCost is that of a turn: the third failure in a row ends the program, so a share of
-	// failures of 0.2 outweighs a long prefix, whose cost missWeight makes 0.3 to 0.9 s.
-	failCost     = 1500 * time.Millisecond
-	turnFailCost = 4 * time.Second
-	// drawTime is how much worse than the best a candidate may be to be drawn, so that boxes
-	// with the same beliefs don't all choose the same replica.
-	drawTime = 2 * time.Millisecond
+	// callFailureCost is the cost of a failed call of a plain service. turnFailureCost is that of a
+	// failed turn: higher, since repeated failures end the program, and so that a failing replica
+	// loses to the cost of a long prefill elsewhere.
+	callFailureCost = 1500 * time.Millisecond
+	turnFailureCost = 4 * time.Second
+	// drawMargin is how much more than the lowest cost a replica may cost to be drawn, so that
+	// boxes with the same state don't all choose the same replica.
+	drawMargin = 2 * time.Millisecond
 )
 
-// Cost is the expected time of the call at the replica, and what it takes from others.
+// Cost returns the expected time of the call at the replica, plus the delay that it causes other
+// calls there.
 func (f *Figures) Cost(call Call, b Belief) time.Duration {
 	if !call.Model {
 		calls := float64(b.Busy + 1)
 		if b.Far {
-			calls += farCalls
+			calls += otherZoneCalls
 		}
 		if !b.Connected {
 			calls += dialCalls
 		}
-		return time.Duration(b.Failing*float64(failCost)) + time.Duration(b.Slow*calls*float64(call.Usual))
+		return time.Duration(b.Failing*float64(callFailureCost)) + time.Duration(b.Slow*calls*float64(call.Usual))
 	}
-	cost := time.Duration(b.Failing * float64(turnFailCost))
+	cost := time.Duration(b.Failing * float64(turnFailureCost))
 	if b.Far {
-		cost += farTime
+		cost += otherZoneTime
 	}
-	cost += missWeight * f.reading(max(0, call.Prompt-b.Cached))
+	cost += prefillWeight * f.prefillTime(max(0, call.Prompt-b.Cached))
 	cost += f.contention(b)
-	return cost + time.Duration(b.Slow*modelSteps*float64(call.Usual))
+	return cost + time.Duration(b.Slow*eventWeight*float64(call.Usual))
 }
 
-// contention is what the calls that a replica has cost one more: a turn that finds no place waits for a whole one.
+// contention estimates the delay from the other calls at the replica. The wait for a free slot is
+// the time of a turn, times the calls in excess of the slots, divided by the slots.
 func (f *Figures) contention(b Belief) time.Duration {
-	calls, unseen := b.calls()
-	cost := runningShare*calls + streamShare*float64(unseen)
+	calls, unreported := b.estimateCalls()
+	cost := callShare*calls + unreportedCallShare*float64(unreported)
 	if b.Slots > 0 {
 		cost += max(0, calls+1-float64(b.Slots)) / float64(b.Slots)
 	}
-	return time.Duration(cost * float64(f.turn()))
+	return time.Duration(cost * float64(f.turnTime()))
 }
 
-// calls estimates the calls that a replica has, and how many of this box's no report has counted. Since a
-// report, each box that places calls is taken to have placed as many there as this one has: all believe
-// the same, and would otherwise fill the same replica. Counting only those of one availability zone lost the
-// callers of a burst of 2.5 times, in a fleet of 64 boxes of which 14 place calls, 0.11 of its value against Placers, and
-// counting all 0.03 of that of ten boxes before engines that are full for a minute (gate/replay, means of three and four).
-// No more boxes are counted than the replica has places: in a fleet of 200 boxes of which 40 place calls, a
-// box that counted all 40 left the replicas that hold its programs' prompts after each call. A replica that does
-// not report is taken to be as busy as those that do.
-func (b Belief) calls() (all float64, unseen int) {
+// estimateCalls returns the number of calls at a replica and, if it has no usable report, how many
+// of this box's calls are there. Each placing box, up to the number of slots, is assumed to have
+// placed as many calls since the report as this one; otherwise all boxes would fill the same
+// replica. A replica without a report is assumed to be as busy as those that report.
+func (b Belief) estimateCalls() (all float64, unreported int) {
 	if !b.Reported || b.Slots == 0 {
 		return b.UsualLoad * float64(b.Slots), b.Busy
 	}
-	since := max(1, min(b.Placers, b.Slots)) * max(0, b.Busy-b.BusyThen)
-	return float64(b.Running + b.Waiting + since), 0
+	sinceReport := max(1, min(b.Placers, b.Slots)) * max(0, b.Busy-b.BusyThen)
+	return float64(b.Running + b.Waiting + sinceReport), 0
 }
 
-// Placers is how many boxes count as placing calls by the same reports as one of them: those near, in its own availability
-// zone, and half of those far off. These hear no reports of the zone's replicas and come there when theirs are full.
+// Placers returns how many boxes count as placing calls on the same reports: near in this
+// availability zone, and half of the far ones in other zones, which get no reports of this zone's
+// replicas and use them only when their own are full.
 func Placers(near, far int) int {
 	return near + (far+1)/2
 }
 
-// Calm reports whether the replica had so little to do by a report of a moment ago that a turn there
-// shows what its engine can do.
+// Calm reports whether the replica was so lightly loaded by a recent report that a turn there shows
+// the engine's own speed.
 func (b Belief) Calm() bool {
-	return b.Reported && b.Age <= calmAge && b.Waiting == 0 && (b.Running+max(0, b.Busy-b.BusyThen))*calmShare < b.Slots
+	return b.Reported && b.Age <= maxLightLoadAge && b.Waiting == 0 &&
+		(b.Running+max(0, b.Busy-b.BusyThen))*lightLoadDivisor < b.Slots
 }
 
 const (
-	// calmAge is how old the report may be, a few turns, and calmShare the part of the replica's
-	// places, one in so many, below which it is calm.
-	calmAge   = 500 * time.Millisecond
-	calmShare = 4
+	// maxLightLoadAge is the oldest report that Calm accepts. A replica is lightly loaded below one
+	// in lightLoadDivisor of its slots.
+	maxLightLoadAge  = 500 * time.Millisecond
+	lightLoadDivisor = 4
 )
 
-// PickNear draws one of the costs that are near to the least; -1 if there is none.
+// PickNear returns the index of a random cost among those within drawMargin of the lowest, or -1 if
+// costs is empty.
 func PickNear(costs []time.Duration, rng *rand.Rand) int {
 	if len(costs) == 0 {
 		return -1
 	}
-	bound := slices.Min(costs) + drawTime
+	bound := slices.Min(costs) + drawMargin
 	return drawAmong(len(costs), func(i int) bool { return costs[i] <= bound }, rng)
 }
--- a/gate/sched/doc.go
+++ b/gate/sched/doc.go
@@ -1,6 +1,8 @@
-// Package sched decides which call goes next, whether it waits or is refused, and where it
-// runs. It does no input and output: the time, what is believed and what asks go in, a decision
-// and its reason come out, drawn by chance where boxes must not all decide alike. Engines that
-// tell their figures are weighed in engine.go, with the baselines that the choice is measured
-// against; replicas of which only observations are known in cost.go.
+// Package sched makes the scheduling decisions: which waiting call runs next, whether a call waits
+// or is refused, and at which target it runs. A program is a sequence of turns, each a call to a
+// model. The package does no I/O: callers pass in the time, the known state and the request, and
+// get a decision. Some decisions are randomized, so that boxes with the same state don't all choose
+// alike. engine.go places calls on engines that report their own performance, and holds the
+// baseline strategies that the scored one is compared with; cost.go places calls on replicas of
+// which only load reports and observed times are known.
 package sched
--- a/gate/sched/engine.go
+++ b/gate/sched/engine.go
@@ -9,10 +9,10 @@
 	"mulleingate.dev/base/types"
 )
 
-// Strategy names a way to choose.
+// Strategy is a way to choose a target.
 type Strategy string
 
-// The strategies. All but Scored are baselines.
+// The strategies. Scored is the one for production; the others are baselines.
 const (
 	Scored Strategy = "scored"
 	Random Strategy = "random"
@@ -20,106 +20,110 @@
 	Sticky Strategy = "sticky"
 )
 
-// Strategies lists the ways to choose.
+// Strategies returns all strategies.
 func Strategies() []Strategy {
 	return []Strategy{Scored, Random, Least, Sticky}
 }
 
-// Ask is what has to be placed.
+// Ask is a call that needs a target.
 type Ask struct {
 	Program string
-	// Prompt and Expected are in tokens: the whole prompt and the likely answer.
-	Prompt   int
+	// Prompt is the length of the prompt, in tokens.
+	Prompt int
+	// Expected is the expected length of the answer, in tokens.
 	Expected int
 }
 
-// Candidate is an allowed target as this box believes it to be.
+// Candidate is a target that the call may use, with its state as this box knows it.
 type Candidate struct {
 	Name string
-	// Running and Queued are streams by the target's last report.
+	// Running and Queued are the streams in the target's last report.
 	Running, Queued int
 	MaxBatch        int
-	// PrefillTokens and OutputTokens are the work left by that report.
+	// PrefillTokens and OutputTokens are the work outstanding in that report.
 	PrefillTokens, OutputTokens int64
 	PrefillRate                 float64
 	Step                        time.Duration
 	CacheUsed                   int64
 	CacheSize                   int64
-	// Mine are this box's streams under way, MineThen those when the report was made.
+	// Mine is the number of this box's streams in flight, MineThen that number at the report.
 	Mine, MineThen int
-	// Others are the streams of other boxes, by their heartbeats.
+	// Others is the number of other boxes' streams, from their heartbeats.
 	Others int
-	// Cached is how much of the prompt the target is believed to hold, in tokens.
+	// Cached is how much of the prompt the target is estimated to hold in its cache, in tokens.
 	Cached int
-	// Slow is observed step time over promised step time, at least 1.
+	// Slow is the observed step time relative to the step time that the target reports, at least 1.
 	Slow float64
-	// Room says that the limit allows another call.
+	// Room is set if the target's concurrency limit allows another call.
 	Room bool
-	// Far says that the target is in another availability zone.
+	// Far is set if the target is in another availability zone.
 	Far bool
 }
 
 const (
-	// nearShare is how much worse than the best a candidate may be to be drawn, as a share
-	// of what differs between candidates; nearTime is the least such difference.
-	nearShare = 0.05
-	nearTime  = time.Millisecond
-	// worthWaiting is how much better a full target must be for the call to wait for it:
-	// about the time until one of its places comes free.
-	worthWaiting = 30 * time.Millisecond
-	// farCost is added for another availability zone.
-	farCost = 2 * time.Millisecond
-	// delayShare weighs what a prefill costs the streams already in the batch: each of
-	// them waits for it.
-	delayShare = 1.0
-	// evictShare weighs the prefill that others lose when a new prefix pushes theirs out.
-	evictShare = 1.0
-	// fullAt is the cache use from which a new prefix pushes others out.
-	fullAt = 0.85
-	// typical is the length of a queued stream in steps when nothing is known.
-	typical = 32
-	// batchCost is how much one more stream lengthens a step; engines tell no such figure.
-	batchCost = 0.03
+	// drawShare is how much more than the best score a candidate's may be to be drawn, as a share
+	// of the difference between the best and the worst; minDrawMargin is the least margin.
+	drawShare     = 0.05
+	minDrawMargin = time.Millisecond
+	// minWaitGain is how much better a full target must score for the call to wait for it: about
+	// the time until one of its slots is free.
+	minWaitGain = 30 * time.Millisecond
+	// otherZoneCost is added for a target in another availability zone.
+	otherZoneCost = 2 * time.Millisecond
+	// prefillDelayWeight weighs the delay that a prefill causes each stream in the batch.
+	prefillDelayWeight = 1.0
+	// evictionWeight weighs the prefill that other programs must repeat when a new prefix evicts
+	// theirs.
+	evictionWeight = 1.0
+	// evictionThreshold is the cache utilization from which a new prefix evicts others.
+	evictionThreshold = 0.85
+	// defaultOutputSteps is the least length that is assumed of a queued stream, in steps.
+	defaultOutputSteps = 32
+	// stepGrowth is the share by which each stream in the batch lengthens a step; engines don't
+	// report it.
+	stepGrowth = 0.03
 )
 
-// Load is the estimated number of streams at the target now: the last report corrected
-// by own work since, or what the boxes say they have under way, whichever is more.
+// Load returns the estimated number of streams at the target now. It is the larger of two figures:
+// the last report corrected by this box's streams since, and the streams that all boxes say they
+// have in flight.
 func (c Candidate) Load() int {
 	reported := c.Running + c.Queued + c.Mine - c.MineThen
 	return max(reported, c.Mine+c.Others, 0)
 }
 
-// Score is the expected cost of the call at the candidate: the time to its whole answer,
-// and what its prefill takes from other programs there.
+// Score returns the expected cost of the call at the candidate: the time to the complete answer,
+// plus the delay that its prefill causes other programs there.
 func Score(ask Ask, c Candidate) time.Duration {
 	load := float64(c.Load())
 	batch := math.Min(load+1, float64(c.MaxBatch))
-	step := c.Step.Seconds() * c.Slow * (1 + batchCost*batch)
+	step := c.Step.Seconds() * c.Slow * (1 + stepGrowth*batch)
 	wait := float64(c.PrefillTokens) / c.PrefillRate * c.Slow
-	if over := load + 1 - float64(c.MaxBatch); over > 0 {
-		perSlot := math.Max(float64(c.OutputTokens)/math.Max(load, 1), typical)
-		wait += over / float64(c.MaxBatch) * perSlot * step
+	if excess := load + 1 - float64(c.MaxBatch); excess > 0 {
+		perSlot := math.Max(float64(c.OutputTokens)/math.Max(load, 1), defaultOutputSteps)
+		wait += excess / float64(c.MaxBatch) * perSlot * step
 	}
 	prefill := float64(max(0, ask.Prompt-c.Cached)) / c.PrefillRate * c.Slow
-	others := prefill * (delayShare*(batch-1) + evictShare*crowding(c))
+	othersDelay := prefill * (prefillDelayWeight*(batch-1) + evictionWeight*evictionPressure(c))
 	answer := float64(ask.Expected) * step
-	total := time.Duration((wait + prefill + others + answer) * float64(time.Second))
+	total := time.Duration((wait + prefill + othersDelay + answer) * float64(time.Second))
 	if c.Far {
-		total += farCost
+		total += otherZoneCost
 	}
 	return total
 }
 
-// crowding is 0 while the cache has room and rises to 1 as it fills.
-func crowding(c Candidate) float64 {
+// evictionPressure is 0 up to evictionThreshold and rises linearly to 1 as the cache fills.
+func evictionPressure(c Candidate) float64 {
 	if c.CacheSize == 0 {
 		return 0
 	}
 	used := float64(c.CacheUsed) / float64(c.CacheSize)
-	return math.Max(0, math.Min(1, (used-fullAt)/(1-fullAt)))
+	return math.Max(0, math.Min(1, (used-evictionThreshold)/(1-evictionThreshold)))
 }
 
-// Pick chooses among the candidates with room; -1 if there is none.
+// Pick chooses one of the candidates with room and returns its index, or -1 if there is none or if
+// the call should wait for a full one. It also returns the score of every candidate.
 func Pick(strategy Strategy, ask Ask, cands []Candidate, rng *rand.Rand) (int, []types.Weighed) {
 	weighed := make([]types.Weighed, len(cands))
 	for i, c := range cands {
@@ -137,22 +141,22 @@
 	}
 }
 
-// pickScored draws among the near-best, so that boxes with the same stale reports do not
-// all choose the same target. Where a full target is much better, usually because it holds
-// the prefix, the call waits for it.
+// pickScored draws one of the near-best candidates, so that boxes with the same stale reports don't
+// all choose the same target. It returns -1 where a full target scores so much better, usually
+// since it caches the prefix, that the call should wait for it.
 func pickScored(cands []Candidate, weighed []types.Weighed, rng *rand.Rand) int {
-	best, worst, all := time.Duration(math.MaxInt64), time.Duration(0), time.Duration(math.MaxInt64)
+	best, worst, bestOfAll := time.Duration(math.MaxInt64), time.Duration(0), time.Duration(math.MaxInt64)
 	for i := range cands {
-		all = min(all, weighed[i].Score)
+		bestOfAll = min(bestOfAll, weighed[i].Score)
 		if cands[i].Room {
 			best = min(best, weighed[i].Score)
 			worst = max(worst, weighed[i].Score)
 		}
 	}
-	if best == math.MaxInt64 || all+worthWaiting < best {
+	if best == math.MaxInt64 || bestOfAll+minWaitGain < best {
 		return -1
 	}
-	bound := best + max(time.Duration(float64(worst-best)*nearShare), nearTime)
+	bound := best + max(time.Duration(float64(worst-best)*drawShare), minDrawMargin)
 	return drawAmong(len(cands), func(i int) bool { return cands[i].Room && weighed[i].Score <= bound }, rng)
 }
 
@@ -160,11 +164,12 @@
 	return drawAmong(len(cands), func(i int) bool { return cands[i].Room }, rng)
 }
 
-// drawAmong draws one of those indices below n that may be taken; -1 if there is none.
-func drawAmong(n int, may func(i int) bool, rng *rand.Rand) int {
+// drawAmong returns a random eligible index below n, each with the same probability, or -1 if there
+// is none.
+func drawAmong(n int, eligible func(i int) bool, rng *rand.Rand) int {
 	chosen, seen := -1, 0
 	for i := range n {
-		if !may(i) {
+		if !eligible(i) {
 			continue
 		}
 		seen++
@@ -175,7 +180,7 @@
 	return chosen
 }
 
-// pickLeast takes the target with the fewest calls of this box under way.
+// pickLeast returns the target with the fewest of this box's calls in flight.
 func pickLeast(cands []Candidate) int {
 	chosen := -1
 	for i := range cands {
@@ -186,7 +191,7 @@
 	return chosen
 }
 
-// pickSticky hashes the program to a target.
+// pickSticky chooses a target by rendezvous hashing of the program's name.
 func pickSticky(ask Ask, cands []Candidate) int {
 	names := make([]string, 0, len(cands))
 	for _, c := range cands {
--- a/gate/sched/engine_test.go
+++ b/gate/sched/engine_test.go
@@ -27,7 +27,7 @@
 	return cands[i].Name
 }
 
-func TestPrefixAgainstQueue(t *testing.T) {
+func TestPickWeighsPrefixAgainstQueue(t *testing.T) {
 	ask := Ask{Program: "p", Prompt: 2000, Expected: 20}
 	full := candidate("held", 8, 2000)
 	full.Room = false
@@ -38,8 +38,8 @@
 	}{
 		{"the prefix wins over a few streams", "held", candidate("held", 6, 2000)},
 		{"a long queue wins over the prefix", "free", candidate("held", 60, 2000)},
-		{"a full engine with the prefix is waited for", "", full},
-		{"no prefix: the less busy one", "free", candidate("held", 6, 0)},
+		{"the call waits for a full engine with the prefix", "", full},
+		{"without a prefix the less busy engine wins", "free", candidate("held", 6, 0)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestEqualEnginesShareTheWork checks that boxes with the same stale report do not herd.
-func TestEqualEnginesShareTheWork(t *testing.T) {
+// TestPickSpreadsEqualTargets checks that boxes with the same stale reports don't all choose the
+// same target.
+func TestPickSpreadsEqualTargets(t *testing.T) {
 	got := map[string]int{}
 	for box := range 12 {
 		rng := rand.New(rand.NewPCG(uint64(box), 1))
@@ -61,7 +62,7 @@
 	}
 	for name, n := range got {
 		if n > 8 {
-			t.Errorf("%d of 12 boxes chose %s", n, name)
+			t.Errorf("%d of 12 boxes chose %s, want at most 8", n, name)
 		}
 	}
 }
@@ -70,9 +71,9 @@
 	os.Exit(fixed.Main(m, "1000"))
 }
 
-// TestPickKeepsToRoom checks for every strategy that a target without room is never
-// chosen, and that a choice is made where there is room.
-func TestPickKeepsToRoom(t *testing.T) {
+// TestPickRequiresRoom checks that no strategy chooses a target without room, and that each
+// baseline strategy chooses one if any has room.
+func TestPickRequiresRoom(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(rt, "n")
 		cands := make([]Candidate, n)
@@ -90,16 +91,16 @@
 				rt.Fatalf("%s chose %s, which has no room", strategy, cands[i].Name)
 			}
 			if i < 0 && room && strategy != Scored {
-				rt.Fatalf("%s chose none though there is room", strategy)
+				rt.Fatalf("%s chose no target though one has room", strategy)
 			}
 			if len(weighed) != n {
-				rt.Fatalf("%d of %d weighed", len(weighed), n)
+				rt.Fatalf("%d of %d candidates have a score", len(weighed), n)
 			}
 		}
 	})
 }
 
-func TestRankOrders(t *testing.T) {
+func TestRank(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	old := Work{Started: now, Arrived: now.Add(time.Minute), Attained: 5000}
 	young := Work{Started: now.Add(time.Second), Arrived: now.Add(2 * time.Second), Attained: 10}
@@ -118,7 +119,7 @@
 	}
 	for _, c := range cases {
 		if Rank(c.order, c.first) <= Rank(c.order, c.then) {
-			t.Errorf("%s: %+v does not go before %+v", c.order, c.first, c.then)
+			t.Errorf("order %s: %+v does not rank above %+v", c.order, c.first, c.then)
 		}
 	}
 }
--- a/gate/sched/figures.go
+++ b/gate/sched/figures.go
@@ -2,108 +2,110 @@
 
 import "time"
 
-// Figures is what is learned of the engines of a service from the turns that they ran while they
-// were calm: under load all that they show is how long turns wait.
+// Figures estimates the speed of a service's engines. First and Gap take only turns that ran on
+// lightly loaded engines: under load their times show mostly queueing.
 type Figures struct {
-	// first follows the time to a first event by the tokens that had to be read.
-	first line
-	// gap is the mean time between two events, zero before any was measured.
+	// firstEvent fits the time to the first event, in milliseconds, to the number of prefilled
+	// tokens.
+	firstEvent linearFit
+	// gap is the mean time between two events, zero before the first measurement.
 	gap time.Duration
-	// ideal is the mean time that turns would have taken at calm engines, zero before any was known.
-	// What they do take grows with the load; costs that grew with it would outweigh prompts that have
-	// to be read, and moving programs about reads more.
-	ideal time.Duration
+	// unloadedTurn is the mean time that turns would have taken on lightly loaded engines, zero
+	// before the first estimate. Observed times are not used, since they grow with the load: costs
+	// that grew with it would outweigh those of prefill, and make programs change replicas.
+	unloadedTurn time.Duration
 }
 
 const (
-	// firstRate is prompt tokens read in a millisecond until that was measured, and firstTurn the
-	// time of a turn: a large model on one accelerator.
-	firstRate = 40
-	firstTurn = 400 * time.Millisecond
-	// turnGain is the weight of a new turn in a mean: some twenty turns, less than a second of a
-	// busy box.
-	turnGain = 0.05
+	// defaultPrefillRate, in prompt tokens a millisecond, and defaultTurnTime are used until there
+	// are measurements. They suit a large model on one accelerator.
+	defaultPrefillRate = 40
+	defaultTurnTime    = 400 * time.Millisecond
+	// meanWeight is the weight of a new value in a running mean, which covers about the last
+	// twenty.
+	meanWeight = 0.05
 )
 
-// reading is the time to read so many tokens.
-func (f *Figures) reading(tokens int) time.Duration {
-	slope, ok := f.first.slope()
+// prefillTime estimates the time to prefill the tokens.
+func (f *Figures) prefillTime(tokens int) time.Duration {
+	slope, ok := f.firstEvent.slope()
 	if !ok {
-		slope = 1.0 / firstRate
+		slope = 1.0 / defaultPrefillRate
 	}
 	return time.Duration(slope * float64(tokens) * float64(time.Millisecond))
 }
 
-// turn is the mean time of a turn at a calm engine.
-func (f *Figures) turn() time.Duration {
-	if f.ideal == 0 {
-		return firstTurn
+// turnTime returns the mean time of a turn on a lightly loaded engine.
+func (f *Figures) turnTime() time.Duration {
+	if f.unloadedTurn == 0 {
+		return defaultTurnTime
 	}
-	return f.ideal
+	return f.unloadedTurn
 }
 
-// Turn notes how long a turn would have taken at a calm engine.
+// Turn records how long a turn would have taken on a lightly loaded engine.
 func (f *Figures) Turn(ideal time.Duration) {
-	f.ideal = mean(f.ideal, ideal)
+	f.unloadedTurn = updateMean(f.unloadedTurn, ideal)
 }
 
-// First notes the time to a first event of a turn that had so many tokens to be read.
+// First records the time to the first event of a turn that had to prefill the missing tokens.
 func (f *Figures) First(took time.Duration, missing int) {
-	f.first.add(float64(missing), float64(took)/float64(time.Millisecond))
+	f.firstEvent.add(float64(missing), float64(took)/float64(time.Millisecond))
 }
 
-// Gap notes the mean time between the events of an answer.
+// Gap records the mean time between the events of an answer.
 func (f *Figures) Gap(gap time.Duration) {
-	f.gap = mean(f.gap, gap)
+	f.gap = updateMean(f.gap, gap)
 }
 
-// Ideal is the time that a turn takes at a calm engine; zero while that is not known.
+// Ideal returns the time that a turn takes on a lightly loaded engine, zero if it is unknown.
 func (f *Figures) Ideal(missing, events int) time.Duration {
-	if _, ok := f.first.slope(); !ok || f.gap == 0 {
+	if _, ok := f.firstEvent.slope(); !ok || f.gap == 0 {
 		return 0
 	}
-	start := time.Duration(f.first.at(0) * float64(time.Millisecond))
-	return max(start, 0) + f.reading(missing) + time.Duration(max(events-1, 0))*f.gap
+	start := time.Duration(f.firstEvent.predict(0) * float64(time.Millisecond))
+	return max(start, 0) + f.prefillTime(missing) + time.Duration(max(events-1, 0))*f.gap
 }
 
-// mean folds a new time into a running mean; the first one is taken as it is.
-func mean(old, seen time.Duration) time.Duration {
+// updateMean adds a value to a running mean; the first value becomes the mean.
+func updateMean(old, seen time.Duration) time.Duration {
 	if old == 0 {
 		return seen
 	}
-	return old + time.Duration(turnGain*float64(seen-old))
+	return old + time.Duration(meanWeight*float64(seen-old))
 }
 
-// line is the straight line that fits the points seen lately best.
-type line struct{ n, x, y, xx, xy float64 }
+// linearFit is a least-squares line through recent points; older points decay exponentially.
+type linearFit struct{ n, x, y, xx, xy float64 }
 
 const (
-	// lineFade fades old points, so that about the last two hundred count.
-	lineFade = 0.995
-	// leastPoints is how many must have been seen for a slope.
-	leastPoints = 8
+	// fitDecay multiplies the weight of old points, so that about the last two hundred count.
+	fitDecay = 0.995
+	// minFitPoints is the decayed number of points from which there is a slope.
+	minFitPoints = 8
 )
 
-func (l *line) add(x, y float64) {
-	l.n = l.n*lineFade + 1
-	l.x = l.x*lineFade + x
-	l.y = l.y*lineFade + y
-	l.xx = l.xx*lineFade + x*x
-	l.xy = l.xy*lineFade + x*y
+func (l *linearFit) add(x, y float64) {
+	l.n = l.n*fitDecay + 1
+	l.x = l.x*fitDecay + x
+	l.y = l.y*fitDecay + y
+	l.xx = l.xx*fitDecay + x*x
+	l.xy = l.xy*fitDecay + x*y
 }
 
-// slope is the rise of y with x; false if there are too few points, or they show none.
-func (l *line) slope() (slope float64, ok bool) {
+// slope returns the slope of the line. It is false if there are too few points, or if the slope is
+// undefined or not positive.
+func (l *linearFit) slope() (slope float64, ok bool) {
 	spread := l.n*l.xx - l.x*l.x
-	if l.n < leastPoints || spread <= 0 {
+	if l.n < minFitPoints || spread <= 0 {
 		return 0, false
 	}
 	slope = (l.n*l.xy - l.x*l.y) / spread
 	return slope, slope > 0
 }
 
-// at is the line's y at x; the mean of all y where it has no slope.
-func (l *line) at(x float64) float64 {
+// predict returns the line's y at x, or the mean y if the slope is undefined.
+func (l *linearFit) predict(x float64) float64 {
 	if l.n == 0 {
 		return 0
 	}
--- a/gate/sched/order.go
+++ b/gate/sched/order.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Order names a way to order waiting calls of equal policy priority.
+// Order is a way to order waiting calls of equal priority.
 type Order string
 
 // The orders. Fifo is the baseline.
 const (
-	// Age serves the program that started first.
+	// Age runs the program that started first.
 	Age Order = "age"
-	// Attained serves the program that has had the least service.
+	// Attained runs the program that has received the least service.
 	Attained Order = "attained"
 	Fifo     Order = "fifo"
 )
 
-// Work is what is known of a program whose call waits.
+// Work describes the program of a waiting call.
 type Work struct {
-	// Priority is the policy's, higher first.
+	// Priority is set by the policy; higher runs first.
 	Priority int64
 	Started  time.Time
 	Arrived  time.Time
-	// Attained is the service that the program had so far, in tokens.
+	// Attained is the service that the program has received, in tokens.
 	Attained int64
 }
 
-// priorityStep separates policy priorities in an engine's priority.
+// priorityStep is the distance between two priorities in a rank, and maxPriority bounds priorities,
+// so that ranks don't overflow.
 const (
 	priorityStep = 1 << 52
 	maxPriority  = 1000
 )
 
-// Rank is one number, higher first, that boxes and engines order by.
+// Rank returns the number by which boxes and engines order waiting calls; higher runs first.
 func Rank(order Order, w Work) int64 {
 	base := max(-maxPriority, min(w.Priority, maxPriority)) * priorityStep
 	switch order {
@@ -46,7 +47,7 @@
 	}
 }
 
-// micros is the time in microseconds, cut so that it stays below priorityStep.
+// micros returns the time in microseconds, modulo priorityStep.
 func micros(t time.Time) int64 {
 	return t.UnixMicro() % priorityStep
 }
--- a/gate/sched/overload.go
+++ b/gate/sched/overload.go
@@ -5,94 +5,94 @@
 	"time"
 )
 
-// Overload is how near a service is to the load from which programs end late: by how long turns
-// take, whatever engines run short of, and by how many of the engines' places are taken.
+// Overload measures how close a service is to the load at which programs miss their deadlines, by
+// the time that turns take and by the utilization of the engines' slots.
 type Overload struct {
-	// stretch is the running mean, as of at, of how long turns take against how long they may if
-	// their programs are to end in time: 1 is all that they can bear.
-	stretch float64
-	at      time.Time
-	// taken is the part of all places that is taken, 1 and more if calls wait; negative if it is not
-	// known. lasting is its mean over takenLasting, as of takenAt.
-	taken, lasting float64
-	takenAt        time.Time
+	// slowdown is the running mean, as of slowdownAt, of the time that turns take relative to the
+	// longest with which their programs meet their deadlines: above 1 programs are late.
+	slowdown   float64
+	slowdownAt time.Time
+	// utilization is the number of calls relative to all slots: above 1 if calls wait, negative if
+	// unknown. meanUtilization is its moving average over utilizationWindow, as of utilizationAt.
+	utilization, meanUtilization float64
+	utilizationAt                time.Time
 }
 
 const (
-	// stretchGain is the weight of a new turn in the mean: some twenty turns, less than a second of
-	// a busy box.
-	stretchGain = 0.05
-	// stretchFade is the time in which the mean halves while no turn ends, so that a box which
-	// has turned all away tries again; about two turns.
-	stretchFade = 500 * time.Millisecond
-	// takenLasting is the time over which the part of places taken is averaged: longer than the
-	// bursts that engines make up for by themselves.
-	takenLasting = 5 * time.Second
-	// rankStep is how much earlier than the first rank each one below it is turned away, on all
-	// scales: what the others leave is for the more urgent. unlikelyStep is the same for programs
-	// that are unlikely to end in time.
-	rankStep     = 0.05
-	unlikelyStep = 0.4
+	// slowdownWeight is the weight of a new turn in the mean, which covers about the last twenty.
+	slowdownWeight = 0.05
+	// slowdownHalfLife is the time in which the mean halves while no turn ends, so that a box that
+	// has refused all programs admits some again.
+	slowdownHalfLife = 500 * time.Millisecond
+	// utilizationWindow is the averaging time of utilization. It is longer than bursts that engines
+	// absorb.
+	utilizationWindow = 5 * time.Second
+	// priorityPenalty is added to each load figure per step of lower priority, so that less urgent
+	// programs are refused earlier. unlikelyPenalty is added for programs that are unlikely to meet
+	// their deadline.
+	priorityPenalty = 0.05
+	unlikelyPenalty = 0.4
 )
 
-// scale bounds the range in which fewer and fewer programs begin: all up to from, none from to on.
-type scale struct{ from, to float64 }
+// admissionRange is the range of a load figure in which the share of admitted programs falls
+// linearly: all are admitted up to from, none at to and above.
+type admissionRange struct{ from, to float64 }
 
 var (
-	// stretchScale begins above 1: turns differ, and one box sees few of them, so that a fifth more
-	// than programs can bear is still chance.
-	stretchScale = scale{1.2, 1.5}
-	// takenScale is for the moment. Full places are no harm by themselves, and a queue of a tenth is
-	// gone within a tenth of a turn's time.
-	takenScale = scale{1.15, 1.3}
-	// lastingScale is for load that lasts: what engines can't make up for must not queue at all. It
-	// raises the value of the programs that end in time in a minute of more than engines can do from 0.46 to
-	// 0.52, and at twice that from 0.22 to 0.30 (gate/replay, mean of three).
-	lastingScale = scale{0.9, 1}
+	// slowdownRange starts above 1, since turns vary and a box sees few of them.
+	slowdownRange = admissionRange{1.2, 1.5}
+	// utilizationRange applies to the current utilization. It starts above 1, since full slots
+	// alone do no harm and a short queue drains quickly.
+	utilizationRange = admissionRange{1.15, 1.3}
+	// meanUtilizationRange applies to sustained load. It ends at 1, since engines never catch up
+	// with a queue that persists.
+	meanUtilizationRange = admissionRange{0.9, 1}
 )
 
-// part is how many of the programs begin, 0 to 1.
-func (s scale) part(at float64) float64 {
+// share returns the share of programs that are admitted at the load, 0 to 1.
+func (s admissionRange) share(at float64) float64 {
 	return max(0, min(1, (s.to-at)/(s.to-s.from)))
 }
 
-// Seen takes a turn's time against that at an idle engine, and how much that may be.
+// Seen records a turn. Stretch is its time relative to the time on a lightly loaded engine, and
+// allowed the largest stretch with which its program meets its deadline.
 func (p *Overload) Seen(now time.Time, stretch, allowed float64) {
-	p.stretch += stretchGain * (stretch/allowed - p.stretch)
-	p.at = now
+	p.slowdown += slowdownWeight * (stretch/allowed - p.slowdown)
+	p.slowdownAt = now
 }
 
-// Stretch is how long turns take against how long they may, as of now.
+// Stretch returns the mean time of turns relative to the allowed time, decayed until now.
 func (p *Overload) Stretch(now time.Time) float64 {
-	return p.stretch * math.Exp2(-now.Sub(p.at).Seconds()/stretchFade.Seconds())
+	return p.slowdown * math.Exp2(-now.Sub(p.slowdownAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// Reported takes the part of all places that is taken by the replicas' own reports; negative if it is
-// not known.
+// Reported records the utilization of all slots by the replicas' own reports, negative if it is
+// unknown.
 func (p *Overload) Reported(now time.Time, taken float64) {
-	p.taken = taken
+	p.utilization = taken
 	if taken < 0 {
 		return
 	}
-	weight := 1 - math.Exp(-now.Sub(p.takenAt).Seconds()/takenLasting.Seconds())
-	p.lasting += weight * (taken - p.lasting)
-	p.takenAt = now
+	weight := 1 - math.Exp(-now.Sub(p.utilizationAt).Seconds()/utilizationWindow.Seconds())
+	p.meanUtilization += weight * (taken - p.meanUtilization)
+	p.utilizationAt = now
 }
 
-// Taken is the part of all places that is taken; negative if it is not known.
+// Taken returns the last reported utilization of all slots, negative if it is unknown.
 func (p *Overload) Taken() float64 {
-	return p.taken
+	return p.utilization
 }
 
-// begin is the part of the programs of a rank that may begin, 0 to 1.
-func (p *Overload) begin(now time.Time, rank int, unlikely bool) float64 {
-	early := rankStep * float64(rank)
+// admitShare returns the share of programs of a priority that may start, 0 to 1.
+func (p *Overload) admitShare(now time.Time, priority int, unlikely bool) float64 {
+	penalty := priorityPenalty * float64(priority)
 	if unlikely {
-		early += unlikelyStep
+		penalty += unlikelyPenalty
 	}
-	part := stretchScale.part(p.Stretch(now) + early)
-	if p.taken < 0 {
-		return part
+	share := slowdownRange.share(p.Stretch(now) + penalty)
+	if p.utilization < 0 {
+		return share
 	}
-	return min(part, takenScale.part(p.taken+early), lastingScale.part(p.lasting+early))
+	return min(share, utilizationRange.share(p.utilization+penalty),
+		meanUtilizationRange.share(p.meanUtilization+penalty))
 }
--- a/gate/sched/profiles.go
+++ b/gate/sched/profiles.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// profile is what is learned of the programs of a kind.
+// profile holds the statistics of a kind of program.
 type profile struct {
-	// turns is the mean number of a program's turns one after another, zero before one was over.
-	// Those side by side count once.
+	// turns is the mean number of consecutive turns of a program, zero before one has ended. Turns
+	// that overlap count once.
 	turns float64
-	// pause is the mean time between the end of a turn and the next one of its program.
+	// pause is the mean time between the end of a turn and the start of the program's next one.
 	pause time.Duration
-	// ideal is the mean time of a turn at an engine that nothing else uses.
-	ideal time.Duration
-	// left is the mean time that programs have at their first turn, zero before any told.
-	left time.Duration
+	// unloadedTurn is the mean time of a turn on a lightly loaded engine.
+	unloadedTurn time.Duration
+	// timeLeft is the mean time until the deadline at a program's first turn, zero before any is
+	// known.
+	timeLeft time.Duration
 }
 
 const (
-	// firstPause is expected before any was seen.
-	firstPause = 100 * time.Millisecond
-	// longPause bounds a pause in means, since one is folded in.
-	longPause = 4
-	// firstStretch is how much longer than at an idle engine a turn may take before programs were
-	// seen to end: most are given one and a half to three times as long.
-	firstStretch = 1.5
-	// slackUsed is the part of what programs have beyond their need which turns may use up: half of
-	// the programs need more than the mean.
-	slackUsed = 0.7
-	// leastStretch bounds how much longer than at an idle engine a turn may take before the box
-	// begins fewer: below it engines stand idle for the noise of single turns.
-	leastStretch = 1.25
+	// initialPause is assumed before any pause is observed.
+	initialPause = 100 * time.Millisecond
+	// maxPauseFactor caps an observed pause, as a multiple of the mean, when it is added to the
+	// mean.
+	maxPauseFactor = 4
+	// defaultAllowedSlowdown applies until the time, turns and deadlines of the kind are known.
+	defaultAllowedSlowdown = 1.5
+	// usableSlack is the share of the spare time that turns may use: half of the programs need more
+	// than the mean.
+	usableSlack = 0.7
+	// minAllowedSlowdown is the least allowed slowdown; below it, the noise of single turns would
+	// leave engines idle.
+	minAllowedSlowdown = 1.25
 )
 
-// profiles holds the profiles by kind.
+// profiles holds the profiles by kind of program.
 type profiles map[string]*profile
 
-func (s profiles) of(kind string) *profile {
+func (s profiles) get(kind string) *profile {
 	k, ok := s[kind]
 	if !ok {
-		k = &profile{pause: firstPause}
+		k = &profile{pause: initialPause}
 		s[kind] = k
 	}
 	return k
 }
 
-// ended notes that a program of so many turns is over.
-func (k *profile) ended(turns int) {
+// programEnded records the number of turns of a program that has ended.
+func (k *profile) programEnded(turns int) {
 	if k.turns == 0 {
 		k.turns = float64(turns)
 	}
-	k.turns += turnGain * (float64(turns) - k.turns)
+	k.turns += meanWeight * (float64(turns) - k.turns)
 }
 
-// rested notes a pause between two turns. A long one is rather a turn that failed, and counts as a
-// few usual ones.
-func (k *profile) rested(pause time.Duration) {
-	k.pause = mean(k.pause, min(pause, longPause*k.pause))
+// addPause records a pause between two turns. Long pauses are capped, since they are usually the
+// retry of a failed turn.
+func (k *profile) addPause(pause time.Duration) {
+	k.pause = updateMean(k.pause, min(pause, maxPauseFactor*k.pause))
 }
 
-// allowed is how much longer than at an idle engine turns may take if programs of the kind are to
-// end in time.
-func (k *profile) allowed() float64 {
-	if k.left == 0 || k.ideal == 0 || k.turns == 0 {
-		return firstStretch
+// allowedSlowdown returns how much longer than on a lightly loaded engine turns may take for
+// programs of the kind to meet their deadlines.
+func (k *profile) allowedSlowdown() float64 {
+	if k.timeLeft == 0 || k.unloadedTurn == 0 || k.turns == 0 {
+		return defaultAllowedSlowdown
 	}
-	spare := float64(k.left)/k.turns - float64(k.ideal+k.pause)
-	return max(leastStretch, 1+slackUsed*spare/float64(k.ideal))
+	spare := float64(k.timeLeft)/k.turns - float64(k.unloadedTurn+k.pause)
+	return max(minAllowedSlowdown, 1+usableSlack*spare/float64(k.unloadedTurn))
 }
--- a/gate/sched/queue.go
+++ b/gate/sched/queue.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Waiting is a call that waits in a box's queue for an engine.
+// Waiting is a call in a box's queue.
 type Waiting struct {
 	Arrived time.Time
-	// Priority is the policy's, higher first.
+	// Priority is set by the policy; higher runs first.
 	Priority int64
-	// Served is what the call's workspace has been given against its share; lower goes first.
+	// Served is the service that the call's workspace has received relative to its share; lower
+	// runs first.
 	Served int64
-	// Rank is the call's place among those of equal priority and workspace, higher first.
+	// Rank orders calls of equal priority and service; higher runs first.
 	Rank int64
 }
 
-// Before reports whether a goes before b. Calls that have waited longer than starve go before all
-// others, so that a full queue of urgent ones can't keep them out.
+// Before reports whether a runs before b. Calls that have waited longer than starve run before all
+// others, oldest first, so that a queue full of urgent calls can't starve them.
 func Before(now time.Time, starve time.Duration, a, b Waiting) bool {
-	as, bs := now.Sub(a.Arrived) > starve, now.Sub(b.Arrived) > starve
+	aStarved, bStarved := now.Sub(a.Arrived) > starve, now.Sub(b.Arrived) > starve
 	switch {
-	case as != bs:
-		return as
-	case as:
+	case aStarved != bStarved:
+		return aStarved
+	case aStarved:
 		return a.Arrived.Before(b.Arrived)
 	case a.Priority != b.Priority:
 		return a.Priority > b.Priority
@@ -31,20 +32,20 @@
 	}
 }
 
-// retryLeast bounds the advice of early refusals from below: sooner no place has come free.
-const retryLeast = 100 * time.Millisecond
+// minQueueRetry is the least retry delay of a call that is refused before it is queued.
+const minQueueRetry = 100 * time.Millisecond
 
-// Queue is what is known of a queue as to a call that would enter it.
+// Queue is the state of a queue as a call finds it on arrival.
 type Queue struct {
-	// Before is the number of calls that go before it, Places the engines' places, and Service the
-	// mean time that a call holds one.
+	// Before is the number of calls ahead, Places the number of the engines' slots, and Service the
+	// mean time that a call occupies one.
 	Before, Places int
 	Service        time.Duration
-	// Backlog is the time for which the least busy engine has work queued of its own.
+	// Backlog is the time for which the least busy engine has queued work of its own.
 	Backlog time.Duration
 }
 
-// Wait is how long the call is expected to wait.
+// Wait returns the expected wait of the call, zero if no engine's slots are known.
 func (q Queue) Wait() time.Duration {
 	if q.Places == 0 {
 		return 0
@@ -52,28 +53,31 @@
 	return time.Duration(q.Before)*q.Service/time.Duration(q.Places) + q.Backlog
 }
 
-// Early is a decision on a call that asks to enter a queue.
+// Early is the decision on a call that is to be queued.
 type Early int
 
 // The decisions.
 const (
-	// Enter lets it wait for a place.
+	// Enter queues the call.
 	Enter Early = iota
-	// NotBegun turns a program away that has not begun: it would wait longer than new ones may.
+	// NotBegun refuses a call of a program that has not started, since it would wait longer than
+	// allowed.
 	NotBegun
-	// TooLate turns a call away that could not be served before its deadline.
+	// TooLate refuses a call that could not run before its deadline.
 	TooLate
 )
 
-// Decide decides on a call, and tells one that is turned away when to come again. Fresh says that its
-// program has not begun; those may wait for most at the longest.
-func (q Queue) Decide(now, deadline time.Time, fresh bool, most time.Duration) (decision Early, after time.Duration) {
+// Decide decides on a call, and returns the retry delay of one that is refused. A call of a program
+// that has not started is refused if it would wait longer than maxWait.
+func (q Queue) Decide(
+	now, deadline time.Time, newProgram bool, maxWait time.Duration,
+) (decision Early, after time.Duration) {
 	wait := q.Wait()
-	if fresh && wait > most {
-		return NotBegun, max(wait-most, retryLeast)
+	if newProgram && wait > maxWait {
+		return NotBegun, max(wait-maxWait, minQueueRetry)
 	}
 	if now.Add(wait).After(deadline) {
-		return TooLate, max(wait, retryLeast)
+		return TooLate, max(wait, minQueueRetry)
 	}
 	return Enter, 0
 }
--- a/gate/sched/queue_test.go
+++ b/gate/sched/queue_test.go
@@ -8,10 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOrderOfWaitingCalls checks that calls go by priority, then by their workspaces' shares, then by
-// rank, and that one which has waited too long goes before all.
-func TestOrderOfWaitingCalls(t *testing.T) {
-	now := begun
+// TestBefore checks the order of calls: starved ones first, then by priority, workspace share and
+// rank.
+func TestBefore(t *testing.T) {
+	now := testStart
 	calls := map[string]Waiting{
 		"starved":  {Arrived: now.Add(-3 * time.Second)},
 		"urgent":   {Arrived: now, Priority: 2, Served: 9},
@@ -32,9 +32,8 @@
 	}
 }
 
-// TestEarlyRefusals checks which calls are turned away before they wait, and when they are told to
-// come again.
-func TestEarlyRefusals(t *testing.T) {
+// TestQueueDecide checks which calls are refused before they are queued, and their retry delays.
+func TestQueueDecide(t *testing.T) {
 	full := Queue{Before: 40, Places: 10, Service: 500 * time.Millisecond, Backlog: 100 * time.Millisecond}
 	cases := []struct {
 		name  string
@@ -44,16 +43,16 @@
 		want  Early
 		after time.Duration
 	}{
-		{"room", Queue{Places: 10, Service: time.Second}, time.Second, true, Enter, 0},
-		{"no engine is known", Queue{Before: 5, Backlog: time.Hour}, time.Second, true, Enter, 0},
-		{"under way", full, 3 * time.Second, false, Enter, 0},
-		{"not begun", full, 3 * time.Second, true, NotBegun, 1100 * time.Millisecond},
-		{"no time", full, 2 * time.Second, false, TooLate, 2100 * time.Millisecond},
+		{"free slots", Queue{Places: 10, Service: time.Second}, time.Second, true, Enter, 0},
+		{"no known engine", Queue{Before: 5, Backlog: time.Hour}, time.Second, true, Enter, 0},
+		{"running program", full, 3 * time.Second, false, Enter, 0},
+		{"new program", full, 3 * time.Second, true, NotBegun, 1100 * time.Millisecond},
+		{"deadline too near", full, 2 * time.Second, false, TooLate, 2100 * time.Millisecond},
 	}
 	for _, c := range cases {
-		got, after := c.queue.Decide(begun, begun.Add(c.left), c.fresh, time.Second)
+		got, after := c.queue.Decide(testStart, testStart.Add(c.left), c.fresh, time.Second)
 		if got != c.want || after != c.after {
-			t.Errorf("%s: decision %d, come again after %v", c.name, got, after)
+			t.Errorf("%s: decision %d, retry after %v", c.name, got, after)
 		}
 	}
 }
