--- a/gate/load/doc.go
+++ b/gate/load/doc.go
@@ -1,3 +1,3 @@
-// Package load finds out how busy model replicas are. One box of an availability zone asks
-// each replica there and tells the others, so that the questions stay few.
+// Package load collects the load of model replicas. One box of an availability zone polls each
+// replica and forwards the result to the others, which limits the number of polls.
 package load
--- a/gate/load/load.go
+++ b/gate/load/load.go
@@ -17,55 +17,56 @@
 )
 
 const (
-	// tickEvery is the time between two looks at which replicas are due.
-	tickEvery = 300 * time.Millisecond
-	// calmEvery is the time between two questions to a replica that is not busy. A question
-	// has its price, and an idle replica needs none.
-	calmEvery = 1500 * time.Millisecond
-	// busyShare of a replica's places makes it busy.
+	// tickInterval is the interval at which replicas are checked for a due poll.
+	tickInterval = 300 * time.Millisecond
+	// idlePollInterval is the poll interval of a replica that is not busy; a busy one is polled at
+	// every tick.
+	idlePollInterval = 1500 * time.Millisecond
+	// busyShare is the share of a replica's slots in use from which it is busy.
 	busyShare = 0.2
-	// askWait bounds one question.
-	askWait = 250 * time.Millisecond
-	// maxDatagram bounds a message, in bytes.
+	// pollTimeout bounds one poll.
+	pollTimeout = 250 * time.Millisecond
+	// maxDatagram is the size of the receive buffer for a message, in bytes.
 	maxDatagram = 512
 )
 
-// Reporter asks a replica how busy it is.
+// Reporter gets a replica's load from the replica.
 type Reporter interface {
 	Report(ctx context.Context, rep work.Replica) (work.Load, error)
 }
 
-// Targets holds what is believed of replicas.
+// Targets holds the state of replicas as this box knows it.
 type Targets interface {
-	// Models returns the model replicas of this box's zone that take work and of which it needs reports.
+	// Models returns the model replicas in this box's availability zone that accept work and whose
+	// load this box needs.
 	Models() []work.Replica
-	// Loaded takes the load of a replica.
+	// Loaded updates the load of a replica.
 	Loaded(id string, load work.Load)
-	// Failing takes another box's word that a replica fails a share of its calls.
+	// Failing updates the share of calls that a replica fails, as reported by another box.
 	Failing(id string, share float64)
 }
 
-// Boxes tells who needs to hear of replicas.
+// Boxes returns the boxes that need reports on replicas.
 type Boxes interface {
 	Live() []work.Box
 	// Placing returns the boxes of this box's availability zone that place turns.
 	Placing() []work.Box
-	// Knows reports whether the box knows the replica.
+	// Knows reports whether the box has the replica in its subset.
 	Knows(box work.Box, rep work.Replica) bool
 	// All reports whether all boxes know the replica.
 	All(rep work.Replica) bool
 }
 
-// message is what boxes tell each other of a replica.
+// message is a report on a replica from one box to another.
 type message struct {
 	Replica string `json:"replica"`
-	// Load is nil in a word on failures.
+	// Load is nil in a report on failures.
 	Load *work.Load `json:"load,omitempty"`
-	// Failing is the share of calls that the replica failed lately at the box that tells.
+	// Failing is the share of recent calls that the replica failed at the sending box.
 	Failing float64 `json:"failing,omitempty"`
 }
 
-// Watch is the service.
+// Watch polls replicas for their load and exchanges reports with other boxes.
 type Watch struct {
 	self     work.Box
 	reporter Reporter
@@ -77,22 +78,22 @@
 	done     sync.WaitGroup
 
 	mu sync.Mutex
-	// asked tells of the last question to each replica of the zone.
-	asked map[string]question
+	// polls holds the last poll of each replica in the availability zone, by replica ID.
+	polls map[string]poll
 }
 
-// question is one to a replica.
-type question struct {
+// poll describes the last poll of a replica.
+type poll struct {
 	at time.Time
-	// calm says that the replica was not busy.
-	calm bool
+	// idle is set if the replica was not busy.
+	idle bool
 }
 
-// New makes a watch that does not run yet.
+// New returns a Watch that is not started.
 func New(self work.Box, reporter Reporter, targets Targets, boxes Boxes, log *slog.Logger) *Watch {
 	return &Watch{
 		self: self, reporter: reporter, targets: targets, boxes: boxes, log: log,
-		asked: map[string]question{},
+		polls: map[string]poll{},
 	}
 }
 
@@ -100,12 +101,12 @@
 func (w *Watch) Start(context.Context) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(w.self.Peer))
 	if err != nil {
-		return fault.Refuse(fault.BadSettings, "cannot take datagrams on "+w.self.Peer.String()).Because(err)
+		return fault.Refuse(fault.BadSettings, "cannot listen for datagrams on "+w.self.Peer.String()).Because(err)
 	}
 	w.conn = conn
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
-	w.done.Go(func() { kernel.Every(ctx, tickEvery, func() { w.look(ctx) }) })
+	w.done.Go(func() { kernel.Every(ctx, tickInterval, func() { w.pollDue(ctx) }) })
 	w.done.Go(w.listen)
 	return nil
 }
@@ -118,26 +119,28 @@
 	return err
 }
 
-// look asks the replicas that are this box's to ask and are due: of the boxes that place turns there, one asks and tells
-// the others. In a large fleet most boxes place none, and need not hear how busy a replica is.
-func (w *Watch) look(ctx context.Context) {
+// pollDue polls the replicas that are due and that this box is to poll. Of the boxes that place
+// turns on a replica, one polls it and sends the load to the others. Boxes that place no turns need
+// no load reports.
+func (w *Watch) pollDue(ctx context.Context) {
 	placing := w.boxes.Placing()
 	if !slices.ContainsFunc(placing, func(box work.Box) bool { return box.Name == w.self.Name }) {
 		return
 	}
 	models := w.targets.Models()
-	w.keep(models)
+	w.forgetRemoved(models)
 	for _, rep := range models {
-		knowing := w.knowing(placing, rep)
-		if w.asks(rep, knowing) && w.due(rep.ID) {
-			w.done.Go(func() { w.ask(ctx, rep, knowing) })
+		recipients := w.boxesKnowing(placing, rep)
+		if w.isPoller(rep, recipients) && w.due(rep.ID) {
+			w.done.Go(func() { w.poll(ctx, rep, recipients) })
 		}
 	}
 }
 
-// asks reports whether this box asks the replica: one of the boxes that know it does, or, where few know it, each that
-// needs to hear of it.
-func (w *Watch) asks(rep work.Replica, knowing []work.Box) bool {
+// isPoller reports whether this box polls the replica. If all boxes know the replica, rendezvous
+// hashing selects one of the given boxes; otherwise each box that needs the load polls the replica
+// itself.
+func (w *Watch) isPoller(rep work.Replica, knowing []work.Box) bool {
 	if !w.boxes.All(rep) {
 		return true
 	}
@@ -148,8 +151,8 @@
 	return ident.Winner(rep.ID, names) == w.self.Name
 }
 
-// knowing are those of the boxes that know the replica.
-func (w *Watch) knowing(boxes []work.Box, rep work.Replica) []work.Box {
+// boxesKnowing returns those of the boxes that know the replica.
+func (w *Watch) boxesKnowing(boxes []work.Box, rep work.Replica) []work.Box {
 	var knowing []work.Box
 	for _, box := range boxes {
 		if w.boxes.Knows(box, rep) {
@@ -162,69 +165,71 @@
 func (w *Watch) due(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	last := w.asked[id]
-	if last.calm && time.Since(last.at) < calmEvery {
+	last := w.polls[id]
+	if last.idle && time.Since(last.at) < idlePollInterval {
 		return false
 	}
 	last.at = time.Now()
-	w.asked[id] = last
+	w.polls[id] = last
 	return true
 }
 
-// keep forgets replicas that are gone.
-func (w *Watch) keep(models []work.Replica) {
+// forgetRemoved deletes the polls of removed replicas, once there are more than twice as many polls
+// as replicas.
+func (w *Watch) forgetRemoved(models []work.Replica) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.asked) <= 2*len(models) {
+	if len(w.polls) <= 2*len(models) {
 		return
 	}
 	listed := map[string]bool{}
 	for _, rep := range models {
 		listed[rep.ID] = true
 	}
-	for id := range w.asked {
+	for id := range w.polls {
 		if !listed[id] {
-			delete(w.asked, id)
+			delete(w.polls, id)
 		}
 	}
 }
 
-func (w *Watch) ask(ctx context.Context, rep work.Replica, knowing []work.Box) {
-	ctx, stop := context.WithTimeout(ctx, askWait)
+func (w *Watch) poll(ctx context.Context, rep work.Replica, recipients []work.Box) {
+	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	got, err := w.reporter.Report(ctx, rep)
+	load, err := w.reporter.Report(ctx, rep)
 	if err != nil {
-		w.log.Debug("load: replica does not report", "replica", rep.ID, "cause", err)
+		w.log.Debug("load: cannot get load of replica", "replica", rep.ID, "cause", err)
 		return
 	}
 	w.mu.Lock()
-	w.asked[rep.ID] = question{at: w.asked[rep.ID].at, calm: float64(got.Running+got.Waiting) < busyShare*float64(rep.Slots)}
+	w.polls[rep.ID] = poll{at: w.polls[rep.ID].at, idle: float64(load.Running+load.Waiting) < busyShare*float64(rep.Slots)}
 	w.mu.Unlock()
-	w.targets.Loaded(rep.ID, got)
-	w.tellAll(knowing, message{Replica: rep.ID, Load: &got})
+	w.targets.Loaded(rep.ID, load)
+	w.sendAll(recipients, message{Replica: rep.ID, Load: &load})
 }
 
-// Tell has all boxes that know a replica hear that it fails a share of its calls. It does not wait.
+// Tell sends the share of calls that a replica fails to all live boxes that know the replica. It
+// does not wait.
 func (w *Watch) Tell(rep work.Replica, share float64) {
-	go w.tellAll(w.knowing(w.boxes.Live(), rep), message{Replica: rep.ID, Failing: share})
+	go w.sendAll(w.boxesKnowing(w.boxes.Live(), rep), message{Replica: rep.ID, Failing: share})
 }
 
-func (w *Watch) tellAll(boxes []work.Box, msg message) {
+func (w *Watch) sendAll(boxes []work.Box, msg message) {
 	raw, err := json.Marshal(msg)
 	if err != nil {
-		w.log.Error("load: report does not encode", "cause", err)
+		w.log.Error("load: cannot encode report", "cause", err)
 		return
 	}
 	for _, box := range boxes {
 		if box.Name != w.self.Name {
-			w.tell(box.Peer, raw)
+			w.send(box.Peer, raw)
 		}
 	}
 }
 
-func (w *Watch) tell(to netip.AddrPort, raw []byte) {
+func (w *Watch) send(to netip.AddrPort, raw []byte) {
 	if _, err := w.conn.WriteToUDPAddrPort(raw, to); err != nil {
-		w.log.Debug("load: report not told", "to", to.String(), "cause", err)
+		w.log.Debug("load: cannot send report", "to", to.String(), "cause", err)
 	}
 }
 
@@ -233,7 +238,7 @@
 	for {
 		n, from, err := w.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			return // the socket was closed at the stop
+			return // Stop has closed the socket, or it has failed
 		}
 		var msg message
 		if err := json.Unmarshal(buf[:n], &msg); err != nil {
--- a/gate/load/load_test.go
+++ b/gate/load/load_test.go
@@ -17,27 +17,27 @@
 	"mulleingate.dev/gate/work"
 )
 
-// beliefs is what one box believes of replicas.
-type beliefs struct {
+// fakeTargets records the reports that one box receives.
+type fakeTargets struct {
 	mu      sync.Mutex
 	models  []work.Replica
 	loads   map[string]work.Load
 	failing map[string]float64
 }
 
-func (b *beliefs) Models() []work.Replica { return b.models }
-func (b *beliefs) Loaded(id string, load work.Load) {
+func (b *fakeTargets) Models() []work.Replica { return b.models }
+func (b *fakeTargets) Loaded(id string, load work.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loads[id] = load
 }
-func (b *beliefs) Failing(id string, share float64) {
+func (b *fakeTargets) Failing(id string, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failing[id] = share
 }
 
-// fleet is boxes of which those of zone z place turns.
+// fleet is a list of boxes, of which those in zone z place turns.
 type fleet []work.Box
 
 func (f fleet) Live() []work.Box { return f }
@@ -48,7 +48,7 @@
 
 func (f fleet) All(work.Replica) bool { return true }
 
-// Knows has the boxes whose names begin with "un" know no replica.
+// Knows reports false for boxes whose names begin with "un".
 func (f fleet) Knows(box work.Box, _ work.Replica) bool { return !strings.HasPrefix(box.Name, "un") }
 
 type reporter struct{}
@@ -57,7 +57,7 @@
 	return work.Load{Running: 3, Waiting: 1}, nil
 }
 
-// freePort finds a port of loopback for datagrams.
+// freePort returns a free UDP port on the loopback interface.
 func freePort(t *testing.T) netip.AddrPort {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -68,17 +68,18 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// TestBoxesTellEachOther checks that a report reaches the boxes of the zone that know the replica, and a word on
-// failures all boxes that do; what is no message is passed over.
-func TestBoxesTellEachOther(t *testing.T) {
+// TestReportsReachBoxes checks that a load report reaches the boxes of the zone that know the
+// replica, that a failure report reaches all boxes that do, and that malformed messages are
+// ignored.
+func TestReportsReachBoxes(t *testing.T) {
 	boxes := fleet{
 		{Name: "a", Zone: "z", Peer: freePort(t)}, {Name: "b", Zone: "z", Peer: freePort(t)}, {Name: "c", Zone: "y", Peer: freePort(t)},
 		{Name: "unaware", Zone: "z", Peer: freePort(t)},
 	}
-	all := map[string]*beliefs{}
+	all := map[string]*fakeTargets{}
 	watches := map[string]*Watch{}
 	for _, box := range boxes {
-		b := &beliefs{loads: map[string]work.Load{}, failing: map[string]float64{}}
+		b := &fakeTargets{loads: map[string]work.Load{}, failing: map[string]float64{}}
 		if box.Zone == "z" {
 			b.models = []work.Replica{{ID: "r", Slots: 8}}
 		}
@@ -89,7 +90,7 @@
 		defer func() { _ = w.Stop(context.Background()) }() // it only closes a socket
 		all[box.Name], watches[box.Name] = b, w
 	}
-	watches["a"].tell(boxes[2].Peer, []byte("{"))
+	watches["a"].send(boxes[2].Peer, []byte("{"))
 	watches["a"].Tell(work.Replica{ID: "r"}, 0.5)
 	wants := map[string]string{"a": "load", "b": "load failing", "c": "failing", "unaware": ""}
 	var got map[string]string
@@ -97,16 +98,16 @@
 		time.Sleep(50 * time.Millisecond)
 		got = map[string]string{}
 		for name, b := range all {
-			got[name] = b.heard()
+			got[name] = b.received()
 		}
 		if cmp.Equal(wants, got) {
 			return
 		}
 	}
-	t.Errorf("heard (-want +got):\n%s", cmp.Diff(wants, got))
+	t.Errorf("reports received (-want +got):\n%s", cmp.Diff(wants, got))
 }
 
-func (b *beliefs) heard() string {
+func (b *fakeTargets) received() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	text := ""
