--- a/gate/subset/doc.go
+++ b/gate/subset/doc.go
@@ -1,4 +1,4 @@
-// Package subset decides which replicas of a large fleet a box knows: a part that depends on the box's name, so that
-// what a box keeps, hears and looks at does not grow with the fleet, and each replica is known by some boxes of each
-// availability zone.
+// Package subset selects the replicas of a large fleet that a box knows. The selection depends on
+// the box's name. It keeps a box's state and message traffic independent of the size of the fleet,
+// while each replica is known to some boxes of every availability zone.
 package subset
--- a/gate/subset/subset.go
+++ b/gate/subset/subset.go
@@ -3,50 +3,55 @@
 import "mulleingate.dev/base/ident"
 
 const (
-	// leastReplicas of a service in one availability zone are known to a box: more than its callers and its slots
-	// keep busy, with a quarter of them stopped, replaced or slow.
-	leastReplicas = 48
-	// leastBoxes of an availability zone know a replica: enough that each place can be taken while some of the boxes
-	// are stopped in turn.
-	leastBoxes = 8
-	// most and least are how far a part may grow or shrink, in leastReplicas, before it is drawn anew. A part that was
-	// drawn for every few replicas that come and go would be read anew each time.
-	most  = 2.5
-	least = 0.6
+	// minReplicas is the least average number of replicas of a service in one availability zone
+	// that a box knows when a level is drawn, if there are as many: enough for its callers and
+	// slots while a quarter of them is stopped, replaced or slow.
+	minReplicas = 48
+	// minBoxes is the least average number of boxes of an availability zone that know a replica
+	// when a level is drawn, if there are as many: enough to use each place while some boxes
+	// restart.
+	minBoxes = 8
+	// maxSizeFactor and minSizeFactor bound the size of a subset, as multiples of minReplicas,
+	// within which its level stays. This avoids drawing and loading subsets anew for every few
+	// replicas that come and go.
+	maxSizeFactor = 2.5
+	minSizeFactor = 0.6
 	// weightBits is the length of a rendezvous weight.
 	weightBits = 64
 )
 
-// Group names the replicas of a service in an availability zone.
+// Group returns the name of the group of a service's replicas in an availability zone.
 func Group(service, zone string) string {
 	return service + "@" + zone
 }
 
-// Level is how often the replicas of a group are halved: a box knows one in 2^level of them. Boxes is the number of boxes
-// of its availability zone.
+// Level returns how many times the replicas of a group are halved: a box knows on average one in
+// 2^level of them. Boxes is the number of boxes in its availability zone.
 func Level(replicas, boxes int) int {
 	level := 0
-	for replicas>>(level+1) >= leastReplicas && boxes>>(level+1) >= leastBoxes {
+	for replicas>>(level+1) >= minReplicas && boxes>>(level+1) >= minBoxes {
 		level++
 	}
 	return level
 }
 
-// Fits reports that a part which was drawn at the level still has a fair size.
+// Fits reports whether a level drawn earlier may stay: it still equals Level, or the average size
+// of a subset is within the bounds.
 func Fits(replicas, boxes, level int) bool {
-	right := Level(replicas, boxes)
-	part := float64(replicas) / float64(int(1)<<level)
+	wanted := Level(replicas, boxes)
+	size := float64(replicas) / float64(int(1)<<level)
 	switch {
-	case level < right:
-		return part <= most*leastReplicas
-	case level > right:
-		return part >= least*leastReplicas
+	case level < wanted:
+		return size <= maxSizeFactor*minReplicas
+	case level > wanted:
+		return size >= minSizeFactor*minReplicas
 	default:
 		return true
 	}
 }
 
-// Levels are those of all groups, by their names; a group without one is known whole.
+// Levels holds the levels of groups by name. Every box knows all replicas of a group without a
+// level.
 type Levels map[string]int
 
 // Holds reports whether the box knows the replica of the group.
