--- a/gate/replay/doc.go
+++ b/gate/replay/doc.go
@@ -1,3 +1,3 @@
-// Package replay plays load patterns against the decisions of a fleet, on the test clock:
-// programs with turns, pauses, tools and sub-agents, before emulated engines. It holds tests only.
+// Package replay runs load patterns against a fleet's scheduling decisions: programs with turns,
+// pauses, tools and sub-agents, on emulated engines and a fake clock. It holds only tests.
 package replay
--- a/gate/replay/engine_test.go
+++ b/gate/replay/engine_test.go
@@ -9,63 +9,67 @@
 	"mulleingate.dev/gate/work"
 )
 
-// model is what an engine can do.
-type model struct {
+// engineSpec is the capacity and speed of an engine.
+type engineSpec struct {
 	slots, queue int
-	// rate is prompt tokens read in a millisecond; chunk the most read in one step.
-	rate, chunk int
-	// step is the time of one token, and perSlot what each call that runs adds.
-	step, perSlot time.Duration
-	// memory is the tokens kept for prompts to come.
-	memory int
-	// stride is the tokens of an event.
+	// prefillRate is the number of prompt tokens prefilled in a millisecond; prefillChunk is the
+	// most in one step.
+	prefillRate, prefillChunk int
+	// step is the time of a decoding step without calls, and stepPerCall what each running call
+	// adds to it.
+	step, stepPerCall time.Duration
+	// cacheSize is the size of the prompt cache, in tokens.
+	cacheSize int
+	// stride is the number of tokens in an event.
 	stride int
 }
 
-// run is one call at an engine.
-type run struct {
-	// parent is the line that a sub-agent's begins with; empty for others.
-	line, parent, part string
-	// shared is the tokens of the part that prompts share; prompt all of them.
+// engineCall is one call at an engine.
+type engineCall struct {
+	// parent is the conversation whose prompt a sub-agent's begins with, empty for others.
+	conversation, parent, prefix string
+	// shared is the length of the prefix that all programs of the kind share, prompt that of the
+	// whole prompt, in tokens.
 	shared, prompt int
-	// missing is what is still to be read, tokens what is still to be made.
+	// missing is the number of prompt tokens still to be prefilled, tokens the length of the
+	// answer.
 	missing, tokens int
 	// first is closed at the first event, done at the last.
 	first, done chan struct{}
-	gone        bool
-	made        int
+	canceled    bool
+	generated   int
 }
 
-// kept is a piece of a prompt in an engine's memory.
-type kept struct {
-	tokens int
-	used   time.Time
+// cacheEntry is a cached prompt prefix.
+type cacheEntry struct {
+	tokens   int
+	lastUsed time.Time
 }
 
-// engine emulates continuous batching: calls begin in order of arrival, prompts are read in pieces
-// between the tokens of the others, and what was read is kept while there is memory.
+// engine emulates continuous batching. Calls start in order of arrival, prompts are prefilled in
+// chunks between the decoding steps of other calls, and prefixes are cached with LRU eviction.
 type engine struct {
-	model
+	engineSpec
 	rep  work.Replica
 	wake chan struct{}
 
 	mu sync.Mutex
-	// slow stretches all that it does.
-	slow             float64
-	waiting, running []*run
-	memoryOf         map[string]kept
-	// read counts the prompt tokens read.
-	read int
+	// stepFactor multiplies the time of each step.
+	stepFactor       float64
+	waiting, running []*engineCall
+	cache            map[string]cacheEntry
+	// prefilled counts the prompt tokens prefilled.
+	prefilled int
 }
 
-func newEngine(rep work.Replica, m model) *engine {
-	return &engine{model: m, rep: rep, slow: 1, memoryOf: map[string]kept{}, wake: make(chan struct{}, 1)}
+func newEngine(rep work.Replica, spec engineSpec) *engine {
+	return &engine{engineSpec: spec, rep: rep, stepFactor: 1, cache: map[string]cacheEntry{}, wake: make(chan struct{}, 1)}
 }
 
 // loop runs the engine until ctx ends.
 func (e *engine) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		step := e.begin()
+		step := e.startStep()
 		if step == 0 {
 			select {
 			case <-e.wake:
@@ -74,111 +78,111 @@
 			continue
 		}
 		time.Sleep(step)
-		e.advance()
+		e.finishStep()
 	}
 }
 
-// begin lets calls in and returns the time of the next step; zero if nothing runs.
-func (e *engine) begin() time.Duration {
+// startStep starts waiting calls and returns the time of the next step, zero if no call runs.
+func (e *engine) startStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.letIn()
+	e.startWaiting()
 	if len(e.running) == 0 {
 		return 0
 	}
-	return time.Duration(e.slow * float64(e.plan()))
+	return time.Duration(e.stepFactor * float64(e.prefill()))
 }
 
-func (e *engine) letIn() {
+func (e *engine) startWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < e.slots {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if next.gone {
+		if next.canceled {
 			continue
 		}
-		next.missing = max(1, next.prompt-e.held(next))
+		next.missing = max(1, next.prompt-e.cachedTokens(next))
 		e.running = append(e.running, next)
 	}
 }
 
-// held is how much of the prompt is in memory.
-func (e *engine) held(r *run) int {
-	if have, ok := e.memoryOf[r.line]; ok {
-		return min(have.tokens, r.prompt)
+// cachedTokens returns how much of the call's prompt is cached.
+func (e *engine) cachedTokens(r *engineCall) int {
+	if entry, ok := e.cache[r.conversation]; ok {
+		return min(entry.tokens, r.prompt)
 	}
-	if have, ok := e.memoryOf[r.parent]; ok {
-		return min(have.tokens, r.prompt)
+	if entry, ok := e.cache[r.parent]; ok {
+		return min(entry.tokens, r.prompt)
 	}
-	if have, ok := e.memoryOf[r.part]; ok {
-		return min(have.tokens, r.shared)
+	if entry, ok := e.cache[r.prefix]; ok {
+		return min(entry.tokens, r.shared)
 	}
 	return 0
 }
 
-// plan reads a piece of prompts and returns the time that the step takes.
-func (e *engine) plan() time.Duration {
-	left := e.chunk
+// prefill assigns the next chunk of prompt tokens and returns the time that the step takes.
+func (e *engine) prefill() time.Duration {
+	left := e.prefillChunk
 	for _, r := range e.running {
 		n := min(left, r.missing)
 		r.missing -= n
 		left -= n
 	}
-	read := e.chunk - left
-	e.read += read
-	took := e.step + time.Duration(len(e.running))*e.perSlot
-	return took + time.Duration(read)*time.Millisecond/time.Duration(e.rate)
+	tokens := e.prefillChunk - left
+	e.prefilled += tokens
+	stepTime := e.step + time.Duration(len(e.running))*e.stepPerCall
+	return stepTime + time.Duration(tokens)*time.Millisecond/time.Duration(e.prefillRate)
 }
 
-func (e *engine) advance() {
+func (e *engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	still := e.running[:0]
+	running := e.running[:0]
 	for _, r := range e.running {
-		if r.gone {
+		if r.canceled {
 			continue
 		}
 		if r.missing > 0 {
-			still = append(still, r)
+			running = append(running, r)
 			continue
 		}
-		r.made++
-		if r.made == e.stride {
+		r.generated++
+		if r.generated == e.stride {
 			close(r.first)
 		}
-		if r.made < r.tokens {
-			still = append(still, r)
+		if r.generated < r.tokens {
+			running = append(running, r)
 			continue
 		}
-		e.keep(r.part, r.shared)
-		e.keep(r.line, r.prompt+r.tokens)
+		e.cachePrefix(r.prefix, r.shared)
+		e.cachePrefix(r.conversation, r.prompt+r.tokens)
 		close(r.done)
 	}
-	e.running = still
+	e.running = running
 }
 
-func (e *engine) keep(name string, tokens int) {
-	e.memoryOf[name] = kept{tokens: tokens, used: time.Now()}
+func (e *engine) cachePrefix(name string, tokens int) {
+	e.cache[name] = cacheEntry{tokens: tokens, lastUsed: time.Now()}
 	sum := 0
-	for _, k := range e.memoryOf {
-		sum += k.tokens
+	for _, entry := range e.cache {
+		sum += entry.tokens
 	}
-	for sum > e.memory {
+	for sum > e.cacheSize {
 		oldest := ""
-		for at, k := range e.memoryOf {
-			if oldest == "" || k.used.Before(e.memoryOf[oldest].used) {
-				oldest = at
+		for key, entry := range e.cache {
+			if oldest == "" || entry.lastUsed.Before(e.cache[oldest].lastUsed) {
+				oldest = key
 			}
 		}
-		sum -= e.memoryOf[oldest].tokens
-		delete(e.memoryOf, oldest)
+		sum -= e.cache[oldest].tokens
+		delete(e.cache, oldest)
 	}
 }
 
-// send runs the call and calls first at its first event. A fault with NotRun means that the queue is
-// full.
-func (e *engine) send(ctx context.Context, r *run, patience time.Duration, first func()) error {
-	if !e.take(r) {
-		return fault.Refuse(fault.Overloaded, "the engine is full")
+// send runs the call, and calls first at its first event. It returns a fault with NotRun if the
+// queue is full.
+func (e *engine) send(ctx context.Context, r *engineCall, firstEventTimeout time.Duration, first func()) error {
+	if !e.enqueue(r) {
+		return fault.Refuse(fault.Overloaded, "the engine's queue is full")
 	}
 	select {
 	case e.wake <- struct{}{}:
@@ -187,31 +191,31 @@
 	select {
 	case <-r.first:
 		first()
-	case <-time.After(patience):
-		e.drop(r)
-		return fault.Fail(fault.CallerGone, "no event came")
+	case <-time.After(firstEventTimeout):
+		e.cancel(r)
+		return fault.Fail(fault.CallerGone, "no event arrived in time")
 	case <-ctx.Done():
-		e.drop(r)
-		return fault.Fail(fault.TimedOut, "the time is over")
+		e.cancel(r)
+		return fault.Fail(fault.TimedOut, "the deadline has passed")
 	}
 	select {
 	case <-r.done:
 		return nil
 	case <-ctx.Done():
-		e.drop(r)
-		return fault.Fail(fault.TimedOut, "the time is over")
+		e.cancel(r)
+		return fault.Fail(fault.TimedOut, "the deadline has passed")
 	}
 }
 
-// slowDown stretches all that the engine does from now on.
-func (e *engine) slowDown(by float64) {
+// slowDown sets the factor by which all later steps take longer.
+func (e *engine) slowDown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = by
+	e.stepFactor = factor
 }
 
-// take queues the call, unless the queue is full.
-func (e *engine) take(r *run) bool {
+// enqueue queues the call, unless the queue is full.
+func (e *engine) enqueue(r *engineCall) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) >= e.queue {
@@ -222,18 +226,18 @@
 	return true
 }
 
-func (e *engine) drop(r *run) {
+func (e *engine) cancel(r *engineCall) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r.gone = true
+	r.canceled = true
 }
 
 func (e *engine) load() work.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	used := 0
-	for _, k := range e.memoryOf {
-		used += k.tokens
+	for _, entry := range e.cache {
+		used += entry.tokens
 	}
-	return work.Load{Running: len(e.running), Waiting: len(e.waiting), Used: used, Total: e.memory}
+	return work.Load{Running: len(e.running), Waiting: len(e.waiting), Used: used, Total: e.cacheSize}
 }
--- a/gate/replay/fleet_test.go
+++ b/gate/replay/fleet_test.go
@@ -18,22 +18,23 @@
 
 const (
 	service = "engines"
-	// reportEvery and reportLag are how often an engine's load is asked for, and how old the answer is.
+	// reportEvery is the interval of an engine's load reports, and reportLag their age on arrival.
 	reportEvery = 300 * time.Millisecond
 	reportLag   = 100 * time.Millisecond
 )
 
-// size is a fleet's.
-type size struct {
-	// boxes is the number of boxes, and owners how many of them own programs and place their calls.
+// fleetSize describes the boxes of a fleet.
+type fleetSize struct {
+	// boxes is the number of boxes, and owners the number of those that own programs and place
+	// their calls.
 	boxes, owners int
 	zones         int
-	// placers is the number of boxes that a box takes to place calls as it does; zero for what sched.Placers says.
+	// placers is the number of placing boxes that each box is told, or zero to use sched.Placers.
 	placers int
 }
 
-// counted is what a box is told of that.
-func (s size) counted() int {
+// placerCount returns the number of placing boxes that each box is told.
+func (s fleetSize) placerCount() int {
 	if s.placers > 0 {
 		return s.placers
 	}
@@ -41,16 +42,16 @@
 	return sched.Placers(near, s.owners-near)
 }
 
-// zone is the availability zone of the i-th box or engine.
-func (s size) zone(i int) string {
+// zone returns the availability zone of the i-th box or engine.
+func (s fleetSize) zone(i int) string {
 	return string(rune('a' + i%s.zones))
 }
 
 var (
-	ten = size{boxes: 10, owners: 10, zones: 3}
-	// sixtyFour has 14 boxes that are faster than the others and own most slots.
-	sixtyFour  = size{boxes: 64, owners: 14, zones: 3}
-	twoHundred = size{boxes: 200, owners: 40, zones: 5}
+	ten = fleetSize{boxes: 10, owners: 10, zones: 3}
+	// sixtyFour is a fleet in which few boxes own all programs.
+	sixtyFour  = fleetSize{boxes: 64, owners: 14, zones: 3}
+	twoHundred = fleetSize{boxes: 200, owners: 40, zones: 5}
 )
 
 type noPool struct{}
@@ -60,44 +61,44 @@
 func (noPool) Connected() bool                    { return true }
 func (noPool) Open(work.Replica, int) target.Pool { return noPool{} }
 
-// placing is a way to give a turn its place.
-type placing func(home *target.Targets, ask target.Ask) (*target.Lease, error)
+// placeFunc takes a place for a turn.
+type placeFunc func(box *target.Targets, ask target.Ask) (*target.Lease, error)
 
-// fleet is boxes before engines.
+// fleet is a set of boxes that place calls on emulated engines.
 type fleet struct {
-	size  size
-	model model
-	// boxes are those that place calls.
+	size fleetSize
+	spec engineSpec
+	// boxes are the owners, which place calls.
 	boxes   []*target.Targets
 	engines map[string]*engine
-	order   []*engine
-	place   placing
+	ordered []*engine
+	place   placeFunc
 	rng     *rand.Rand
 	loops   sync.WaitGroup
 
 	mu sync.Mutex
-	// ran tells which engine keeps what of a line.
-	ran map[string]map[string]int
+	// cached holds the tokens cached for each conversation, by engine ID.
+	cached map[string]map[string]int
 }
 
-func newFleet(of size, engines int, m model, place placing, seed uint64) *fleet {
-	f := &fleet{size: of, model: m, engines: map[string]*engine{}, place: place, rng: rand.New(rand.NewPCG(seed, seed)), ran: map[string]map[string]int{}}
+func newFleet(layout fleetSize, engines int, spec engineSpec, place placeFunc, seed uint64) *fleet {
+	f := &fleet{size: layout, spec: spec, engines: map[string]*engine{}, place: place, rng: rand.New(rand.NewPCG(seed, seed)), cached: map[string]map[string]int{}}
 	for i := range engines {
 		rep := work.Replica{
-			ID: fmt.Sprintf("e%d", i), Service: service, Zone: of.zone(i), Slots: m.slots,
+			ID: fmt.Sprintf("e%d", i), Service: service, Zone: layout.zone(i), Slots: spec.slots,
 			Addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+i)),
 		}
-		e := newEngine(rep, m)
+		e := newEngine(rep, spec)
 		f.engines[rep.ID] = e
-		f.order = append(f.order, e)
+		f.ordered = append(f.ordered, e)
 	}
-	conf := work.NewConfig(1, nil, []work.Service{{Name: service, Connections: 10_000, Engine: &work.Engine{Slots: m.slots, Stride: m.stride}}}, work.Limits{})
-	for i := range of.owners {
-		t := target.New(of.zone(i), noPool{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	conf := work.NewConfig(1, nil, []work.Service{{Name: service, Connections: 10_000, Engine: &work.Engine{Slots: spec.slots, Stride: spec.stride}}}, work.Limits{})
+	for i := range layout.owners {
+		t := target.New(layout.zone(i), noPool{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		t.Configure(conf)
-		t.Boxes(of.boxes)
-		t.Placers(of.counted())
-		for _, e := range f.order {
+		t.Boxes(layout.boxes)
+		t.Placers(layout.placerCount())
+		for _, e := range f.ordered {
 			t.Put(e.rep)
 		}
 		f.boxes = append(f.boxes, t)
@@ -105,15 +106,15 @@
 	return f
 }
 
-// start runs the engines and their reports until ctx ends.
+// start runs the engines and their load reports until ctx ends.
 func (f *fleet) start(ctx context.Context) {
-	for _, e := range f.order {
+	for _, e := range f.ordered {
 		f.loops.Go(func() { e.loop(ctx) })
 		f.loops.Go(func() { f.report(ctx, e) })
 	}
 }
 
-// report tells the boxes of the engine's zone its load of a moment ago.
+// report sends the engine's load to the boxes of its zone, delayed by reportLag.
 func (f *fleet) report(ctx context.Context, e *engine) {
 	for ctx.Err() == nil {
 		load := e.load()
@@ -133,24 +134,24 @@
 	return f.rng.IntN(n)
 }
 
-func (f *fleet) seen(of line) map[string]int {
+func (f *fleet) cachedFor(conv conversation) map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := maps.Clone(f.ran[of.parent])
-	if seen == nil {
-		seen = map[string]int{}
+	byEngine := maps.Clone(f.cached[conv.parent])
+	if byEngine == nil {
+		byEngine = map[string]int{}
 	}
-	for id, tokens := range f.ran[of.name] {
-		seen[id] = max(seen[id], tokens)
+	for id, tokens := range f.cached[conv.name] {
+		byEngine[id] = max(byEngine[id], tokens)
 	}
-	return seen
+	return byEngine
 }
 
-func (f *fleet) note(line, id string, tokens int) {
+func (f *fleet) recordCached(name, engineID string, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ran[line] == nil {
-		f.ran[line] = map[string]int{}
+	if f.cached[name] == nil {
+		f.cached[name] = map[string]int{}
 	}
-	f.ran[line][id] = tokens
+	f.cached[name][engineID] = tokens
 }
--- a/gate/replay/programs_test.go
+++ b/gate/replay/programs_test.go
@@ -18,155 +18,160 @@
 type kind struct {
 	name     string
 	priority int
-	// worth is what a program earns in time, late what one earns within twice its time.
-	worth, late float64
-	// perSecond is how many begin, at a load of 1.
+	// value is what a program that meets its deadline earns, lateValue what one earns that takes at
+	// most twice its time.
+	value, lateValue float64
+	// perSecond is the number of programs that start in a second, at a load of 1.
 	perSecond float64
-	// turns, input, shared and events are means: turns of a program, new and shared tokens of a
-	// turn's prompt, and events of its answer.
+	// turns, input, shared and events are means: the turns of a program, the new and the shared
+	// tokens of a turn's prompt, and the events of its answer.
 	turns, input, shared, events int
 	think, tool                  time.Duration
-	// aim is a program's time against that on idle replicas.
-	aim       float64
-	objective time.Duration
-	// fan is the share of turns after which sub-agents of two turns each run.
-	fan float64
-	// inherit says that their prompts begin with that of their program.
-	inherit bool
+	// deadlineFactor times the program's time on unloaded engines, plus deadlineSlack, is the time
+	// that the program is given.
+	deadlineFactor float64
+	deadlineSlack  time.Duration
+	// subAgentShare is the share of turns after which sub-agents of two turns each run.
+	subAgentShare float64
+	// inheritPrompt reports whether the prompts of sub-agents begin with their program's.
+	inheritPrompt bool
 }
 
-// tally is what became of the programs of a kind.
-type tally struct {
+// outcomes counts how the programs of a kind ended.
+type outcomes struct {
 	inTime, late, failed, refused int
-	first                         []time.Duration
-	// work is the engines' time that the programs need, in seconds.
+	turnTimes                     []time.Duration
+	// work is the engine time that the programs need, in seconds.
 	work float64
 }
 
-func (t *tally) count() int { return t.inTime + t.late + t.failed + t.refused }
+func (t *outcomes) count() int { return t.inTime + t.late + t.failed + t.refused }
 
-// share is the part of the worth that was earned.
-func (t *tally) share(k kind) float64 {
-	return (float64(t.inTime)*k.worth + float64(t.late)*k.late) / (k.worth * float64(max(1, t.count())))
+// valueShare returns the share of the possible value that was earned.
+func (t *outcomes) valueShare(k kind) float64 {
+	return (float64(t.inTime)*k.value + float64(t.late)*k.lateValue) / (k.value * float64(max(1, t.count())))
 }
 
-// Callers' ways.
+// Behaviour of callers.
 const (
-	// callerWaits is the time that a caller gives a turn, and patience that to its first event.
-	callerWaits = 4 * time.Second
-	patience    = 2 * time.Second
-	tries       = 3
-	// way is the time that a turn takes between caller, boxes and engine.
-	way = 8 * time.Millisecond
+	// callTimeout is the time that a caller allows a turn, and firstEventTimeout the time until its
+	// first event.
+	callTimeout       = 4 * time.Second
+	firstEventTimeout = 2 * time.Second
+	maxAttempts       = 3
+	// transitTime is the network time of a turn, there and back.
+	transitTime = 8 * time.Millisecond
 )
 
-// program is one program under way.
+// program is a running program.
 type program struct {
 	*fleet
 	kind
-	id   string
-	rng  *rand.Rand
-	due  time.Time
-	home *target.Targets
-	// refused says that its last turn was turned away, begun that one had a place.
+	id       string
+	rng      *rand.Rand
+	deadline time.Time
+	box      *target.Targets
+	// refused is set if the last request was refused, begun once a turn has got a place.
 	refused, begun atomic.Bool
 }
 
-// plan is the turns of a program, drawn before it begins, so that its time on idle engines is known.
+// plan holds the turns of a program. They are drawn before it starts, so that its time on unloaded
+// engines is known.
 type plan struct {
 	inputs, events []int
 	pauses         []time.Duration
-	helpers        []int
+	subAgents      []int
 }
 
 func (k kind) plan(rng *rand.Rand) plan {
 	var p plan
-	for range draw(rng, k.turns) {
-		p.inputs = append(p.inputs, draw(rng, k.input))
-		p.events = append(p.events, draw(rng, k.events))
+	for range sample(rng, k.turns) {
+		p.inputs = append(p.inputs, sample(rng, k.input))
+		p.events = append(p.events, sample(rng, k.events))
 		p.pauses = append(p.pauses, time.Duration((0.5+rng.Float64())*float64(k.think+k.tool)))
-		helpers := 0
-		if rng.Float64() < k.fan {
-			helpers = draw(rng, 4)
+		subAgents := 0
+		if rng.Float64() < k.subAgentShare {
+			subAgents = sample(rng, 4)
 		}
-		p.helpers = append(p.helpers, helpers)
+		p.subAgents = append(p.subAgents, subAgents)
 	}
 	return p
 }
 
-// draw returns a number near the mean, at least 1, skewed as answers and prompts are.
-func draw(rng *rand.Rand, mean int) int {
+// sample returns a random size, at least 1, from a log-normal distribution with the mean.
+func sample(rng *rand.Rand, mean int) int {
 	return max(1, int(float64(mean)*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// idle is the plan's time on idle engines; work is the engines' own time for it, in seconds.
-func (p plan) idle(m model, k kind) (took time.Duration, work float64) {
+// unloaded returns the plan's time on unloaded engines, and the engine time that it needs, in
+// seconds.
+func (p plan) unloaded(spec engineSpec, k kind) (took time.Duration, work float64) {
 	for i := range p.inputs {
-		read := p.inputs[i]
+		missing := p.inputs[i]
 		if i == 0 {
-			read += k.shared
+			missing += k.shared
 		}
-		tokens := p.events[i] * m.stride
-		reading := time.Duration(read) * time.Millisecond / time.Duration(m.rate)
-		step := m.step + m.perSlot
-		turn := reading + time.Duration(tokens)*step
-		full := m.step + time.Duration(m.slots)*m.perSlot
-		alone := reading.Seconds() + float64(tokens)*full.Seconds()/float64(m.slots)
-		took += turn + way + p.pauses[i]
-		work += alone * float64(1+2*p.helpers[i])
-		if p.helpers[i] > 0 {
-			took += 2 * (turn + way)
+		tokens := p.events[i] * spec.stride
+		prefillTime := time.Duration(missing) * time.Millisecond / time.Duration(spec.prefillRate)
+		step := spec.step + spec.stepPerCall
+		turn := prefillTime + time.Duration(tokens)*step
+		fullStep := spec.step + time.Duration(spec.slots)*spec.stepPerCall
+		engineTime := prefillTime.Seconds() + float64(tokens)*fullStep.Seconds()/float64(spec.slots)
+		took += turn + transitTime + p.pauses[i]
+		work += engineTime * float64(1+2*p.subAgents[i])
+		if p.subAgents[i] > 0 {
+			took += 2 * (turn + transitTime)
 		}
 	}
 	return took, work
 }
 
-// play runs the program and counts what becomes of it.
-func (p *program) play(into *tally) {
+// run runs the program and counts its outcome.
+func (p *program) run(counts *outcomes) {
 	steps := p.plan(p.rng)
-	idle, busy := steps.idle(p.model, p.kind)
-	left := time.Duration(p.aim*float64(idle)) + p.objective
+	unloaded, engineTime := steps.unloaded(p.spec, p.kind)
+	timeLeft := time.Duration(p.deadlineFactor*float64(unloaded)) + p.deadlineSlack
 	start := time.Now()
-	p.due = start.Add(left)
+	p.deadline = start.Add(timeLeft)
 	prompt := p.shared
 	ok := true
 	for i := range steps.inputs {
 		prompt += steps.inputs[i]
-		if ok = p.turn(line{name: p.id}, prompt, steps.events[i], into); !ok {
+		if ok = p.runTurn(conversation{name: p.id}, prompt, steps.events[i], counts); !ok {
 			break
 		}
-		prompt += steps.events[i] * p.model.stride
-		if ok = p.help(steps.helpers[i], prompt, steps.events[i], into); !ok {
+		prompt += steps.events[i] * p.spec.stride
+		if ok = p.runSubAgents(steps.subAgents[i], prompt, steps.events[i], counts); !ok {
 			break
 		}
 		time.Sleep(steps.pauses[i])
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	into.work += busy
+	counts.work += engineTime
 	took := time.Since(start)
 	switch {
 	case !ok && p.refused.Load():
-		into.refused++
-	case !ok || took > 2*left:
-		into.failed++
-	case took > left:
-		into.late++
+		counts.refused++
+	case !ok || took > 2*timeLeft:
+		counts.failed++
+	case took > timeLeft:
+		counts.late++
 	default:
-		into.inTime++
+		counts.inTime++
 	}
 }
 
-// help runs sub-agents side by side, two turns each.
-func (p *program) help(n, prompt, events int, into *tally) bool {
+// runSubAgents runs n sub-agents concurrently, two turns each.
+func (p *program) runSubAgents(n, prompt, events int, counts *outcomes) bool {
 	results := make(chan bool, n)
 	for i := range n {
-		child := line{name: fmt.Sprintf("%s/%d", p.id, i)}
-		if p.inherit {
-			child = line{name: fmt.Sprintf("%s/%d/%d", p.id, prompt, i), parent: p.id}
+		child := conversation{name: fmt.Sprintf("%s/%d", p.id, i)}
+		if p.inheritPrompt {
+			child = conversation{name: fmt.Sprintf("%s/%d/%d", p.id, prompt, i), parent: p.id}
 		}
 		go func() {
-			results <- p.turn(child, prompt+p.input, events, into) && p.turn(child, prompt+2*p.input+events*p.model.stride, events, into)
+			results <- p.runTurn(child, prompt+p.input, events, counts) && p.runTurn(child, prompt+2*p.input+events*p.spec.stride, events, counts)
 		}()
 	}
 	ok := true
@@ -176,31 +181,31 @@
 	return ok
 }
 
-// line is a row of turns, each of which goes on from the one before.
-type line struct {
+// conversation is a sequence of turns, each of which extends the prompt of the one before.
+type conversation struct {
 	name string
-	// parent is the line whose prompt a sub-agent's begins with; empty for others.
+	// parent is the conversation whose prompt a sub-agent's begins with, empty for others.
 	parent string
 }
 
-// turn takes a turn as callers do: a refusal is heeded once, and a turn that failed is sent again.
-func (p *program) turn(of line, prompt, events int, into *tally) bool {
-	for try := range tries {
+// runTurn runs a turn as callers do: it sends a failed turn again, up to maxAttempts times.
+func (p *program) runTurn(conv conversation, prompt, events int, counts *outcomes) bool {
+	for try := range maxAttempts {
 		if try > 0 {
 			time.Sleep(100*time.Millisecond + time.Duration(p.random(300))*time.Millisecond)
 		}
-		if p.request(of, prompt, events, into) {
+		if p.request(conv, prompt, events, counts) {
 			return true
 		}
 	}
 	return false
 }
 
-// request is one request of a caller, and the same once more after a refusal.
-func (p *program) request(of line, prompt, events int, into *tally) bool {
-	deadline := time.Now().Add(callerWaits)
+// request sends a request, and sends it once more after a refusal and the advised delay.
+func (p *program) request(conv conversation, prompt, events int, counts *outcomes) bool {
+	deadline := time.Now().Add(callTimeout)
 	for range 2 {
-		err := p.attempt(of, prompt, events, deadline, into)
+		err := p.attempt(conv, prompt, events, deadline, counts)
 		if err == nil {
 			return true
 		}
@@ -208,26 +213,27 @@
 		if !f.NotRun {
 			return false
 		}
-		rest := min(f.RetryAfter, time.Until(deadline)/3)
-		time.Sleep(rest)
+		delay := min(f.RetryAfter, time.Until(deadline)/3)
+		time.Sleep(delay)
 	}
 	return false
 }
 
-func (p *program) attempt(of line, prompt, events int, deadline time.Time, into *tally) error {
+// attempt sends one request, and returns a fault if it is refused or fails.
+func (p *program) attempt(conv conversation, prompt, events int, deadline time.Time, counts *outcomes) error {
 	ctx, stop := context.WithDeadline(context.Background(), deadline)
 	defer stop()
 	arrived := time.Now()
-	time.Sleep(way / 2)
+	time.Sleep(transitTime / 2)
 	ask := target.Ask{
 		Work: p.name, Services: []work.Split{{Service: service, Weight: 1}},
-		Prompt: &work.Prompt{Tokens: prompt, Most: 36 * p.model.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
-		Seen:   p.seen(of),
+		Prompt: &work.Prompt{Tokens: prompt, Most: 36 * p.spec.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
+		Seen:   p.cachedFor(conv),
 		Turn: sched.Turn{
-			Program: p.id, Kind: p.name, Fresh: !p.begun.Load(), Priority: p.priority, Left: time.Until(p.due), Arrived: arrived,
+			Program: p.id, Kind: p.name, Fresh: !p.begun.Load(), Priority: p.priority, Left: time.Until(p.deadline), Arrived: arrived,
 		},
 	}
-	lease, err := p.place(p.home, ask)
+	lease, err := p.place(p.box, ask)
 	if err != nil {
 		p.refused.Store(true)
 		return err
@@ -235,26 +241,26 @@
 	p.begun.Store(true)
 	p.refused.Store(false)
 	e := p.engines[lease.Replica.ID]
-	r := &run{line: of.name, parent: of.parent, part: p.name, shared: p.shared, prompt: prompt, tokens: events * p.model.stride}
+	call := &engineCall{conversation: conv.name, parent: conv.parent, prefix: p.name, shared: p.shared, prompt: prompt, tokens: events * p.spec.stride}
 	sent := time.Now()
-	head := time.Duration(0)
-	err = e.send(ctx, r, patience-time.Since(arrived), func() {
-		head = time.Since(sent)
-		lease.First(head)
+	firstEvent := time.Duration(0)
+	err = e.send(ctx, call, firstEventTimeout-time.Since(arrived), func() {
+		firstEvent = time.Since(sent)
+		lease.First(firstEvent)
 	})
 	if err != nil {
-		out := target.Dropped
+		outcome := target.Dropped
 		if fault.From(err).NotRun {
-			out = target.Refused
+			outcome = target.Refused
 		}
-		lease.Done(out, 0)
+		lease.Done(outcome, 0)
 		return err
 	}
-	lease.Done(target.Answered, (time.Since(sent)-head)/time.Duration(max(events-1, 1)))
-	p.note(of.name, lease.Replica.ID, prompt+r.tokens)
-	time.Sleep(way / 2)
+	lease.Done(target.Answered, (time.Since(sent)-firstEvent)/time.Duration(max(events-1, 1)))
+	p.recordCached(conv.name, lease.Replica.ID, prompt+call.tokens)
+	time.Sleep(transitTime / 2)
 	p.mu.Lock()
-	into.first = append(into.first, time.Since(arrived))
+	counts.turnTimes = append(counts.turnTimes, time.Since(arrived))
 	p.mu.Unlock()
 	return nil
 }
--- a/gate/replay/replay_test.go
+++ b/gate/replay/replay_test.go
@@ -14,49 +14,50 @@
 	"mulleingate.dev/gate/target"
 )
 
-// small is a fast engine with few places, large a slow one with many: the first is full when its
-// places are, the second long before, by what it has to read.
+// small is a fast engine with few slots, which is full once its slots are; large is a slow one with
+// many slots, whose prefill is saturated long before.
 var (
-	small = model{
-		slots: 16, queue: 48, rate: 61, chunk: 2048, step: 3370 * time.Microsecond, perSlot: 11 * time.Microsecond, memory: 112_000, stride: 8,
+	small = engineSpec{
+		slots: 16, queue: 48, prefillRate: 61, prefillChunk: 2048, step: 3370 * time.Microsecond, stepPerCall: 11 * time.Microsecond, cacheSize: 112_000, stride: 8,
 	}
-	large = model{
-		slots: 40, queue: 48, rate: 25, chunk: 2048, step: 7 * time.Millisecond, perSlot: 11 * time.Microsecond, memory: 112_000, stride: 8,
+	large = engineSpec{
+		slots: 40, queue: 48, prefillRate: 25, prefillChunk: 2048, step: 7 * time.Millisecond, stepPerCall: 11 * time.Microsecond, cacheSize: 112_000, stride: 8,
 	}
-	// medium is a fast engine with some places.
-	medium = model{
-		slots: 16, queue: 48, rate: 38, chunk: 2048, step: 4630 * time.Microsecond, perSlot: 60 * time.Microsecond, memory: 100_000, stride: 5,
+	// medium has as many slots as small, and is slower.
+	medium = engineSpec{
+		slots: 16, queue: 48, prefillRate: 38, prefillChunk: 2048, step: 4630 * time.Microsecond, stepPerCall: 60 * time.Microsecond, cacheSize: 100_000, stride: 5,
 	}
-	// few is a fast engine with very few places.
-	few = model{
-		slots: 6, queue: 18, rate: 38, chunk: 2048, step: 4630 * time.Microsecond, perSlot: 153 * time.Microsecond, memory: 72_000, stride: 5,
+	// few is a fast engine with very few slots.
+	few = engineSpec{
+		slots: 6, queue: 18, prefillRate: 38, prefillChunk: 2048, step: 4630 * time.Microsecond, stepPerCall: 153 * time.Microsecond, cacheSize: 72_000, stride: 5,
 	}
 )
 
-// wideKinds are those of a large fleet: long shared parts, and many sub-agents.
-func wideKinds() []kind {
+// largeFleetKinds returns the kinds of programs for large fleets: long shared prefixes and many
+// sub-agents.
+func largeFleetKinds() []kind {
 	return []kind{
 		{
-			name: "short", priority: 1, worth: 3, late: 0.9, perSecond: 57.6, turns: 4, input: 1030, shared: 2560, events: 7,
-			think: 150 * time.Millisecond, tool: 150 * time.Millisecond, aim: 1.6, objective: 200 * time.Millisecond, fan: 0.05, inherit: true,
+			name: "short", priority: 1, value: 3, lateValue: 0.9, perSecond: 57.6, turns: 4, input: 1030, shared: 2560, events: 7,
+			think: 150 * time.Millisecond, tool: 150 * time.Millisecond, deadlineFactor: 1.6, deadlineSlack: 200 * time.Millisecond, subAgentShare: 0.05, inheritPrompt: true,
 		},
 		{
-			name: "long", priority: 0, worth: 10, late: 3, perSecond: 14.3, turns: 11, input: 514, shared: 2560, events: 7,
-			think: 150 * time.Millisecond, tool: 150 * time.Millisecond, aim: 1.6, objective: 200 * time.Millisecond, fan: 0.25, inherit: true,
+			name: "long", priority: 0, value: 10, lateValue: 3, perSecond: 14.3, turns: 11, input: 514, shared: 2560, events: 7,
+			think: 150 * time.Millisecond, tool: 150 * time.Millisecond, deadlineFactor: 1.6, deadlineSlack: 200 * time.Millisecond, subAgentShare: 0.25, inheritPrompt: true,
 		},
 	}
 }
 
-// kinds are a short kind of program and a long, precious one.
+// kinds returns a short kind of program, and a long one of higher value.
 func kinds() []kind {
 	return []kind{
 		{
-			name: "short", priority: 1, worth: 3, late: 0.9, perSecond: 24, turns: 3, input: 654, shared: 512, events: 9,
-			think: 60 * time.Millisecond, tool: 90 * time.Millisecond, aim: 1.6, objective: 250 * time.Millisecond, fan: 0.05, inherit: true,
+			name: "short", priority: 1, value: 3, lateValue: 0.9, perSecond: 24, turns: 3, input: 654, shared: 512, events: 9,
+			think: 60 * time.Millisecond, tool: 90 * time.Millisecond, deadlineFactor: 1.6, deadlineSlack: 250 * time.Millisecond, subAgentShare: 0.05, inheritPrompt: true,
 		},
 		{
-			name: "long", priority: 0, worth: 10, late: 3, perSecond: 6, turns: 9, input: 327, shared: 512, events: 9,
-			think: 20 * time.Millisecond, tool: 90 * time.Millisecond, aim: 1.7, objective: 250 * time.Millisecond, fan: 0.15,
+			name: "long", priority: 0, value: 10, lateValue: 3, perSecond: 6, turns: 9, input: 327, shared: 512, events: 9,
+			think: 20 * time.Millisecond, tool: 90 * time.Millisecond, deadlineFactor: 1.7, deadlineSlack: 250 * time.Millisecond, subAgentShare: 0.15,
 		},
 	}
 }
@@ -64,85 +65,86 @@
 // pattern is a load over time.
 type pattern struct {
 	name string
-	// size is the fleet's; ten boxes if it is not set. Kinds are its programs.
-	size  size
+	// size is the size of the fleet, ten boxes if it is not set; kinds are its programs.
+	size  fleetSize
 	kinds []kind
-	// least is the worth that decisions must reach, and gain how much more than without them; the
-	// figures leave room for what the order of goroutines changes.
-	least, gain float64
-	// seeds is how many plays are taken together; one if it is not set. What the order of goroutines changes must
-	// stay well below the gain.
-	seeds   int
-	model   model
-	engines int
-	length  time.Duration
-	// load is the load of a kind at a moment.
+	// minValue is the share of the value that must be earned with admission control, and minGain
+	// the least gain over running without it. Both leave a margin for the scheduling of goroutines.
+	minValue, minGain float64
+	// seeds is the number of runs that are averaged, one if it is not set. The noise of the mean
+	// must stay well below minGain.
+	seeds    int
+	spec     engineSpec
+	engines  int
+	duration time.Duration
+	// load returns the load of a kind at a time.
 	load func(at time.Duration, kind string) float64
-	// harm does something to the fleet at a moment; may be nil.
-	harm func(f *fleet)
+	// disturb changes the fleet during the run; it may be nil.
+	disturb func(f *fleet)
 }
 
-// result is what became of a pattern.
+// result is the outcome of a run of a pattern.
 type result struct {
-	tallies []*tally
-	kinds   []kind
-	// limit is the part of the worth that the engines' time allows.
+	outcomes []*outcomes
+	kinds    []kind
+	// limit is the share of the value that the engines' capacity allows.
 	limit float64
-	read  int
+	// prefilled is the number of prompt tokens that all engines prefilled.
+	prefilled int
 }
 
-// worth is the part of all worth that was earned.
-func (r result) worth() float64 {
-	got, all := 0.0, 0.0
-	for i, t := range r.tallies {
-		got += t.share(r.kinds[i]) * r.kinds[i].worth * float64(t.count())
-		all += r.kinds[i].worth * float64(t.count())
+// value returns the share of all value that was earned.
+func (r result) value() float64 {
+	earned, possible := 0.0, 0.0
+	for i, o := range r.outcomes {
+		earned += o.valueShare(r.kinds[i]) * r.kinds[i].value * float64(o.count())
+		possible += r.kinds[i].value * float64(o.count())
 	}
-	return got / all
+	return earned / possible
 }
 
 func (r result) String() string {
-	text := fmt.Sprintf("worth %.3f of %.3f, %d tokens read;", r.worth(), r.limit, r.read)
-	for i, t := range r.tallies {
-		slices.Sort(t.first)
+	text := fmt.Sprintf("value %.3f of %.3f, %d tokens prefilled;", r.value(), r.limit, r.prefilled)
+	for i, o := range r.outcomes {
+		slices.Sort(o.turnTimes)
 		p50 := time.Duration(0)
-		if len(t.first) > 0 {
-			p50 = t.first[len(t.first)/2]
+		if len(o.turnTimes) > 0 {
+			p50 = o.turnTimes[len(o.turnTimes)/2]
 		}
-		text += fmt.Sprintf(" %s %.3f (in time %d, late %d, failed %d, refused %d, turn %v)", r.kinds[i].name, t.share(r.kinds[i]), t.inTime, t.late, t.failed, t.refused, p50.Round(time.Millisecond))
+		text += fmt.Sprintf(" %s %.3f (in time %d, late %d, failed %d, refused %d, turn %v)", r.kinds[i].name, o.valueShare(r.kinds[i]), o.inTime, o.late, o.failed, o.refused, p50.Round(time.Millisecond))
 	}
 	return text
 }
 
-// play plays a pattern with a way of placing.
-func play(t *testing.T, p pattern, place placing, seed uint64) result {
+// play runs a pattern with a way of placing turns.
+func play(t *testing.T, p pattern, place placeFunc, seed uint64) result {
 	t.Helper()
 	if p.size.boxes == 0 {
 		p.size, p.kinds = ten, kinds()
 	}
 	res := result{kinds: p.kinds}
 	for range res.kinds {
-		res.tallies = append(res.tallies, &tally{})
+		res.outcomes = append(res.outcomes, &outcomes{})
 	}
 	synctest.Test(t, func(*testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		f := newFleet(p.size, p.engines, p.model, place, seed)
+		f := newFleet(p.size, p.engines, p.spec, place, seed)
 		f.start(ctx)
 		var all sync.WaitGroup
 		for i, k := range res.kinds {
-			all.Go(func() { f.arrive(p, k, res.tallies[i], rand.New(rand.NewPCG(seed, uint64(i))), &all) })
+			all.Go(func() { f.startPrograms(p, k, res.outcomes[i], rand.New(rand.NewPCG(seed, uint64(i))), &all) })
 		}
-		if p.harm != nil {
-			p.harm(f)
+		if p.disturb != nil {
+			p.disturb(f)
 		}
 		all.Wait()
 		work := 0.0
-		for _, t := range res.tallies {
+		for _, t := range res.outcomes {
 			work += t.work
 		}
-		res.limit = min(1, float64(p.engines)*p.length.Seconds()/work)
-		for _, e := range f.order {
-			res.read += e.read
+		res.limit = min(1, float64(p.engines)*p.duration.Seconds()/work)
+		for _, e := range f.ordered {
+			res.prefilled += e.prefilled
 		}
 		stop()
 		f.loops.Wait()
@@ -150,55 +152,56 @@
 	return res
 }
 
-// arrive begins the programs of a kind.
-func (f *fleet) arrive(p pattern, k kind, into *tally, rng *rand.Rand, all *sync.WaitGroup) {
+// startPrograms starts the programs of a kind, with random intervals between them.
+func (f *fleet) startPrograms(p pattern, k kind, counts *outcomes, rng *rand.Rand, all *sync.WaitGroup) {
 	start := time.Now()
-	for n := 0; time.Since(start) < p.length; n++ {
+	for n := 0; time.Since(start) < p.duration; n++ {
 		load := p.load(time.Since(start), k.name)
 		time.Sleep(time.Duration(rng.ExpFloat64() / (k.perSecond * load) * float64(time.Second)))
-		one := &program{
-			fleet: f, kind: k, id: fmt.Sprintf("%s-%d", k.name, n), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), home: f.boxes[rng.IntN(len(f.boxes))],
+		prog := &program{
+			fleet: f, kind: k, id: fmt.Sprintf("%s-%d", k.name, n), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), box: f.boxes[rng.IntN(len(f.boxes))],
 		}
-		all.Go(func() { one.play(into) })
+		all.Go(func() { prog.run(counts) })
 	}
 }
 
-// handOn places each turn.
-func handOn(home *target.Targets, ask target.Ask) (*target.Lease, error) {
-	return home.Take(ask)
+// placeAll places each turn, without admission control.
+func placeAll(box *target.Targets, ask target.Ask) (*target.Lease, error) {
+	return box.Take(ask)
 }
 
-// decide is how boxes place turns: only programs that may begin do.
-func decide(home *target.Targets, ask target.Ask) (*target.Lease, error) {
+// placeAdmitted places turns as boxes do: programs must be admitted to start.
+func placeAdmitted(box *target.Targets, ask target.Ask) (*target.Lease, error) {
 	if ask.Turn.Fresh {
-		if verdict := home.Admit(ask); verdict.Refuse {
-			return nil, fault.Refuse(fault.Overloaded, "not begun").After(verdict.After)
+		if verdict := box.Admit(ask); verdict.Refuse {
+			return nil, fault.Refuse(fault.Overloaded, "not admitted").After(verdict.After)
 		}
 	}
-	return home.Take(ask)
+	return box.Take(ask)
 }
 
 func steady(load float64) func(time.Duration, string) float64 {
 	return func(time.Duration, string) float64 { return load }
 }
 
-// after is a calm time, in which boxes learn what engines can do, then a steady load.
-func after(load float64) func(time.Duration, string) float64 {
-	const calm, before = 4 * time.Second, 0.2
+// calmThen returns a low load, during which boxes learn the engines' speed, followed by a steady
+// load.
+func calmThen(load float64) func(time.Duration, string) float64 {
+	const calmTime, calmLoad = 4 * time.Second, 0.2
 	return func(at time.Duration, _ string) float64 {
-		if at < calm {
-			return before
+		if at < calmTime {
+			return calmLoad
 		}
 		return load
 	}
 }
 
-// burst is a load on a kind, on all where none is named, from a moment after which boxes have learned what
-// engines can do.
+// burst returns a load of 1 with a burst on one kind, or on all if kind is empty. Before it, boxes
+// learn the engines' speed.
 func burst(to time.Duration, kind string, load float64) func(time.Duration, string) float64 {
 	const from = 4 * time.Second
-	return func(at time.Duration, of string) float64 {
-		if at >= from && at < to && (kind == "" || kind == of) {
+	return func(at time.Duration, name string) float64 {
+		if at >= from && at < to && (kind == "" || kind == name) {
 			return load
 		}
 		return 1
@@ -207,12 +210,12 @@
 
 func patterns() []pattern {
 	return []pattern{
-		{name: "calm", least: 0.96, gain: -0.03, model: small, engines: 11, length: 10 * time.Second, load: steady(1)},
-		{name: "burst on all", least: 0.88, gain: -0.06, model: small, engines: 11, length: 16 * time.Second, load: burst(10*time.Second, "", 2.2)},
-		{name: "burst on one kind", least: 0.9, gain: -0.06, model: small, engines: 11, length: 14 * time.Second, load: burst(8*time.Second, "long", 4)},
-		{name: "a third of the engines leaves", least: 0.62, gain: 0.02, seeds: 10, model: small, engines: 11, length: 14 * time.Second, load: steady(1.5), harm: func(f *fleet) {
+		{name: "calm", minValue: 0.96, minGain: -0.03, spec: small, engines: 11, duration: 10 * time.Second, load: steady(1)},
+		{name: "burst on all", minValue: 0.88, minGain: -0.06, spec: small, engines: 11, duration: 16 * time.Second, load: burst(10*time.Second, "", 2.2)},
+		{name: "burst on one kind", minValue: 0.9, minGain: -0.06, spec: small, engines: 11, duration: 14 * time.Second, load: burst(8*time.Second, "long", 4)},
+		{name: "a third of the engines leaves", minValue: 0.62, minGain: 0.02, seeds: 10, spec: small, engines: 11, duration: 14 * time.Second, load: steady(1.5), disturb: func(f *fleet) {
 			time.Sleep(4 * time.Second)
-			for _, e := range f.order[:4] {
+			for _, e := range f.ordered[:4] {
 				gone := e.rep
 				gone.Draining = true
 				for _, box := range f.boxes {
@@ -220,73 +223,73 @@
 				}
 			}
 		}},
-		{name: "a slow engine", least: 0.9, gain: -0.05, model: small, engines: 11, length: 14 * time.Second, load: steady(1.5), harm: func(f *fleet) {
+		{name: "a slow engine", minValue: 0.9, minGain: -0.05, spec: small, engines: 11, duration: 14 * time.Second, load: steady(1.5), disturb: func(f *fleet) {
 			time.Sleep(4 * time.Second)
-			f.order[0].slowDown(4)
+			f.ordered[0].slowDown(4)
 		}},
-		{name: "full engines, for a minute", least: 0.4, gain: 0.3, model: small, engines: 5, length: time.Minute, load: after(1.3)},
-		{name: "twice what engines can do, for a minute", least: 0.2, gain: 0.15, model: small, engines: 4, length: time.Minute, load: after(1.6)},
-		{name: "200 boxes, calm", least: 0.97, gain: -0.03, size: twoHundred, kinds: wideKinds(), model: few, engines: 62, length: 10 * time.Second, load: steady(1)},
-		{name: "200 boxes, a burst on all", least: 0.87, gain: -0.06, size: twoHundred, kinds: wideKinds(), model: few, engines: 62, length: 10 * time.Second, load: burst(8*time.Second, "", 2.1)},
-		{name: "slow readers, full", least: 0.58, gain: -0.1, model: large, engines: 11, length: 30 * time.Second, load: after(1)},
-		{name: "slow readers, twice", least: 0.18, gain: 0.03, model: large, engines: 11, length: 30 * time.Second, load: after(2)},
+		{name: "full engines, for a minute", minValue: 0.4, minGain: 0.3, spec: small, engines: 5, duration: time.Minute, load: calmThen(1.3)},
+		{name: "twice what engines can do, for a minute", minValue: 0.2, minGain: 0.15, spec: small, engines: 4, duration: time.Minute, load: calmThen(1.6)},
+		{name: "200 boxes, calm", minValue: 0.97, minGain: -0.03, size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: steady(1)},
+		{name: "200 boxes, a burst on all", minValue: 0.87, minGain: -0.06, size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)},
+		{name: "slow prefill, full load", minValue: 0.58, minGain: -0.1, spec: large, engines: 11, duration: 30 * time.Second, load: calmThen(1)},
+		{name: "slow prefill, twice the load", minValue: 0.18, minGain: 0.03, spec: large, engines: 11, duration: 30 * time.Second, load: calmThen(2)},
 	}
 }
 
-// mean is the worth of a pattern over its seeds.
-func mean(t *testing.T, p pattern, place placing) float64 {
+// meanValue returns the mean value of a pattern over its seeds.
+func meanValue(t *testing.T, p pattern, place placeFunc) float64 {
 	t.Helper()
 	seeds := max(p.seeds, 1)
 	sum := 0.0
 	for seed := range seeds {
 		res := play(t, p, place, uint64(1+seed))
 		t.Logf("seed %d: %v", 1+seed, res)
-		sum += res.worth()
+		sum += res.value()
 	}
 	return sum / float64(seeds)
 }
 
-// TestPatterns plays all patterns with and without decisions on which programs begin, and checks what
-// they are worth. Without them, engines that are full for a minute serve a tenth of what they could.
+// TestPatterns runs all patterns with and without admission control, and checks the value that is
+// earned.
 func TestPatterns(t *testing.T) {
 	for _, p := range patterns() {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
-			before, after := mean(t, p, handOn), mean(t, p, decide)
-			if after < p.least || after < before+p.gain {
-				t.Errorf("worth %.3f, want %.3f and %.3f more than %.3f", after, p.least, p.gain, before)
+			without, with := meanValue(t, p, placeAll), meanValue(t, p, placeAdmitted)
+			if with < p.minValue || with < without+p.minGain {
+				t.Errorf("value %.3f, want at least %.3f, and a gain of at least %.3f over %.3f", with, p.minValue, p.minGain, without)
 			}
 		})
 	}
 }
 
-// TestPlacersOfLargeFleet checks that a box of a large fleet counts no more boxes than a replica has places, however many
-// it is told of: programs stay with the replicas that hold their prompts. With all 40 owners counted, 0.85 of the value was
-// reached in time, and 15.5 million prompt tokens were read.
+// TestPlacersOfLargeFleet checks that a box counts no more placing boxes than a replica has slots,
+// however many it is told of. Otherwise programs leave the replicas that cache their prompts.
 func TestPlacersOfLargeFleet(t *testing.T) {
-	p := pattern{size: twoHundred, kinds: wideKinds(), model: few, engines: 62, length: 10 * time.Second, load: burst(8*time.Second, "", 2.1)}
+	p := pattern{size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)}
 	for _, placers := range []int{0, twoHundred.owners, twoHundred.boxes} {
 		p.size.placers = placers
-		res := play(t, p, decide, 1)
-		t.Logf("told of %d: %v", placers, res)
-		if res.worth() < 0.88 || res.read > 13_500_000 {
-			t.Errorf("told of %d: worth %.3f, %d tokens read", placers, res.worth(), res.read)
+		res := play(t, p, placeAdmitted, 1)
+		t.Logf("told of %d boxes: %v", placers, res)
+		if res.value() < 0.88 || res.prefilled > 13_500_000 {
+			t.Errorf("told of %d boxes: value %.3f, %d tokens prefilled", placers, res.value(), res.prefilled)
 		}
 	}
 }
 
-// TestFewOwners checks a burst at a fleet of 64 boxes of which 14 own all slots, 5 in a zone: replicas get
-// calls from the owners of all zones, so that counting those of one zone alone fills the replicas that hold prompts.
+// TestFewOwners checks a burst on a fleet where few boxes own all programs. Replicas get calls from
+// the owners in all zones, so that counting only those of one zone would overload the replicas that
+// cache prompts.
 func TestFewOwners(t *testing.T) {
-	p := pattern{size: sixtyFour, kinds: wideKinds(), model: medium, engines: 60, length: 10 * time.Second, load: burst(8*time.Second, "", 2.5)}
+	p := pattern{size: sixtyFour, kinds: largeFleetKinds(), spec: medium, engines: 60, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.5)}
 	const seeds = 3
-	worth := 0.0
+	value := 0.0
 	for seed := range seeds {
-		res := play(t, p, decide, uint64(1+seed))
+		res := play(t, p, placeAdmitted, uint64(1+seed))
 		t.Logf("%v", res)
-		worth += res.worth() / seeds
+		value += res.value() / seeds
 	}
-	if worth < 0.88 {
-		t.Errorf("worth %.3f", worth)
+	if value < 0.88 {
+		t.Errorf("value %.3f, want at least 0.88", value)
 	}
 }
