--- a/gate/target/admission.go
+++ b/gate/target/admission.go
@@ -6,89 +6,89 @@
 	"mulleingate.dev/gate/sched"
 )
 
-func (t *Targets) admission(service string) *sched.Admission {
-	in, ok := t.admissions[service]
+// admissionFor returns the admission state of the service, which it creates if needed.
+func (t *Targets) admissionFor(service string) *sched.Admission {
+	adm, ok := t.admissions[service]
 	if !ok {
-		in = sched.NewAdmission()
-		t.admissions[service] = in
+		adm = sched.NewAdmission()
+		t.admissions[service] = adm
 	}
-	return in
+	return adm
 }
 
-// Admit decides whether the program of a turn may begin.
+// Admit decides whether the program of a turn may start.
 func (t *Targets) Admit(ask Ask) sched.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	service := t.draw(ask.Services)
-	in := t.admission(service)
-	in.Overload.Reported(now, t.taken(now, service))
-	return in.Admit(now, ask.Turn)
+	service := t.pickService(ask.Services)
+	adm := t.admissionFor(service)
+	adm.Overload.Reported(now, t.slotDemand(now, service))
+	return adm.Admit(now, ask.Turn)
 }
 
-// taken is the part of a service's places that is taken, by the reports that are known; negative
-// without any.
-func (t *Targets) taken(now time.Time, service string) float64 {
-	r := t.reported(now, service)
-	if r.places == 0 {
+// slotDemand returns the ratio of a service's running and waiting calls to its slots, by recent load
+// reports; negative without reports.
+func (t *Targets) slotDemand(now time.Time, service string) float64 {
+	totals := t.loadTotals(now, service)
+	if totals.slots == 0 {
 		return -1
 	}
-	return float64(r.calls) / float64(r.places)
+	return float64(totals.calls) / float64(totals.slots)
 }
 
-// reports sums up what the replicas of a service reported lately.
-type reports struct {
-	// places is how many calls they run at once, taken how many of those are taken, and calls all that run or
-	// wait.
-	places, taken, calls int
+// loadTotals sums the recent load reports of a service's replicas.
+type loadTotals struct {
+	// slots is the number of calls that the replicas run at once, usedSlots how many of these slots are
+	// in use, and calls the number of running and waiting calls.
+	slots, usedSlots, calls int
 }
 
-func (t *Targets) reported(now time.Time, service string) reports {
-	var sum reports
+func (t *Targets) loadTotals(now time.Time, service string) loadTotals {
+	var sum loadTotals
 	for _, s := range t.services[service] {
-		if s.Draining || s.missing || now.Sub(s.loadAt) > loadFor {
+		if s.Draining || s.missing || now.Sub(s.loadAt) > loadMaxAge {
 			continue
 		}
 		calls := s.load.Running + s.load.Waiting
-		sum.places += s.Slots
-		sum.taken += min(calls, s.Slots)
+		sum.slots += s.Slots
+		sum.usedSlots += min(calls, s.Slots)
 		sum.calls += calls
 	}
 	return sum
 }
 
-// First notes the time from the lease to the answer's first event.
+// First records the time from the lease to the answer's first event.
 func (l *Lease) First(took time.Duration) {
 	if l.ask.Prompt == nil {
 		return
 	}
-	t := l.owner
+	t := l.targets
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l.first = took
-	if l.calm {
-		t.admission(l.state.Service).Figures.First(took, l.missing())
+	l.firstEventAfter = took
+	if l.lightLoad {
+		t.admissionFor(l.state.Service).Figures.First(took, l.uncachedTokens())
 	}
 }
 
-// missing is how much of the prompt is believed to be read, in tokens.
-func (l *Lease) missing() int {
+// uncachedTokens estimates how many tokens of the prompt the replica still has to read.
+func (l *Lease) uncachedTokens() int {
 	return max(0, l.ask.Prompt.Tokens-l.Cached)
 }
 
-// turnDone notes the end of a turn that had a place. Gap is the mean time between its events, zero
-// if it is not known.
-func (t *Targets) turnDone(l *Lease, out Outcome, gap time.Duration) {
-	in := t.admission(l.state.Service)
+// finishTurn records the end of a turn. gap is the mean interval between its events; zero if unknown.
+func (t *Targets) finishTurn(l *Lease, out Outcome, gap time.Duration) {
+	adm := t.admissionFor(l.state.Service)
 	now := time.Now()
-	in.End(now, l.ask.Turn)
-	if out != Answered || gap <= 0 || l.first <= 0 {
+	adm.End(now, l.ask.Turn)
+	if out != Answered || gap <= 0 || l.firstEventAfter <= 0 {
 		return
 	}
-	if l.calm {
-		in.Figures.Gap(gap)
+	if l.lightLoad {
+		adm.Figures.Gap(gap)
 	}
-	held := now.Sub(l.begun)
-	events := 1 + int((held-l.first+gap/2)/gap)
-	in.Answered(now, l.ask.Turn, in.Figures.Ideal(l.missing(), events))
+	total := now.Sub(l.startedAt)
+	events := 1 + int((total-l.firstEventAfter+gap/2)/gap)
+	adm.Answered(now, l.ask.Turn, adm.Figures.Ideal(l.uncachedTokens(), events))
 }
--- a/gate/target/bench_test.go
+++ b/gate/target/bench_test.go
@@ -7,13 +7,12 @@
 	"mulleingate.dev/gate/work"
 )
 
-// BenchmarkTake places a model call among 300 replicas: 32 us, a quarter of which sums up what replicas
-// report; 24 us without that.
+// BenchmarkTake places model calls among 300 replicas.
 func BenchmarkTake(b *testing.B) {
 	t, _ := newTargets(300, true)
 	asks := make([]Ask, 64)
 	for i := range asks {
-		asks[i] = Ask{Work: "w", Services: toS, Seen: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
+		asks[i] = Ask{Work: "w", Services: splitToS, Seen: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
 			Tokens: 1500, Parts: []work.Part{{ID: fmt.Sprintf("shared%d", i%3), Tokens: 500}, {ID: fmt.Sprintf("own%d", i), Tokens: 1000}},
 		}}
 	}
--- a/gate/target/bound.go
+++ b/gate/target/bound.go
@@ -7,74 +7,76 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Bounds are what holds for calls at any replica.
+// Bounds limit the calls to all replicas.
 type Bounds struct {
-	// Regions tells the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions work.Regions
-	// Cold bounds what cold replicas get.
+	// Cold limits the calls to cold replicas.
 	Cold sched.ColdBounds
 }
 
-// clockSlack is how far the clocks of a replica and of this box may differ.
-const clockSlack = 500 * time.Millisecond
+// maxClockSkew is the largest expected difference between the clocks of a replica and of this box.
+const maxClockSkew = 500 * time.Millisecond
 
 // Bind sets the bounds. It must be called before the first lease.
 func (t *Targets) Bind(bounds Bounds) {
 	t.bounds = bounds
 }
 
-// OnWarming asks may whether this box is the one of its availability zone that sends calls to a cold replica. It
-// must be called before the first lease.
+// OnWarming registers may, which reports whether this box is the one in its availability zone that sends
+// calls to a cold replica. It must be called before the first lease.
 func (t *Targets) OnWarming(may func(rep work.Replica, model bool) bool) {
-	t.warms = may
+	t.warmsReplica = may
 }
 
-// Evacuate takes the availability zones whose replicas get nothing further until they are taken back.
+// Evacuate sets the availability zones whose replicas get no new calls, in place of those set before.
 func (t *Targets) Evacuate(zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evacuated = zones
 }
 
-// barred reports that the call must not go to the replica, even if no other is left.
-func (t *Targets) barred(now time.Time, s *state, svc work.Service, ask Ask) bool {
+// excluded reports whether the call must not go to the replica, even if no other is available.
+func (t *Targets) excluded(now time.Time, s *state, svc work.Service, ask Ask) bool {
 	if t.evacuated[s.Zone] || !t.bounds.Regions.Allow(ask.Regions, s.Zone) {
 		return true
 	}
 	return s.cold(now, svc) && !t.mayWarm(now, s, svc)
 }
 
-// cold reports that the replica bears few calls: it said so, or it has started so lately that it can't be known to
-// be warm. Clocks may jump, so that a start counts as late only for a while from when it was listed.
+// cold reports whether the replica can take only few calls: its entry says so, or it started so recently
+// that it may not be warm yet. Since clocks may jump, the start time counts only for a while after the
+// replica was listed.
 func (s *state) cold(now time.Time, svc work.Service) bool {
 	if now.Before(s.coldUntil) {
 		return true
 	}
-	if svc.ColdFor <= 0 || s.Born.IsZero() || now.Sub(s.listedAt) > svc.ColdFor+clockSlack {
+	if svc.ColdFor <= 0 || s.Born.IsZero() || now.Sub(s.listedAt) > svc.ColdFor+maxClockSkew {
 		return false
 	}
-	return now.Sub(s.Born) < svc.ColdFor+clockSlack
+	return now.Sub(s.Born) < svc.ColdFor+maxClockSkew
 }
 
-// mayWarm reports whether this box may send the cold replica one call more.
+// mayWarm reports whether this box may send the cold replica one more call.
 func (t *Targets) mayWarm(now time.Time, s *state, svc work.Service) bool {
 	if svc.ColdRate <= 0 {
 		return true
 	}
-	most := t.bounds.Cold.Share(svc.ColdRate, len(t.bounds.Regions))
-	return s.sent.Free(now, most) && t.warms(s.Replica, t.model(s))
+	maxCalls := t.bounds.Cold.Share(svc.ColdRate, len(t.bounds.Regions))
+	return s.coldCalls.Free(now, maxCalls) && t.warmsReplica(s.Replica, t.isModel(s))
 }
 
-// service is what is configured of the service.
-func (t *Targets) service(name string) work.Service {
+// serviceConfig returns the configuration of the service, or a zero value if there is none.
+func (t *Targets) serviceConfig(name string) work.Service {
 	if t.conf == nil {
 		return work.Service{}
 	}
 	return t.conf.Services[name]
 }
 
-// cool notes how long the replica says that it stays cold.
-func (s *state) cool(now time.Time) {
+// extendCold records how long the replica's entry says that it stays cold. It never shortens the cold
+// phase.
+func (s *state) extendCold(now time.Time) {
 	if until := now.Add(s.Cold); until.After(s.coldUntil) {
 		s.coldUntil = until
 	}
--- a/gate/target/choose.go
+++ b/gate/target/choose.go
@@ -8,39 +8,40 @@
 	"mulleingate.dev/gate/work"
 )
 
-// loadFor is how long a replica's own report is used.
-const loadFor = 2 * time.Second
+// loadMaxAge is how long a load report is used.
+const loadMaxAge = 2 * time.Second
 
-// choice is a candidate with its cost.
+// choice is a candidate with the estimate of its state and the expected cost of the call there.
 type choice struct {
-	state  *state
-	belief sched.Belief
-	score  time.Duration
+	state    *state
+	estimate sched.Belief
+	cost     time.Duration
 }
 
-// choose returns the replica of least expected cost, drawn among those near to it, and the
-// number of candidates. Avoided and suspect replicas are taken only if no other is left.
+// choose returns a replica with nearly the lowest expected cost and the number of candidates. Suspect and
+// ejected replicas are used only if no other of the service is available, and other services of the route
+// only after those.
 func (t *Targets) choose(now time.Time, ask Ask, service string) (choice, int) {
-	best, among := t.among(now, ask, service, false)
+	best, candidates := t.pickReplica(now, ask, service, false)
 	if best.state == nil {
-		best, among = t.among(now, ask, service, true)
+		best, candidates = t.pickReplica(now, ask, service, true)
 	}
 	if best.state != nil || len(ask.Services) < 2 {
-		return best, among
+		return best, candidates
 	}
 	for _, split := range ask.Services {
 		if split.Service == service || split.Weight == 0 {
 			continue
 		}
-		if best, among = t.among(now, ask, split.Service, true); best.state != nil {
-			return best, among
+		if best, candidates = t.pickReplica(now, ask, split.Service, true); best.state != nil {
+			return best, candidates
 		}
 	}
-	return best, among
+	return best, candidates
 }
 
-// draw chooses a service by the weights of a route.
-func (t *Targets) draw(splits []work.Split) string {
+// pickService selects a service at random, by the weights of the route.
+func (t *Targets) pickService(splits []work.Split) string {
 	sum := 0
 	for _, split := range splits {
 		sum += split.Weight
@@ -48,54 +49,56 @@
 	if sum == 0 {
 		return splits[0].Service
 	}
-	at := t.rng.IntN(sum)
+	pick := t.rng.IntN(sum)
 	for _, split := range splits {
-		if at < split.Weight {
+		if pick < split.Weight {
 			return split.Service
 		}
-		at -= split.Weight
+		pick -= split.Weight
 	}
 	return splits[len(splits)-1].Service
 }
 
-func (t *Targets) among(now time.Time, ask Ask, service string, desperate bool) (choice, int) {
-	t.found, t.costs = t.found[:0], t.costs[:0]
-	ejector := t.eject(service)
-	lapsed := t.lapsed(service)
-	svc := t.service(service)
-	call := sched.Call{Model: ask.Prompt != nil, Usual: t.usually(ask.Work)}
-	usualLoad := 0.0
+// pickReplica selects among the usable replicas of a service. With lastResort, it includes suspect and
+// ejected ones.
+func (t *Targets) pickReplica(now time.Time, ask Ask, service string, lastResort bool) (choice, int) {
+	t.candidates, t.costs = t.candidates[:0], t.costs[:0]
+	ejector := t.ejectorFor(service)
+	lapsed := t.entriesLapsed(service)
+	svc := t.serviceConfig(service)
+	call := sched.Call{Model: ask.Prompt != nil, Usual: t.unitTime(ask.Work)}
+	utilization := 0.0
 	if call.Model {
 		call.Prompt = ask.Prompt.Tokens
-		usualLoad = t.placesTaken(now, service)
+		utilization = t.slotUtilization(now, service)
 	}
-	figures := &t.admission(service).Figures
+	figures := &t.admissionFor(service).Figures
 	for _, s := range t.services[service] {
-		if s.Draining || s.busy >= t.part(svc.Connections, s.level) || (s.missing && !lapsed) || slices.Contains(ask.Avoid, s.ID) || t.barred(now, s, svc, ask) {
+		if s.Draining || s.inFlight >= t.connectionShare(svc.Connections, s.level) || (s.missing && !lapsed) || slices.Contains(ask.Avoid, s.ID) || t.excluded(now, s, svc, ask) {
 			continue
 		}
-		if !desperate && (now.Before(s.suspect) || ejector.Ejected(now, s.ID)) {
+		if !lastResort && (now.Before(s.suspectUntil) || ejector.Ejected(now, s.ID)) {
 			continue
 		}
-		t.found = append(t.found, s)
-		t.costs = append(t.costs, figures.Cost(call, t.belief(now, ask, s, usualLoad)))
+		t.candidates = append(t.candidates, s)
+		t.costs = append(t.costs, figures.Cost(call, t.estimate(now, ask, s, utilization)))
 	}
-	at := sched.PickNear(t.costs, t.rng)
-	if at < 0 {
+	pick := sched.PickNear(t.costs, t.rng)
+	if pick < 0 {
 		return choice{}, 0
 	}
-	return choice{state: t.found[at], belief: t.belief(now, ask, t.found[at], usualLoad), score: t.costs[at]}, len(t.found)
+	return choice{state: t.candidates[pick], estimate: t.estimate(now, ask, t.candidates[pick], utilization), cost: t.costs[pick]}, len(t.candidates)
 }
 
-// lapsedShare is the part of a service, one in so many, below which the listed replicas are too
-// few for the rest to have left: planned work replaces replicas a few at a time.
-const lapsedShare = 4
+// lapsedDivisor sets the limit for entriesLapsed: fewer than one in lapsedDivisor replicas is listed.
+// Planned work replaces only a few replicas at a time, so the others cannot all have left.
+const lapsedDivisor = 4
 
-// lapsed reports that so many entries of a service went that they rather lapsed with the log than
-// left with their replicas. Otherwise those that are missing count as gone: a box that heard
-// nothing for a while can't tell its own trouble from the log's, and what left meanwhile must
-// get nothing new.
-func (t *Targets) lapsed(service string) bool {
+// entriesLapsed reports whether so many entries of a service are missing that they probably expired in a
+// log outage while the replicas still run. Otherwise missing replicas count as gone: a box that could not
+// read the log cannot tell its own outage from the log's, and replicas that have left must get no new
+// calls.
+func (t *Targets) entriesLapsed(service string) bool {
 	all, listed := 0, 0
 	for _, s := range t.services[service] {
 		if s.Draining {
@@ -106,33 +109,33 @@
 			listed++
 		}
 	}
-	return listed*lapsedShare < all
+	return listed*lapsedDivisor < all
 }
 
-// belief is what is believed of the replica as to the call. UsualLoad is the part of places taken at those
-// of its service that report.
-func (t *Targets) belief(now time.Time, ask Ask, s *state, usualLoad float64) sched.Belief {
+// estimate returns the input of the cost model for the call at the replica. utilization is the share of
+// slots in use at those replicas of its service that report.
+func (t *Targets) estimate(now time.Time, ask Ask, s *state, utilization float64) sched.Belief {
 	age := now.Sub(s.loadAt)
 	b := sched.Belief{
-		Busy: s.busy, BusyThen: s.busyThen, Slots: s.Slots, Reported: age <= loadFor, Age: age,
-		Placers: 1 + (t.placers-1)>>s.level, UsualLoad: usualLoad, Running: s.load.Running, Waiting: s.load.Waiting, Slow: s.slow, Failing: s.failing(now), Far: s.Zone != t.zone,
+		Busy: s.inFlight, BusyThen: s.inFlightAtReport, Slots: s.Slots, Reported: age <= loadMaxAge, Age: age,
+		Placers: 1 + (t.placers-1)>>s.level, UsualLoad: utilization, Running: s.load.Running, Waiting: s.load.Waiting, Slow: s.slowdown, Failing: s.failureRate(now), Far: s.Zone != t.zone,
 	}
 	if ask.Prompt != nil {
-		b.Cached = t.cached(now, ask, s)
+		b.Cached = t.cachedTokens(now, ask, s)
 		return b
 	}
 	b.Connected = s.pool != nil && s.pool.Connected()
 	return b
 }
 
-// placesTaken is the part of their places that is taken at the replicas of a service that report, zero if none
-// does. Calls that wait at one say nothing of the others.
-func (t *Targets) placesTaken(now time.Time, service string) float64 {
-	r := t.reported(now, service)
-	return float64(r.taken) / float64(max(r.places, 1))
+// slotUtilization returns the share of slots in use at the replicas of a service that report, zero if
+// none does. Waiting calls are not counted, since they say nothing about other replicas.
+func (t *Targets) slotUtilization(now time.Time, service string) float64 {
+	totals := t.loadTotals(now, service)
+	return float64(totals.usedSlots) / float64(max(totals.slots, 1))
 }
 
-// cached estimates how many tokens of the prompt the replica holds.
-func (t *Targets) cached(now time.Time, ask Ask, s *state) int {
-	return min(max(ask.Seen[s.Life()], s.holds(now, ask.Prompt.Parts)), ask.Prompt.Tokens)
+// cachedTokens estimates how many tokens of the prompt are in the replica's cache.
+func (t *Targets) cachedTokens(now time.Time, ask Ask, s *state) int {
+	return min(max(ask.Seen[s.Life()], s.cachedPartTokens(now, ask.Prompt.Parts)), ask.Prompt.Tokens)
 }
--- a/gate/target/doc.go
+++ b/gate/target/doc.go
@@ -1,2 +1,2 @@
-// Package target holds what a box believes of the replicas, and chooses one for each call.
+// Package target tracks the replicas that a box can use and selects one for each call.
 package target
--- a/gate/target/judge.go
+++ b/gate/target/judge.go
@@ -8,106 +8,108 @@
 )
 
 const (
-	// blameShare is the weight of a new outcome in the share of failures, and blameFailed
-	// what a failure that a plain service answers counts: such calls may fail for reasons of
-	// theirs, turns may not.
-	blameShare  = 0.2
-	blameFailed = 0.3
-	// toldShare is what another box's word counts against this box's own experience.
-	toldShare = 0.8
-	// tellShare is the share of failures from which the other boxes are told, two in a row, and
-	// tellEvery the least time between two words on one replica.
-	tellShare = 0.3
-	tellEvery = 500 * time.Millisecond
-	// failsFade is the time in which a share of failures halves by itself.
-	failsFade = 4 * time.Second
+	// failureRateGain is the weight of a new outcome in the failure rate. plainFailureWeight is what an
+	// error answer of a plain service counts: such calls may fail for reasons of their own, turns do not.
+	failureRateGain    = 0.2
+	plainFailureWeight = 0.3
+	// peerReportWeight scales a failure rate that another box reports.
+	peerReportWeight = 0.8
+	// announceThreshold is the failure rate from which the other boxes are told, reached by two failed
+	// turns in a row. announceInterval is the minimum time between two announcements of a replica.
+	announceThreshold = 0.3
+	announceInterval  = 500 * time.Millisecond
+	// failureRateHalfLife is the time in which a failure rate halves without new outcomes.
+	failureRateHalfLife = 4 * time.Second
 )
 
-// blame folds an outcome into the share of failures.
-func (s *state) blame(now time.Time, wrong float64) {
-	share := s.failing(now)
-	s.fails = share + blameShare*(wrong-share)
-	s.failedAt = now
+// recordOutcome folds an outcome into the failure rate. failure is 0 for a success, up to 1 for a
+// failure.
+func (s *state) recordOutcome(now time.Time, failure float64) {
+	rate := s.failureRate(now)
+	s.lastFailureRate = rate + failureRateGain*(failure-rate)
+	s.failureRateAt = now
 }
 
-// failing is the share of failures as of now.
-func (s *state) failing(now time.Time) float64 {
-	if s.fails == 0 {
+// failureRate returns the failure rate, decayed to now.
+func (s *state) failureRate(now time.Time) float64 {
+	if s.lastFailureRate == 0 {
 		return 0
 	}
-	return s.fails * math.Exp2(-now.Sub(s.failedAt).Seconds()/failsFade.Seconds())
+	return s.lastFailureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureRateHalfLife.Seconds())
 }
 
-// queues reports that calls wait at the replica by its own report, so that its silence is
-// for want of a place.
-func (s *state) queues(now time.Time) bool {
-	return now.Sub(s.loadAt) <= loadFor && s.load.Waiting > 0
+// hasQueue reports whether calls wait at the replica by a recent load report, so that a missing answer
+// may only mean that the call is queued.
+func (s *state) hasQueue(now time.Time) bool {
+	return now.Sub(s.loadAt) <= loadMaxAge && s.load.Waiting > 0
 }
 
-// usually is the time of a unit of a kind of work.
-func (t *Targets) usually(kind string) time.Duration {
-	if usual, ok := t.usual[kind]; ok {
+// unitTime returns the expected time of a unit of the kind of work.
+func (t *Targets) unitTime(kind string) time.Duration {
+	if usual, ok := t.meanUnitTime[kind]; ok {
 		return usual
 	}
-	return firstUsual
+	return initialUnitTime
 }
 
-func (t *Targets) judge(s *state, out Outcome) {
+// applyOutcome updates the replica's failure rate and ejection by the outcome of a call.
+func (t *Targets) applyOutcome(s *state, out Outcome) {
 	now := time.Now()
 	switch out {
 	case Answered:
-		s.blame(now, 0)
-		t.eject(s.Service).Good(s.ID)
+		s.recordOutcome(now, 0)
+		t.ejectorFor(s.Service).Good(s.ID)
 	case Failed:
-		s.blame(now, t.fault(s))
-		t.eject(s.Service).Good(s.ID)
-		t.tell(now, s)
+		s.recordOutcome(now, t.failureWeight(s))
+		t.ejectorFor(s.Service).Good(s.ID)
+		t.announceFailing(now, s)
 	case Unreached:
-		s.suspect = now.Add(suspectFor)
-		t.log.Warn("target: replica not reached", "replica", s.ID, "service", s.Service)
+		s.suspectUntil = now.Add(suspectFor)
+		t.log.Warn("target: call did not reach replica", "replica", s.ID, "service", s.Service)
 	case Silent:
-		if !s.queues(now) {
-			s.blame(now, 1)
+		if !s.hasQueue(now) {
+			s.recordOutcome(now, 1)
 		}
 	case Broken:
-		s.blame(now, 1)
-		if t.eject(s.Service).Bad(now, s.ID, len(t.services[s.Service])) {
-			t.log.Warn("target: replica left for a while after failures", "replica", s.ID, "service", s.Service)
+		s.recordOutcome(now, 1)
+		if t.ejectorFor(s.Service).Bad(now, s.ID, len(t.services[s.Service])) {
+			t.log.Warn("target: replica ejected after repeated failures", "replica", s.ID, "service", s.Service)
 		}
 	case Refused, Dropped:
 	}
 }
 
-// fault is what a failure that the replica answers counts, 0 to 1.
-func (t *Targets) fault(s *state) float64 {
-	if t.model(s) {
+// failureWeight returns what an error answer of the replica counts in its failure rate, 0 to 1.
+func (t *Targets) failureWeight(s *state) float64 {
+	if t.isModel(s) {
 		return 1
 	}
-	return blameFailed
+	return plainFailureWeight
 }
 
-// model reports whether the replica runs turns.
-func (t *Targets) model(s *state) bool {
-	return t.service(s.Service).Engine != nil
+// isModel reports whether the replica serves a model.
+func (t *Targets) isModel(s *state) bool {
+	return t.serviceConfig(s.Service).Engine != nil
 }
 
-// tell has the other boxes know of a replica that fails its calls, so that not each of them
-// has to lose some first.
-func (t *Targets) tell(now time.Time, s *state) {
-	share := s.failing(now)
-	if share < tellShare || now.Sub(s.toldAt) < tellEvery {
+// announceFailing tells the other boxes about a replica that fails calls, so that they need not lose
+// calls to find out.
+func (t *Targets) announceFailing(now time.Time, s *state) {
+	rate := s.failureRate(now)
+	if rate < announceThreshold || now.Sub(s.announcedAt) < announceInterval {
 		return
 	}
-	s.toldAt = now
-	t.log.Info("target: replica fails calls", "replica", s.ID, "service", s.Service, "share", share)
-	t.failing(s.Replica, share)
+	s.announcedAt = now
+	t.log.Info("target: replica fails calls", "replica", s.ID, "service", s.Service, "share", rate)
+	t.onFailing(s.Replica, rate)
 }
 
-func (t *Targets) eject(service string) *limit.Ejector {
-	e, ok := t.ejector[service]
+// ejectorFor returns the ejector of the service, which it creates if needed.
+func (t *Targets) ejectorFor(service string) *limit.Ejector {
+	e, ok := t.ejectors[service]
 	if !ok {
 		e = limit.NewEjector()
-		t.ejector[service] = e
+		t.ejectors[service] = e
 	}
 	return e
 }
--- a/gate/target/lease.go
+++ b/gate/target/lease.go
@@ -7,23 +7,23 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Lease is a place at a replica. Done must be called once.
+// Lease is a call's place at a replica. Done must be called exactly once.
 type Lease struct {
 	Replica work.Replica
-	// Cached is how much of the prompt the replica is believed to hold, in tokens.
+	// Cached is the estimated number of prompt tokens in the replica's cache.
 	Cached int
-	// Score is what the call was expected to cost there; Among the candidates.
+	// Score is the expected cost of the call at the replica, and Among the number of candidates.
 	Score time.Duration
 	Among int
 
-	owner *Targets
-	state *state
-	ask   Ask
-	begun time.Time
-	// first is the time to the answer's first event, zero before it.
-	first time.Duration
-	// calm says that the replica had little to do when the call came.
-	calm bool
+	targets   *Targets
+	state     *state
+	ask       Ask
+	startedAt time.Time
+	// firstEventAfter is the time from the lease to the answer's first event, zero before it.
+	firstEventAfter time.Duration
+	// lightLoad says that the replica had little load when the call was placed.
+	lightLoad bool
 }
 
 // Pool returns the connections to the replica.
@@ -31,62 +31,62 @@
 	return l.state.pool
 }
 
-// Guard is a context that also ends once the replica is known to have started anew: the call is lost, and its
-// caller can come again at once. The function must be called after the call.
+// Guard returns a context that is also cancelled once the replica is known to have restarted: the call is
+// lost, and its caller can retry at once. The returned function must be called after the call.
 func (l *Lease) Guard(ctx context.Context) (context.Context, func()) {
 	ctx, stop := context.WithCancel(ctx)
 	if l.state == nil {
 		return ctx, stop
 	}
-	apart := context.AfterFunc(l.state.life, stop)
+	stopWatch := context.AfterFunc(l.state.ctx, stop)
 	return ctx, func() {
-		apart()
+		stopWatch()
 		stop()
 	}
 }
 
-// Outcome is how a lease ended.
+// Outcome is how a leased call ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a leased call.
 const (
-	// Answered means a whole answer.
+	// Answered means that the whole answer arrived.
 	Answered Outcome = iota
-	// Refused means that the replica said it did not run the call.
+	// Refused means that the replica reported that it did not run the call.
 	Refused
-	// Unreached means that no connection came up.
+	// Unreached means that the call did not reach the replica, usually for lack of a connection.
 	Unreached
-	// Broken means that the answer did not come, or not whole.
+	// Broken means that the answer did not arrive or was incomplete.
 	Broken
-	// Failed means a whole answer that says that the replica failed the call.
+	// Failed means that a whole answer reported that the replica failed the call.
 	Failed
-	// Silent means that nothing came for so long that the caller left.
+	// Silent means that the caller left after the replica had sent nothing for long.
 	Silent
-	// Dropped means that the caller left or its time ran out; it says nothing of the replica.
+	// Dropped means that the caller left or its time ran out; it says nothing about the replica.
 	Dropped
 )
 
-// Done gives the place back. Took is the time of a unit of work; zero if unknown.
+// Done releases the place. took is the time of a unit of work; zero if unknown.
 func (l *Lease) Done(out Outcome, took time.Duration) {
-	t, s := l.owner, l.state
+	t, s := l.targets, l.state
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s.busy--
+	s.inFlight--
 	if l.ask.Prompt != nil {
-		t.turnDone(l, out, took)
+		t.finishTurn(l, out, took)
 	}
 	if took > 0 {
-		usual, ok := t.usual[l.ask.Work]
+		mean, ok := t.meanUnitTime[l.ask.Work]
 		if !ok {
-			usual = took
+			mean = took
 		}
-		t.usual[l.ask.Work] = usual + time.Duration(smoothUsual*float64(took-usual))
-		s.slow += smooth * (float64(took)/float64(usual) - s.slow)
+		t.meanUnitTime[l.ask.Work] = mean + time.Duration(unitTimeGain*float64(took-mean))
+		s.slowdown += slowdownGain * (float64(took)/float64(mean) - s.slowdown)
 	}
-	if !s.gone {
-		t.judge(s, out)
+	if !s.removed {
+		t.applyOutcome(s, out)
 	}
-	if s.gone && s.busy == 0 && s.pool != nil {
+	if s.removed && s.inFlight == 0 && s.pool != nil {
 		s.pool.Close()
 	}
 }
--- a/gate/target/parts.go
+++ b/gate/target/parts.go
@@ -7,50 +7,51 @@
 )
 
 const (
-	// maxParts bounds the parts of prompts remembered for a replica: those of some hundred programs.
-	maxParts = 512
-	// partFor is how long a shared part is believed to stay in a replica's memory unused.
-	partFor = 30 * time.Second
+	// maxPromptParts bounds the prompt parts remembered for a replica: enough for some hundred programs.
+	maxPromptParts = 512
+	// promptPartTTL is how long a replica is assumed to keep an unused part in its cache.
+	promptPartTTL = 30 * time.Second
 )
 
-// part is a piece of a prompt that a replica was sent.
-type part struct {
+// cachedPart is a part of a prompt that was sent to a replica.
+type cachedPart struct {
 	tokens int
-	at     time.Time
+	sentAt time.Time
 }
 
-// remember notes the parts of a prompt that the replica gets to read.
-func (s *state) remember(now time.Time, parts []work.Part) {
+// rememberParts records the parts of a prompt that is sent to the replica. Beyond maxPromptParts, it
+// evicts expired parts first, then any.
+func (s *state) rememberParts(now time.Time, parts []work.Part) {
 	for _, p := range parts {
-		s.parts[p.ID] = part{tokens: p.Tokens, at: now}
+		s.promptParts[p.ID] = cachedPart{tokens: p.Tokens, sentAt: now}
 	}
-	if len(s.parts) <= maxParts {
+	if len(s.promptParts) <= maxPromptParts {
 		return
 	}
-	for id, p := range s.parts {
-		if now.Sub(p.at) > partFor {
-			delete(s.parts, id)
+	for id, p := range s.promptParts {
+		if now.Sub(p.sentAt) > promptPartTTL {
+			delete(s.promptParts, id)
 		}
 	}
-	for id := range s.parts {
-		if len(s.parts) <= maxParts {
+	for id := range s.promptParts {
+		if len(s.promptParts) <= maxPromptParts {
 			return
 		}
-		delete(s.parts, id)
+		delete(s.promptParts, id)
 	}
 }
 
-// holds is how many tokens of a prompt's parts the replica is believed to hold: a part is of use
-// only with all before it.
-func (s *state) holds(now time.Time, parts []work.Part) int {
+// cachedPartTokens estimates how many leading tokens of a prompt the replica caches: a part is usable
+// only together with all parts before it.
+func (s *state) cachedPartTokens(now time.Time, parts []work.Part) int {
 	sum := 0
 	for _, p := range parts {
-		have, ok := s.parts[p.ID]
-		if !ok || now.Sub(have.at) >= partFor {
+		cached, ok := s.promptParts[p.ID]
+		if !ok || now.Sub(cached.sentAt) >= promptPartTTL {
 			break
 		}
-		sum += min(have.tokens, p.Tokens)
-		if have.tokens < p.Tokens {
+		sum += min(cached.tokens, p.Tokens)
+		if cached.tokens < p.Tokens {
 			break
 		}
 	}
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -16,72 +16,75 @@
 )
 
 const (
-	// firstUsual is what a unit of work is expected to take before any was measured.
-	firstUsual = 20 * time.Millisecond
-	// smooth and smoothUsual are the weights of a new duration in the running means of a
-	// replica and of a kind of work. The second follows all replicas, so it moves slowly.
-	smooth      = 0.2
-	smoothUsual = 0.05
-	// suspectFor is how long a replica gets nothing after a connection to it failed, unless
-	// no other is left. About the lag of the list.
+	// initialUnitTime is the assumed time of a unit of work before the first sample.
+	initialUnitTime = 20 * time.Millisecond
+	// slowdownGain and unitTimeGain are the weights of a new sample in the moving averages of a replica's
+	// slowdown and of the unit time of a kind of work. The latter covers all replicas, so it moves more
+	// slowly.
+	slowdownGain = 0.2
+	unitTimeGain = 0.05
+	// suspectFor is how long a replica gets no calls after one did not reach it, unless no other replica
+	// is available. It is about as long as the replica list may lag.
 	suspectFor = time.Second
 )
 
-// state is what is believed of one replica.
+// state is what this box knows about one replica.
 type state struct {
 	work.Replica
-	// busy counts the calls of this box under way there.
-	busy int
-	// slow is the running mean of the time that a unit of work took here against what it
-	// usually takes: 1 for an ordinary replica. A unit is a call of a plain service, or the
-	// time between two events of a model.
-	slow float64
-	// fails is the running share of calls that went wrong lately, 0 to 1, as of failedAt; it
-	// fades with time, so that a replica which is left gets another try.
-	fails    float64
-	failedAt time.Time
-	// toldAt is when the other boxes were last told of it.
-	toldAt time.Time
-	// gone says that the replica is no longer listed, missing that its entry went while the box
-	// heard nothing of the log: it may have left, or its entry lapsed and comes back.
-	gone, missing bool
-	// suspect is until when the replica is avoided after a failed connection.
-	suspect time.Time
-	// level says that one box in 2^level knows the replica.
+	// inFlight counts this box's calls in flight at the replica.
+	inFlight int
+	// slowdown is the moving average of the time of a unit of work here relative to the usual time: 1 for
+	// an ordinary replica. A unit is one call of a plain service, or the interval between two events of a
+	// model's answer.
+	slowdown float64
+	// lastFailureRate is the moving average of failed calls, 0 to 1, as of failureRateAt. It decays with
+	// time, so that an avoided replica is tried again.
+	lastFailureRate float64
+	failureRateAt   time.Time
+	// announcedAt is when this box last told the other boxes that the replica fails calls.
+	announcedAt time.Time
+	// removed is set once the replica is off the list. missing is set if its entry disappeared while the
+	// log was unreachable: the replica may have left, or its entry expired and will be written again.
+	removed, missing bool
+	// suspectUntil is when the replica stops being avoided after a call did not reach it.
+	suspectUntil time.Time
+	// level says that one box in 2^level has the replica in its subset.
 	level int
-	// parts holds the parts of prompts that were sent there lately, by name.
-	parts map[string]part
-	pool  Pool
-	// life ends with end once the replica is known to have started anew: no answer comes of calls before.
-	life context.Context
-	end  context.CancelFunc
-	// listedAt is when the replica came onto the list, coldUntil until when it says that it is cold, and sent when
-	// calls went there while it was.
+	// promptParts holds the prompt parts that were recently sent to the replica, by ID.
+	promptParts map[string]cachedPart
+	pool        Pool
+	// ctx is cancelled by cancel once the replica is known to have restarted, since earlier calls then
+	// get no answer.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// listedAt is when the replica was listed, coldUntil the end of its cold phase by its own entry, and
+	// coldCalls the times of the calls sent to it while it was cold.
 	listedAt, coldUntil time.Time
-	sent                sched.Sent
-	// load is its own report, loadAt when it came, and busyThen what busy was.
+	coldCalls           sched.Sent
+	// load is the newest load report, loadAt when it arrived, and inFlightAtReport the value of inFlight
+	// then.
 	load work.Load
-	// placedAt is when this box last took a place for a turn there.
-	placedAt time.Time
-	loadAt   time.Time
-	busyThen int
+	// lastTurnAt is when this box last placed a turn there.
+	lastTurnAt       time.Time
+	loadAt           time.Time
+	inFlightAtReport int
 }
 
-// Pool is the connections to a replica.
+// Pool holds the connections to a replica.
 type Pool interface {
 	Close()
-	// Limit bounds the connections open at once.
+	// Limit sets the maximum number of open connections.
 	Limit(connections int)
-	// Connected reports whether a call now needs no new connection.
+	// Connected reports whether a call could now reuse an idle connection.
 	Connected() bool
 }
 
-// Opener makes the connections to a replica.
+// Opener creates the connection pool of a replica.
 type Opener interface {
 	Open(rep work.Replica, connections int) Pool
 }
 
-// Targets is what a box believes of all replicas.
+// Targets tracks the replicas of all services and places calls at them.
 type Targets struct {
 	zone   string
 	opener Opener
@@ -90,50 +93,50 @@
 	mu       sync.Mutex
 	byID     map[string]*state
 	services map[string][]*state
-	ejector  map[string]*limit.Ejector
-	// usual is the running mean of the time of a unit of work, by kind of work.
-	usual map[string]time.Duration
-	// admissions holds what decides on the turns of each service.
+	ejectors map[string]*limit.Ejector
+	// meanUnitTime is the moving average of the time of a unit of work, by kind of work.
+	meanUnitTime map[string]time.Duration
+	// admissions holds the admission state of each service.
 	admissions map[string]*sched.Admission
 	conf       *work.Config
 	bounds     Bounds
-	// evacuated holds the availability zones whose replicas get nothing further.
+	// evacuated holds the availability zones whose replicas get no new calls.
 	evacuated map[string]bool
-	// levels are those at which this box's part of the replicas was drawn.
+	// levels are the subset levels at which this box's replicas were selected.
 	levels subset.Levels
-	// warms tells whether this box may send calls to a cold replica; it must not block.
-	warms func(rep work.Replica, model bool) bool
-	// found and costs hold the candidates of one choice, kept so that none need be made anew.
-	found []*state
-	costs []time.Duration
-	// placers is the number of boxes that place calls at the same replicas, this one included.
+	// warmsReplica reports whether this box may send calls to a cold replica; it must not block.
+	warmsReplica func(rep work.Replica, model bool) bool
+	// candidates and costs are buffers that each selection reuses, to avoid allocations.
+	candidates []*state
+	costs      []time.Duration
+	// placers is the number of boxes that place calls at the same replicas, including this one.
 	placers int
 	boxes   int
 	rng     *rand.Rand
-	// failing is told of replicas that fail calls; it must not block.
-	failing func(rep work.Replica, share float64)
+	// onFailing is called for replicas that fail calls; it must not block.
+	onFailing func(rep work.Replica, share float64)
 }
 
-// New makes targets without replicas for a box of the zone.
+// New returns Targets without replicas for a box in the zone.
 func New(zone string, opener Opener, log *slog.Logger) *Targets {
 	return &Targets{
 		zone: zone, opener: opener, log: log, boxes: 1, placers: 1,
-		byID: map[string]*state{}, services: map[string][]*state{}, ejector: map[string]*limit.Ejector{},
-		usual:      map[string]time.Duration{},
-		admissions: map[string]*sched.Admission{},
-		rng:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		failing:    func(work.Replica, float64) {},
-		warms:      func(work.Replica, bool) bool { return true },
+		byID: map[string]*state{}, services: map[string][]*state{}, ejectors: map[string]*limit.Ejector{},
+		meanUnitTime: map[string]time.Duration{},
+		admissions:   map[string]*sched.Admission{},
+		rng:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		onFailing:    func(work.Replica, float64) {},
+		warmsReplica: func(work.Replica, bool) bool { return true },
 	}
 }
 
-// OnFailing calls do with a replica that says that it fails calls, and the share of those that
-// this box saw, 0 to 1. It must be called before the first lease.
+// OnFailing registers do, which is called with a replica whose answers report failures and with its
+// failure rate, 0 to 1. It must be called before the first lease.
 func (t *Targets) OnFailing(do func(rep work.Replica, share float64)) {
-	t.failing = do
+	t.onFailing = do
 }
 
-// Failing takes another box's word that a replica fails a share of its calls.
+// Failing records a failure rate that another box observed at a replica, unless the known rate is higher.
 func (t *Targets) Failing(id string, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,102 +145,103 @@
 		return
 	}
 	now := time.Now()
-	if told := toldShare * min(max(share, 0), 1); told > s.failing(now) {
-		s.fails, s.failedAt = told, now
+	if reported := peerReportWeight * min(max(share, 0), 1); reported > s.failureRate(now) {
+		s.lastFailureRate, s.failureRateAt = reported, now
 	}
 }
 
-// Configure takes a configuration.
+// Configure applies a configuration.
 func (t *Targets) Configure(conf *work.Config) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conf = conf
-	t.limitPools()
+	t.updatePoolLimits()
 }
 
-// Boxes takes the number of boxes that share the replicas' connections.
+// Boxes sets the number of boxes that share the replicas' connections.
 func (t *Targets) Boxes(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.boxes = max(n, 1)
-	t.limitPools()
+	t.updatePoolLimits()
 }
 
-// Placers takes the number of boxes that place calls at the same replicas, this one included.
+// Placers sets the number of boxes that place calls at the same replicas, including this one.
 func (t *Targets) Placers(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.placers = max(n, 1)
 }
 
-// limitPools gives all connections to replicas their share.
-func (t *Targets) limitPools() {
+// updatePoolLimits applies this box's current connection limit to every pool.
+func (t *Targets) updatePoolLimits() {
 	for _, s := range t.byID {
 		if s.pool != nil {
-			s.pool.Limit(t.share(s))
+			s.pool.Limit(t.maxConnections(s))
 		}
 	}
 }
 
-// Put takes a replica as listed.
+// Put adds or updates a listed replica. An entry of an earlier start is ignored.
 func (t *Targets) Put(rep work.Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	have, ok := t.byID[rep.ID]
-	if ok && rep.Born.Before(have.Born) && !rep.Born.IsZero() {
-		return // what is known is of a later start
+	known, ok := t.byID[rep.ID]
+	if ok && rep.Born.Before(known.Born) && !rep.Born.IsZero() {
+		return // the known state is of a later start
 	}
-	if ok && have.Addr == rep.Addr && have.Service == rep.Service && !rep.Reborn(have.Replica) {
+	if ok && known.Addr == rep.Addr && known.Service == rep.Service && !rep.Reborn(known.Replica) {
 		if rep.Born.IsZero() {
-			rep.Born = have.Born
+			rep.Born = known.Born
 		}
-		if rep.Draining && !have.Draining {
-			t.log.Info("target: replica drains", "replica", rep.ID, "service", rep.Service)
+		if rep.Draining && !known.Draining {
+			t.log.Info("target: replica is draining", "replica", rep.ID, "service", rep.Service)
 		}
-		if have.Draining && !rep.Draining {
-			t.log.Warn("target: replica that drained takes work again", "replica", rep.ID, "service", rep.Service)
+		if known.Draining && !rep.Draining {
+			t.log.Warn("target: draining replica accepts work again", "replica", rep.ID, "service", rep.Service)
 		}
-		have.Replica, have.missing = rep, false
-		have.cool(time.Now())
+		known.Replica, known.missing = rep, false
+		known.extendCold(time.Now())
 		return
 	}
-	if ok && rep.Reborn(have.Replica) {
-		t.bury(have)
+	if ok && rep.Reborn(known.Replica) {
+		t.discardRestarted(known)
 	} else if ok {
-		t.remove(have)
+		t.remove(known)
 	}
 	t.add(rep)
 }
 
-// bury forgets a start of a replica that is over.
-func (t *Targets) bury(s *state) {
+// discardRestarted removes the state of a replica's earlier start and cancels the calls in flight there.
+func (t *Targets) discardRestarted(s *state) {
 	t.remove(s)
-	t.eject(s.Service).Good(s.ID)
-	s.end()
+	t.ejectorFor(s.Service).Good(s.ID)
+	s.cancel()
 }
 
-// add takes a replica of which nothing is known.
+// add starts to track a replica without any history.
 func (t *Targets) add(rep work.Replica) {
-	s := &state{Replica: rep, slow: 1, parts: map[string]part{}, listedAt: time.Now()}
-	s.cool(s.listedAt)
-	s.life, s.end = context.WithCancel(context.Background())
+	s := &state{Replica: rep, slowdown: 1, promptParts: map[string]cachedPart{}, listedAt: time.Now()}
+	s.extendCold(s.listedAt)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.level = t.levels[subset.Group(rep.Service, rep.Zone)]
 	t.byID[rep.ID] = s
 	t.services[rep.Service] = append(t.services[rep.Service], s)
 	t.log.Info("target: replica listed", "replica", rep.ID, "service", rep.Service, "zone", rep.Zone, "born", rep.Born)
 }
 
-// reborn takes a replica that has started anew under its name: nothing that was believed of it holds, and calls
-// under way there are lost. Whether it drains, the list says again.
-func (t *Targets) reborn(s *state, born time.Time) {
+// replaceRestarted resets a replica that has restarted under the same ID. Nothing known about the earlier
+// start applies any more, and calls in flight there are lost. Its next list entry says whether it is
+// draining.
+func (t *Targets) replaceRestarted(s *state, born time.Time) {
 	rep := s.Replica
 	rep.Born, rep.Draining, rep.Cold = born, false, 0
-	t.bury(s)
-	t.log.Warn("target: replica started anew", "replica", rep.ID, "service", rep.Service, "born", born)
+	t.discardRestarted(s)
+	t.log.Warn("target: replica restarted", "replica", rep.ID, "service", rep.Service, "born", born)
 	t.add(rep)
 }
 
-// Miss takes a replica as missing: what is believed of it is kept, in case that it comes back.
+// Miss marks a replica as missing. Its state is kept in case it is listed again.
 func (t *Targets) Miss(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -246,39 +250,40 @@
 	}
 }
 
-// Drop takes a replica off the list. Calls under way there go on.
+// Drop removes a replica from the list. Calls in flight there continue.
 func (t *Targets) Drop(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.byID[id]; ok {
 		t.remove(s)
-		t.log.Info("target: replica gone", "replica", id, "service", s.Service)
+		t.log.Info("target: replica removed from the list", "replica", id, "service", s.Service)
 	}
 }
 
-// placedFor is how long a replica counts as one where this box places turns: longer than programs rest between two.
-const placedFor = 5 * time.Second
+// recentTurnWindow is how long a replica counts as one where this box places turns. It exceeds the usual
+// pause between two turns of a program.
+const recentTurnWindow = 5 * time.Second
 
-// Models returns the model replicas of this box's zone that take work and of which it needs reports: all, where it knows
-// all; otherwise those where it places turns. Of thousands of replicas most are idle, and each question to one of those
-// needs a new connection.
+// Models returns the model replicas of this box's zone that accept work and whose load this box must
+// poll: all of them if it uses the whole group, otherwise those where it places turns. Most replicas of a
+// large fleet are idle, and polling one of those would open a new connection.
 func (t *Targets) Models() []work.Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	var models []work.Replica
 	for _, s := range t.byID {
-		if s.Zone != t.zone || s.Draining || s.missing || t.evacuated[s.Zone] || !t.model(s) {
+		if s.Zone != t.zone || s.Draining || s.missing || t.evacuated[s.Zone] || !t.isModel(s) {
 			continue
 		}
-		if s.level == 0 || s.busy > 0 || now.Sub(s.placedAt) < placedFor {
+		if s.level == 0 || s.inFlight > 0 || now.Sub(s.lastTurnAt) < recentTurnWindow {
 			models = append(models, s.Replica)
 		}
 	}
 	return models
 }
 
-// Loaded takes the load of a replica.
+// Loaded records a load report of a replica. A report of an earlier start is ignored.
 func (t *Targets) Loaded(id string, load work.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -290,13 +295,13 @@
 	case s.Born.IsZero():
 		s.Born = load.Born
 	case load.Born.After(s.Born):
-		t.reborn(s, load.Born)
+		t.replaceRestarted(s, load.Born)
 		s = t.byID[id]
 	}
-	s.load, s.loadAt, s.busyThen = load, time.Now(), s.busy
+	s.load, s.loadAt, s.inFlightAtReport = load, time.Now(), s.inFlight
 }
 
-// Listed returns the ids of the replicas.
+// Listed returns the sorted IDs of the replicas.
 func (t *Targets) Listed() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -309,72 +314,73 @@
 }
 
 func (t *Targets) remove(s *state) {
-	s.gone = true
+	s.removed = true
 	delete(t.byID, s.ID)
-	list := t.services[s.Service]
-	for i, other := range list {
+	replicas := t.services[s.Service]
+	for i, other := range replicas {
 		if other == s {
-			t.services[s.Service] = append(list[:i:i], list[i+1:]...)
+			t.services[s.Service] = append(replicas[:i:i], replicas[i+1:]...)
 			break
 		}
 	}
-	if s.pool != nil && s.busy == 0 {
+	if s.pool != nil && s.inFlight == 0 {
 		s.pool.Close()
 	}
 }
 
-// Ask is what has to be placed.
+// Ask describes a call to place.
 type Ask struct {
-	// Work names the kind of work, for the times that it usually takes.
+	// Work names the kind of work, by which unit times are averaged.
 	Work     string
 	Services []work.Split
-	// Regions are those of the call; none bind nothing.
+	// Regions are those in which the call may run; an empty list allows all.
 	Regions []string
-	// Avoid names replicas that the call was sent to.
+	// Avoid lists the IDs of replicas to which the call must not be sent, since it was sent there before.
 	Avoid []string
 	// Prompt is nil for calls of plain services.
 	Prompt *work.Prompt
-	// Seen tells, by its Life, how many tokens of the prompt a replica keeps from turns before; may be nil.
+	// Seen maps a replica's Life to the number of prompt tokens that it still caches from earlier turns;
+	// may be nil.
 	Seen map[string]int
-	// Turn is what decides on whether a program begins.
+	// Turn is the input to admission control.
 	Turn sched.Turn
 }
 
-// Take chooses a replica and takes a place there.
+// Take selects a replica and takes a place there. It fails with NoTarget if no replica can take the call.
 func (t *Targets) Take(ask Ask) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	best, among := t.choose(now, ask, t.draw(ask.Services))
+	best, candidates := t.choose(now, ask, t.pickService(ask.Services))
 	if best.state == nil {
 		return nil, fault.Refuse(fault.NoTarget, "no replica can take the call")
 	}
-	return t.lease(now, ask, best, among), nil
+	return t.lease(now, ask, best, candidates), nil
 }
 
-// lease takes a place at the chosen replica.
-func (t *Targets) lease(now time.Time, ask Ask, best choice, among int) *Lease {
+// lease takes a place at the selected replica.
+func (t *Targets) lease(now time.Time, ask Ask, best choice, candidates int) *Lease {
 	s := best.state
 	if s.pool == nil {
-		s.pool = t.opener.Open(s.Replica, t.share(s))
+		s.pool = t.opener.Open(s.Replica, t.maxConnections(s))
 	}
-	s.busy++
-	if s.cold(now, t.service(s.Service)) {
-		s.sent.Note(now)
+	s.inFlight++
+	if s.cold(now, t.serviceConfig(s.Service)) {
+		s.coldCalls.Note(now)
 	}
 	if ask.Prompt != nil {
-		s.placedAt = now
-		s.remember(now, ask.Prompt.Parts)
-		t.admission(s.Service).Begin(now, ask.Turn)
+		s.lastTurnAt = now
+		s.rememberParts(now, ask.Prompt.Parts)
+		t.admissionFor(s.Service).Begin(now, ask.Turn)
 	}
 	return &Lease{
-		Replica: s.Replica, Cached: best.belief.Cached, Score: best.score, Among: among,
-		owner: t, state: s, ask: ask, begun: now, calm: best.belief.Calm(),
+		Replica: s.Replica, Cached: best.estimate.Cached, Score: best.cost, Among: candidates,
+		targets: t, state: s, ask: ask, startedAt: now, lightLoad: best.estimate.Calm(),
 	}
 }
 
-// Draw takes the levels at which this box's part of the replicas was drawn: of a replica that few boxes know, each has a
-// larger share.
+// Draw sets the subset levels at which this box's replicas were selected. The fewer boxes use a replica,
+// the larger the share of its connections that each may open.
 func (t *Targets) Draw(levels subset.Levels) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -382,25 +388,26 @@
 	for _, s := range t.byID {
 		s.level = levels[subset.Group(s.Service, s.Zone)]
 	}
-	t.limitPools()
+	t.updatePoolLimits()
 }
 
-// share is this box's part of the connections that the replica takes.
-func (t *Targets) share(s *state) int {
-	return t.part(t.service(s.Service).Connections, s.level)
+// maxConnections returns how many connections this box may open to the replica.
+func (t *Targets) maxConnections(s *state) int {
+	return t.connectionShare(t.serviceConfig(s.Service).Connections, s.level)
 }
 
-// part is this box's part of so many connections, where one box in 2^level knows the replica.
-func (t *Targets) part(all, level int) int {
-	if all == 0 {
-		return leastShare
+// connectionShare returns this box's share of total connections to a replica that one box in 2^level
+// uses.
+func (t *Targets) connectionShare(total, level int) int {
+	if total == 0 {
+		return minConnections
 	}
-	return max(all/(t.boxes>>level+spareBoxes), leastShare)
+	return max(total/(t.boxes>>level+spareBoxes), minConnections)
 }
 
 const (
-	// leastShare is the number of connections that a box may always open to a replica.
-	leastShare = 2
-	// spareBoxes leaves room for boxes that join later.
+	// minConnections is the number of connections that a box may always open to a replica.
+	minConnections = 2
+	// spareBoxes reserves connections for boxes that join later.
 	spareBoxes = 4
 )
--- a/gate/target/target_test.go
+++ b/gate/target/target_test.go
@@ -18,29 +18,29 @@
 	"mulleingate.dev/gate/work"
 )
 
-type pools struct {
+type fakePools struct {
 	open, closed, limit int
-	// connected is the replica to which a connection rests.
+	// connected is the ID of the replica that has an idle connection.
 	connected string
 }
 
-func (p *pools) Open(rep work.Replica, connections int) Pool {
+func (p *fakePools) Open(rep work.Replica, connections int) Pool {
 	p.open++
 	p.limit = connections
-	return pool{pools: p, id: rep.ID}
+	return fakePool{pools: p, id: rep.ID}
 }
 
-type pool struct {
-	pools *pools
+type fakePool struct {
+	pools *fakePools
 	id    string
 }
 
-func (c pool) Close()                { c.pools.closed++ }
-func (c pool) Limit(connections int) { c.pools.limit = connections }
-func (c pool) Connected() bool       { return c.pools.connected == c.id }
+func (c fakePool) Close()                { c.pools.closed++ }
+func (c fakePool) Limit(connections int) { c.pools.limit = connections }
+func (c fakePool) Connected() bool       { return c.pools.connected == c.id }
 
-func newTargets(n int, engine bool) (*Targets, *pools) {
-	p := &pools{}
+func newTargets(n int, engine bool) (*Targets, *fakePools) {
+	p := &fakePools{}
 	t := New("a", p, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	svc := work.Service{Name: "s", Connections: 100}
 	if engine {
@@ -58,11 +58,11 @@
 	return work.Replica{ID: fmt.Sprintf("r%d", i), Service: "s", Addr: addr, Zone: zone, Slots: 8}
 }
 
-var toS = []work.Split{{Service: "s", Weight: 1}}
+var splitToS = []work.Split{{Service: "s", Weight: 1}}
 
 func take(tb testing.TB, t *Targets, ask Ask) *Lease {
 	tb.Helper()
-	ask.Work, ask.Services = "w", toS
+	ask.Work, ask.Services = "w", splitToS
 	lease, err := t.Take(ask)
 	if err != nil {
 		tb.Fatal(err)
@@ -70,7 +70,7 @@
 	return lease
 }
 
-func TestBusyReplicasAreLeft(t *testing.T) {
+func TestCallsSpreadEvenly(t *testing.T) {
 	targets, _ := newTargets(4, false)
 	got := map[string]int{}
 	for range 40 {
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestToolsStayNear checks that calls of plain services stay in the box's availability zone
-// until its replicas are busier than those of others.
-func TestToolsStayNear(t *testing.T) {
+// TestPlainCallsPreferOwnZone checks that calls of plain services stay in the box's availability zone
+// until its replicas are busier than those of other zones.
+func TestPlainCallsPreferOwnZone(t *testing.T) {
 	targets, _ := newTargets(2, false)
 	targets.Put(replica(2, "b"))
 	targets.Put(replica(3, "b"))
@@ -98,19 +98,19 @@
 		got[take(t, targets, Ask{}).Replica.Zone]++
 	}
 	if diff := cmp.Diff(map[string]int{"a": 4, "b": 2}, got); diff != "" {
-		t.Errorf("calls once the near ones are busy (-want +got):\n%s", diff)
+		t.Errorf("calls once the zone's replicas are busy (-want +got):\n%s", diff)
 	}
 }
 
-// TestToolsKeepToConnections checks that calls of plain services go where a connection rests, until that
-// replica is busier than others.
-func TestToolsKeepToConnections(t *testing.T) {
+// TestPlainCallsReuseConnections checks that calls of plain services prefer a replica with an idle
+// connection until it is busier than others.
+func TestPlainCallsReuseConnections(t *testing.T) {
 	targets, pools := newTargets(4, false)
-	for range 4 { // a pool to each
+	for range 4 { // opens a pool to each replica
 		take(t, targets, Ask{})
 	}
 	for _, s := range targets.byID {
-		s.busy = 0
+		s.inFlight = 0
 	}
 	pools.connected = "r2"
 	first, second := take(t, targets, Ask{}), take(t, targets, Ask{})
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestSlowReplicaGetsLess(t *testing.T) {
+func TestSlowReplicaGetsFewerCalls(t *testing.T) {
 	targets, _ := newTargets(2, false)
 	got := map[string]int{}
 	for range 200 {
@@ -136,52 +136,52 @@
 	}
 }
 
-// TestPromptStays checks that a program stays where its prompt is, and leaves a replica
-// whose own report says that it is full.
-func TestPromptStays(t *testing.T) {
+// TestTurnsFollowCachedPrompt checks that turns go to the replica that caches their prompt until it
+// reports that it is full.
+func TestTurnsFollowCachedPrompt(t *testing.T) {
 	targets, _ := newTargets(3, true)
 	ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, Seen: map[string]int{"r1": 5500}}
 	for range 5 {
 		if lease := take(t, targets, ask); lease.Replica.ID != "r1" || lease.Cached != 5500 {
-			t.Fatalf("%s with %d cached", lease.Replica.ID, lease.Cached)
+			t.Fatalf("placed at %s with %d cached tokens", lease.Replica.ID, lease.Cached)
 		}
 	}
 	targets.Loaded("r1", work.Load{Running: 8, Waiting: 60})
 	if lease := take(t, targets, ask); lease.Replica.ID == "r1" {
-		t.Error("stays at a replica where 60 calls wait")
+		t.Error("placed at a replica where 60 calls wait")
 	}
 }
 
-// TestReportsSteerFirstTurns checks that a program without a prompt anywhere begins at the
-// replica which is least busy by its own report.
-func TestReportsSteerFirstTurns(t *testing.T) {
+// TestFirstTurnFollowsReports checks that a turn whose prompt is cached nowhere goes to the replica with
+// the least reported load.
+func TestFirstTurnFollowsReports(t *testing.T) {
 	targets, _ := newTargets(3, true)
 	targets.Loaded("r0", work.Load{Running: 7})
 	targets.Loaded("r1", work.Load{Running: 1})
 	targets.Loaded("r2", work.Load{Running: 6})
 	if got := take(t, targets, Ask{Prompt: &work.Prompt{Tokens: 1000}}).Replica.ID; got != "r1" {
-		t.Errorf("begins at %s", got)
+		t.Errorf("placed at %s", got)
 	}
 	if diff := cmp.Diff(3, len(targets.Models())); diff != "" {
 		t.Errorf("model replicas (-want +got):\n%s", diff)
 	}
 }
 
-// TestMissingReplicasOfSmallService checks that a service whose replicas were all replaced unseen
-// is served by the one that has come.
+// TestMissingReplicasOfSmallService checks that a service whose other replicas are missing uses the one
+// that is listed.
 func TestMissingReplicasOfSmallService(t *testing.T) {
 	targets, _ := newTargets(3, false)
 	targets.Miss("r0")
 	targets.Miss("r1")
 	for range 10 {
 		if got := take(t, targets, Ask{}).Replica.ID; got != "r2" {
-			t.Fatalf("a call goes to %s", got)
+			t.Fatalf("call placed at %s", got)
 		}
 	}
 }
 
-// TestMissingReplicas checks that a replica whose entry went unseen gets nothing while a part of
-// its service is listed, and that all are used where almost all entries went, until they are back.
+// TestMissingReplicas checks that missing replicas get no calls while enough of their service is listed,
+// and that all are used while almost all entries are missing.
 func TestMissingReplicas(t *testing.T) {
 	targets, _ := newTargets(6, false)
 	used := func() []string {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestLeavingAndFailingReplicas(t *testing.T) {
+func TestUnavailableReplicasGetNoCalls(t *testing.T) {
 	targets, p := newTargets(3, false)
 	draining := replica(0, "a")
 	draining.Draining = true
@@ -221,13 +221,13 @@
 	for range 20 {
 		lease := take(t, targets, Ask{})
 		if lease.Replica.ID == "r0" || lease.Replica.ID == unreached.Replica.ID {
-			t.Fatalf("call to %s", lease.Replica.ID)
+			t.Fatalf("call placed at %s", lease.Replica.ID)
 		}
 		lease.Done(Answered, time.Millisecond)
 	}
 	targets.Drop("r1")
 	targets.Drop("r2")
-	if _, err := targets.Take(Ask{Services: toS}); !fault.Is(err, fault.NoTarget) {
+	if _, err := targets.Take(Ask{Services: splitToS}); !fault.Is(err, fault.NoTarget) {
 		t.Errorf("fault %v", err)
 	}
 	if p.closed != p.open {
@@ -235,23 +235,24 @@
 	}
 }
 
-// TestCallUnderWayKeepsItsConnection checks that a replica which goes off the list is not cut.
-func TestCallUnderWayKeepsItsConnection(t *testing.T) {
+// TestDroppedReplicaFinishesCalls checks that the pool of a dropped replica stays open until its last
+// call ends.
+func TestDroppedReplicaFinishesCalls(t *testing.T) {
 	targets, p := newTargets(1, false)
 	lease := take(t, targets, Ask{})
 	targets.Drop("r0")
 	if p.closed != 0 {
-		t.Error("cut while a call is under way")
+		t.Error("pool closed while a call is in flight")
 	}
 	lease.Done(Answered, time.Millisecond)
 	if p.closed != 1 {
-		t.Error("not closed after the last call")
+		t.Error("pool not closed after the last call")
 	}
 }
 
-// TestSilentReplicaIsLeft checks that a replica which says nothing is left, unless calls wait
-// there by its own report.
-func TestSilentReplicaIsLeft(t *testing.T) {
+// TestSilentReplicaIsAvoided checks that a replica which sends no answers is avoided, unless it reports
+// waiting calls.
+func TestSilentReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, waiting := range []int{0, 2} {
 			targets, _ := newTargets(3, true)
@@ -270,8 +271,8 @@
 	})
 }
 
-// TestConnectionsAreSharedAnew checks that a box gives connections up when others join.
-func TestConnectionsAreSharedAnew(t *testing.T) {
+// TestConnectionLimitFollowsBoxes checks that a box lowers its connection limits when others join.
+func TestConnectionLimitFollowsBoxes(t *testing.T) {
 	targets, p := newTargets(1, false)
 	var got []int
 	for _, boxes := range []int{6, 21, 46, 1000} {
@@ -279,12 +280,12 @@
 		take(t, targets, Ask{}).Done(Answered, 0)
 		got = append(got, p.limit)
 	}
-	if diff := cmp.Diff([]int{10, 4, 2, leastShare}, got); diff != "" || p.open != 1 {
-		t.Errorf("connections of 100 (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]int{10, 4, 2, minConnections}, got); diff != "" || p.open != 1 {
+		t.Errorf("connection limits (-want +got):\n%s", diff)
 	}
 }
 
-func TestSplits(t *testing.T) {
+func TestSplitWeights(t *testing.T) {
 	targets, _ := newTargets(0, false)
 	for i, svc := range []string{"x", "y"} {
 		rep := replica(i, "a")
@@ -305,13 +306,13 @@
 	}
 }
 
-// TestTakeKeepsToItsRules plays random changes and checks that no call goes to a replica that
-// drains, is avoided or has no connection left.
-func TestTakeKeepsToItsRules(t *testing.T) {
+// TestTakeInvariants applies random changes and checks that no call goes to a replica that drains, is
+// avoided or has no connection left.
+func TestTakeInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		targets, _ := newTargets(5, rapid.Bool().Draw(rt, "engine"))
 		targets.Boxes(rapid.IntRange(1, 60).Draw(rt, "boxes"))
-		var held []*Lease
+		var leases []*Lease
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 4).Draw(rt, "replica")
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
@@ -322,37 +323,37 @@
 			case 1:
 				targets.Drop(fmt.Sprintf("r%d", i))
 			case 2:
-				if len(held) > 0 {
-					held[0].Done(Outcome(rapid.IntRange(0, 6).Draw(rt, "outcome")), time.Duration(i)*time.Millisecond)
-					held = held[1:]
+				if len(leases) > 0 {
+					leases[0].Done(Outcome(rapid.IntRange(0, 6).Draw(rt, "outcome")), time.Duration(i)*time.Millisecond)
+					leases = leases[1:]
 				}
 			default:
 				avoid := []string{fmt.Sprintf("r%d", i)}
-				lease, err := targets.Take(Ask{Work: "w", Services: toS, Avoid: avoid, Prompt: &work.Prompt{Tokens: 100 * i}})
+				lease, err := targets.Take(Ask{Work: "w", Services: splitToS, Avoid: avoid, Prompt: &work.Prompt{Tokens: 100 * i}})
 				if err != nil {
 					continue
 				}
-				held = append(held, lease)
+				leases = append(leases, lease)
 				s := lease.state
-				if s.Draining || s.gone || s.ID == avoid[0] || s.busy > targets.share(s) {
-					rt.Fatalf("call to %+v", s.Replica)
+				if s.Draining || s.removed || s.ID == avoid[0] || s.inFlight > targets.maxConnections(s) {
+					rt.Fatalf("call placed at %+v", s.Replica)
 				}
 			}
 		}
 	})
 }
 
-// TestReplicaThatFailsPartOfItsCalls checks that a replica whose failures never come in a row
-// is left, and tried again later.
-func TestReplicaThatFailsPartOfItsCalls(t *testing.T) {
+// TestIntermittentFailures checks that a replica which fails too irregularly to be ejected gets few
+// calls, and is tried again later.
+func TestIntermittentFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets, _ := newTargets(4, false)
-		play := func(n int) (grey int) {
+		run := func(n int) (toFailing int) {
 			for i := range n {
 				lease := take(t, targets, Ask{})
 				out := Answered
 				if lease.Replica.ID == "r0" {
-					grey++
+					toFailing++
 					if i%5 < 2 {
 						out = Broken
 					}
@@ -360,15 +361,15 @@
 				time.Sleep(10 * time.Millisecond)
 				lease.Done(out, 20*time.Millisecond)
 			}
-			return grey
+			return toFailing
 		}
-		play(60)
-		if n := play(200); n > 20 {
+		run(60)
+		if n := run(200); n > 20 {
 			t.Errorf("%d of 200 calls went to a replica that fails two in five", n)
 		}
 		time.Sleep(30 * time.Second)
-		if play(40) == 0 {
-			t.Error("the replica is never tried again")
+		if run(40) == 0 {
+			t.Error("the failing replica is not tried again")
 		}
 	})
 }
