--- a/gate/feed/doc.go
+++ b/gate/feed/doc.go
@@ -1,3 +1,3 @@
-// Package feed follows what operators and replicas write to the log: the configuration and
-// the list of replicas.
+// Package feed follows the log topics that operators and replicas write: the configuration and the list
+// of replicas.
 package feed
--- a/gate/feed/feed_test.go
+++ b/gate/feed/feed_test.go
@@ -20,34 +20,34 @@
 	"mulleingate.dev/gate/work"
 )
 
-// source is the log that operators and replicas write to.
-type source struct {
-	mu     sync.Mutex
-	topics map[work.Topic][]work.Record
-	first  map[work.Topic]int64
-	away   bool
-	// asleep has reads that wait for news learn of it only when their time is over.
-	asleep bool
-	// age is how old what it shows is, as another box would tell it.
+// fakeLog is the log that operators and replicas write to.
+type fakeLog struct {
+	mu          sync.Mutex
+	topics      map[work.Topic][]work.Record
+	first       map[work.Topic]int64
+	unavailable bool
+	// noWakeup makes reads that wait for new records return only when their wait is over.
+	noWakeup bool
+	// age is the age of all answers, as when another box relays them.
 	age time.Duration
-	// hold is how much longer than asked for a read takes.
-	hold time.Duration
+	// delay is how much longer than requested a read takes.
+	delay time.Duration
 }
 
-func (s *source) put(topic work.Topic, key, value string) {
+func (s *fakeLog) put(topic work.Topic, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics[topic] = append(s.topics[topic], work.Record{Key: key, Value: []byte(value)})
 }
 
-func (s *source) set(away bool) {
+func (s *fakeLog) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-// forget drops the history.
-func (s *source) forget() {
+// dropHistory makes all records so far unreadable by offset.
+func (s *fakeLog) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for topic, recs := range s.topics {
@@ -55,10 +55,10 @@
 	}
 }
 
-func (s *source) All(_ context.Context, topic work.Topic) (work.Whole, error) {
+func (s *fakeLog) All(_ context.Context, topic work.Topic) (work.Whole, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return work.Whole{}, fault.Refuse(fault.LogUnavailable, "away")
 	}
 	recs := s.topics[topic]
@@ -75,21 +75,21 @@
 	return all, nil
 }
 
-func (s *source) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
+func (s *fakeLog) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
 	s.mu.Lock()
-	hold := s.hold
+	delay := s.delay
 	s.mu.Unlock()
-	if hold > 0 {
-		time.Sleep(wait + hold)
+	if delay > 0 {
+		time.Sleep(wait + delay)
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(50 * time.Millisecond) {
 		s.mu.Lock()
-		recs, first, away, asleep, age := s.topics[topic], s.first[topic], s.away, s.asleep, s.age
+		recs, first, unavailable, noWakeup, age := s.topics[topic], s.first[topic], s.unavailable, s.noWakeup, s.age
 		s.mu.Unlock()
 		switch {
-		case asleep && time.Now().Before(end):
+		case noWakeup && time.Now().Before(end):
 			continue
-		case away:
+		case unavailable:
 			return work.Page{}, fault.Refuse(fault.LogUnavailable, "away")
 		case from < first:
 			return work.Page{}, fault.Refuse(fault.HistoryGone, "gone")
@@ -99,10 +99,10 @@
 	}
 }
 
-// plain decodes a version as a number, and a replica as anything but "broken".
-type plain struct{}
+// fakeDecoder decodes a number as a configuration version, and anything but "broken" as a replica.
+type fakeDecoder struct{}
 
-func (plain) Config(rec work.Record) (*work.Config, error) {
+func (fakeDecoder) Config(rec work.Record) (*work.Config, error) {
 	version, err := strconv.ParseInt(string(rec.Value), 10, 64)
 	if err != nil {
 		return nil, fault.Fail(fault.BadConfig, "malformed").Because(err)
@@ -110,45 +110,44 @@
 	return work.NewConfig(version, nil, nil, work.Limits{}), nil
 }
 
-func (plain) Replica(rec work.Record) (work.Replica, error) {
+func (fakeDecoder) Replica(rec work.Record) (work.Replica, error) {
 	if string(rec.Value) == "broken" {
 		return work.Replica{}, fault.Fail(fault.Protocol, "malformed")
 	}
 	return work.Replica{ID: rec.Key}, nil
 }
 
-func (plain) Evacuation(key string) (string, bool) {
+func (fakeDecoder) Evacuation(key string) (string, bool) {
 	return strings.CutPrefix(key, "empty ")
 }
 
-// list is the replicas as the feed tells them.
-type list struct {
-	mu  sync.Mutex
-	ids map[string]bool
-	// evacuated are the availability zones to be left.
+// fakeTargets records the replicas and evacuated zones that it receives from the feed.
+type fakeTargets struct {
+	mu        sync.Mutex
+	ids       map[string]bool
 	evacuated map[string]bool
 }
 
-func (l *list) Evacuate(zones map[string]bool) {
+func (l *fakeTargets) Evacuate(zones map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evacuated = zones
 }
 
-func (l *list) Configure(*work.Config) {}
-func (l *list) Put(rep work.Replica) {
+func (l *fakeTargets) Configure(*work.Config) {}
+func (l *fakeTargets) Put(rep work.Replica) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ids[rep.ID] = true
 }
-func (l *list) Miss(string) {}
+func (l *fakeTargets) Miss(string) {}
 
-func (l *list) Drop(id string) {
+func (l *fakeTargets) Drop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.ids, id)
 }
-func (l *list) Listed() []string {
+func (l *fakeTargets) Listed() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ids := []string{}
@@ -159,12 +158,12 @@
 	return ids
 }
 
-func play(t *testing.T, do func(t *testing.T, s *source, f *Feed, l *list)) {
+func runFeed(t *testing.T, do func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}}
-		l := &list{ids: map[string]bool{}}
-		f := New(s, plain{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		s := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}}
+		l := &fakeTargets{ids: map[string]bool{}}
+		f := New(s, fakeDecoder{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		s.put(work.Settings, "config", "4")
 		s.put(work.Replicas, "a", "x")
 		s.put(work.Replicas, "b", "x")
@@ -177,15 +176,15 @@
 	})
 }
 
-func expect(t *testing.T, l *list, want ...string) {
+func expect(t *testing.T, l *fakeTargets, want ...string) {
 	t.Helper()
 	if diff := cmp.Diff(want, l.Listed()); diff != "" {
 		t.Errorf("replicas (-want +got):\n%s", diff)
 	}
 }
 
-func TestFollows(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, l *list) {
+func TestFollowsTopics(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
 		if !f.Ready() || f.Config().Version != 4 {
 			t.Errorf("configuration %+v", f.Config())
 		}
@@ -204,11 +203,11 @@
 	})
 }
 
-// TestEvacuations checks that an evacuated availability zone is told of, and that it was taken back also where the
-// record of that was dropped unseen.
+// TestEvacuations checks that the start and the end of an evacuation are reported, the end also if its
+// record was dropped unread.
 func TestEvacuations(t *testing.T) {
-	play(t, func(t *testing.T, s *source, _ *Feed, l *list) {
-		told := func() map[string]bool {
+	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
+		reported := func() map[string]bool {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.evacuated
@@ -216,46 +215,44 @@
 		s.put(work.Settings, "empty a", "now")
 		s.put(work.Settings, "empty b", "now")
 		time.Sleep(time.Second)
-		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, told()); diff != "" {
+		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, reported()); diff != "" {
 			t.Errorf("evacuated (-want +got):\n%s", diff)
 		}
 		s.put(work.Settings, "empty a", "")
 		time.Sleep(time.Second)
-		if diff := cmp.Diff(map[string]bool{"b": true}, told()); diff != "" {
-			t.Errorf("one taken back (-want +got):\n%s", diff)
+		if diff := cmp.Diff(map[string]bool{"b": true}, reported()); diff != "" {
+			t.Errorf("one evacuation ended (-want +got):\n%s", diff)
 		}
 		s.put(work.Settings, "empty b", "")
-		s.forget()
+		s.dropHistory()
 		time.Sleep(2 * time.Second)
-		if diff := cmp.Diff(map[string]bool{}, told()); diff != "" {
-			t.Errorf("both taken back (-want +got):\n%s", diff)
+		if diff := cmp.Diff(map[string]bool{}, reported()); diff != "" {
+			t.Errorf("both evacuations ended (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestAgeOfWhatIsTold checks that what another box tells counts as no newer than it says.
-func TestAgeOfWhatIsTold(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, _ *list) {
-		const age = 4 * time.Second // longer than a read and a pause
+// TestAgeOfRelayedAnswers checks that records which another box relays count as being as old as it says.
+func TestAgeOfRelayedAnswers(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
+		const age = 4 * time.Second // longer than an interval and a read
 		s.mu.Lock()
 		s.age = age
 		s.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		if f.ConfigAge() < age || f.ListAge() < age {
-			t.Errorf("the configuration is %v old, the list %v, though they were told %v late", f.ConfigAge(), f.ListAge(), age)
+			t.Errorf("configuration age %v, replicas age %v, but the answers were %v old", f.ConfigAge(), f.ListAge(), age)
 		}
 	})
 }
 
-// TestNewsThatWakeNobody checks that a change is known in time also where the log does not wake a
-// read that waits for it: calls reached replicas at the very end of the time for which these serve
-// on after they left, sent by boxes that nothing ailed and that had heard of it 2.00 s late, while
-// others had heard at once. Each had begun its read in the millisecond of the change.
-func TestNewsThatWakeNobody(t *testing.T) {
-	const known = 1500 * time.Millisecond // of the 2 s in which a change must be in force
-	play(t, func(t *testing.T, s *source, f *Feed, l *list) {
+// TestChangeWithoutWakeup checks that a change is known in time even if the log does not wake the read
+// that waits for it. Otherwise replicas get calls after they have left.
+func TestChangeWithoutWakeup(t *testing.T) {
+	const known = 1500 * time.Millisecond // a change must be in force within 2 s
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
 		s.mu.Lock()
-		s.asleep = true
+		s.noWakeup = true
 		s.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		for step := range 20 {
@@ -272,13 +269,13 @@
 	})
 }
 
-// TestHistoryGone checks that changes whose records were dropped unseen are found.
+// TestHistoryGone checks that changes are found whose records were dropped unread.
 func TestHistoryGone(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, l *list) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
 		s.put(work.Replicas, "a", "")
 		s.put(work.Replicas, "c", "x")
 		s.put(work.Settings, "config", "7")
-		s.forget()
+		s.dropHistory()
 		time.Sleep(1500 * time.Millisecond)
 		expect(t, l, "b", "c")
 		if f.Config().Version != 7 {
@@ -287,18 +284,18 @@
 	})
 }
 
-// TestHistoryGoneInAnOutage checks that a log which was away and comes back without its history
-// counts as having been away: replicas that are missing then may come back.
+// TestHistoryGoneInAnOutage checks that a log which recovers without its history counts as having been
+// unavailable, so that replicas missing then may come back.
 func TestHistoryGoneInAnOutage(t *testing.T) {
-	play(t, func(t *testing.T, s *source, _ *Feed, l *list) {
+	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
 		s.mu.Lock()
-		s.hold = 1900 * time.Millisecond
+		s.delay = 1900 * time.Millisecond
 		s.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond) // the next read has begun
 		s.put(work.Replicas, "a", "")
-		s.forget()
+		s.dropHistory()
 		s.mu.Lock()
-		s.hold = 0
+		s.delay = 0
 		s.mu.Unlock()
 		time.Sleep(2800 * time.Millisecond)
 		expect(t, l, "a", "b")
@@ -308,16 +305,16 @@
 	})
 }
 
-// TestLapsedEntries checks that entries which went while the log was away are kept until
-// about two seconds after its return, and no longer.
-func TestLapsedEntries(t *testing.T) {
-	play(t, func(t *testing.T, s *source, _ *Feed, l *list) {
-		s.set(true)
+// TestEntriesExpiredInOutage checks that entries which disappeared in a log outage are kept for about two
+// seconds after its end, and no longer.
+func TestEntriesExpiredInOutage(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
+		s.setUnavailable(true)
 		time.Sleep(6 * time.Second)
 		expect(t, l, "a", "b")
 		s.put(work.Replicas, "a", "")
 		s.put(work.Replicas, "b", "")
-		s.set(false)
+		s.setUnavailable(false)
 		time.Sleep(time.Second)
 		expect(t, l, "a", "b")
 		s.put(work.Replicas, "b", "x")
@@ -326,13 +323,13 @@
 	})
 }
 
-// TestLapsedEntriesAreGoneInTime checks that an entry which is noticed missing late is not kept
-// for longer after the log's return: by then the box counts as knowing the list.
-func TestLapsedEntriesAreGoneInTime(t *testing.T) {
-	play(t, func(t *testing.T, s *source, _ *Feed, l *list) {
-		s.set(true)
+// TestMissingGraceStartsAtRecovery checks that an entry which is found missing late is kept no longer
+// after the log's recovery than others.
+func TestMissingGraceStartsAtRecovery(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
+		s.setUnavailable(true)
 		time.Sleep(6 * time.Second)
-		s.set(false)
+		s.setUnavailable(false)
 		time.Sleep(1200 * time.Millisecond)
 		s.put(work.Replicas, "a", "")
 		time.Sleep(800 * time.Millisecond)
@@ -342,14 +339,14 @@
 	})
 }
 
-// TestEntriesThatLapseInAShortOutage checks that an outage of a second is noticed too.
-func TestEntriesThatLapseInAShortOutage(t *testing.T) {
-	play(t, func(t *testing.T, s *source, _ *Feed, l *list) {
+// TestShortOutage checks that a short outage is detected too.
+func TestShortOutage(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
 		time.Sleep(2 * time.Second)
-		s.set(true)
+		s.setUnavailable(true)
 		time.Sleep(3500 * time.Millisecond)
 		s.put(work.Replicas, "a", "")
-		s.set(false)
+		s.setUnavailable(false)
 		time.Sleep(500 * time.Millisecond)
 		expect(t, l, "a", "b")
 		s.put(work.Replicas, "a", "x")
@@ -361,13 +358,12 @@
 	})
 }
 
-// TestBeginsWithoutTheLog checks that a box which has never reached the log knows that it
-// knows nothing.
-func TestBeginsWithoutTheLog(t *testing.T) {
+// TestStartWithoutLog checks that a feed which has never reached the log is not ready.
+func TestStartWithoutLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}, away: true}
-		l := &list{ids: map[string]bool{}}
-		f := New(s, plain{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		s := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}, unavailable: true}
+		l := &fakeTargets{ids: map[string]bool{}}
+		f := New(s, fakeDecoder{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err := f.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -376,10 +372,10 @@
 			t.Error("ready without the log")
 		}
 		s.put(work.Settings, "config", "4")
-		s.set(false)
+		s.setUnavailable(false)
 		time.Sleep(time.Second)
 		if !f.Ready() {
-			t.Error("not ready after the log's return")
+			t.Error("not ready after the log's recovery")
 		}
 		_ = f.Stop(context.Background()) // it never fails
 	})
--- a/gate/feed/proof_test.go
+++ b/gate/feed/proof_test.go
@@ -7,70 +7,70 @@
 	"mulleingate.dev/gate/work"
 )
 
-// proven returns how long ago the configuration was proven to be the newest.
-func proven(t *testing.T, f *Feed) time.Duration {
+// sinceProven returns the time since the configuration was last confirmed as the newest.
+func sinceProven(t *testing.T, f *Feed) time.Duration {
 	t.Helper()
 	known := f.Known()
 	if known.Proven.IsZero() {
-		t.Fatal("nothing proven")
+		t.Fatal("no configuration was confirmed")
 	}
 	return time.Since(known.Proven)
 }
 
-// TestProofsAreAsOldAsTheirQuestions checks that reads which wait for news prove nothing while they wait, and that
-// proofs follow one another in time.
-func TestProofsAreAsOldAsTheirQuestions(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, _ *list) {
+// TestProvenTimeIsRequestTime checks that a read confirms nothing about the time in which it waits for
+// new records, and that confirmations keep advancing.
+func TestProvenTimeIsRequestTime(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
 		for range 50 {
 			time.Sleep(73 * time.Millisecond)
-			if age := proven(t, f); age > 2*waitFor+configPause {
-				t.Errorf("proven %v ago", age)
+			if age := sinceProven(t, f); age > 2*readWait+configReadInterval {
+				t.Errorf("last confirmed %v ago", age)
 			}
 		}
 		s.mu.Lock()
-		s.hold = 3 * time.Second // the answer to a question of now comes late
+		s.delay = 3 * time.Second // the answer to a request sent now comes late
 		s.mu.Unlock()
-		time.Sleep(2 * waitFor)
+		time.Sleep(2 * readWait)
 		before := f.Known().Proven
 		time.Sleep(time.Second)
 		if f.Known().Proven.After(before) {
-			t.Error("a question that waits has proven something")
+			t.Error("a waiting read confirmed the configuration")
 		}
 		time.Sleep(4 * time.Second)
-		if age := proven(t, f); age < 3*time.Second {
-			t.Errorf("an answer that took 4 s proves what was %v ago", age)
+		if age := sinceProven(t, f); age < 3*time.Second {
+			t.Errorf("an answer that took 4 s confirms the state of %v ago", age)
 		}
 	})
 }
 
-// TestProofsOfASilentLog checks that nothing is proven while the log is away, and again soon after.
-func TestProofsOfASilentLog(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, _ *list) {
-		s.set(true)
+// TestProvenTimeInOutage checks that nothing is confirmed during a log outage, but again soon after it.
+func TestProvenTimeInOutage(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
+		s.setUnavailable(true)
 		time.Sleep(7 * time.Second)
-		if age := proven(t, f); age < 6*time.Second {
-			t.Errorf("proven %v ago without the log", age)
+		if age := sinceProven(t, f); age < 6*time.Second {
+			t.Errorf("last confirmed %v ago during an outage", age)
 		}
-		s.set(false)
-		const back = failPause + 100*time.Millisecond // a try, and two looks of the stand-in, which come every 50 ms
+		s.setUnavailable(false)
+		const back = retryInterval + 100*time.Millisecond // a retry, and two polls of the fake log, which polls every 50 ms
 		time.Sleep(back)
-		if age := proven(t, f); age > back {
-			t.Errorf("proven %v ago after the log's return", age)
+		if age := sinceProven(t, f); age > back {
+			t.Errorf("last confirmed %v ago after the log's recovery", age)
 		}
 	})
 }
 
-// TestProofsAcrossLostHistory checks that a log which has dropped its history proves what its newest records say, and
-// not before these are read.
-func TestProofsAcrossLostHistory(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, _ *list) {
+// TestProvenTimeAfterLostHistory checks that after the log dropped its history, a configuration is
+// confirmed only once the newest records have been read.
+func TestProvenTimeAfterLostHistory(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
 		s.put(work.Settings, "config", "7")
-		s.forget()
+		s.dropHistory()
 		for range 40 {
 			time.Sleep(37 * time.Millisecond)
 			known := f.Known()
 			if time.Since(known.Proven) < 37*time.Millisecond && known.Config.Version != 7 {
-				t.Errorf("version %d proven", known.Config.Version)
+				t.Errorf("version %d confirmed", known.Config.Version)
 			}
 		}
 		if f.Known().Config.Version != 7 {
@@ -79,30 +79,30 @@
 	})
 }
 
-// TestOldPagesProveNothing checks that an answer which shows an older configuration than the one in force does not
-// count as news, whatever way it came.
-func TestOldPagesProveNothing(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, _ *list) {
+// TestStaleAnswerConfirmsNothing checks that an answer with an older configuration than the one in force
+// does not confirm that one.
+func TestStaleAnswerConfirmsNothing(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
 		s.put(work.Settings, "config", "9")
-		time.Sleep(waitFor)
+		time.Sleep(readWait)
 		s.mu.Lock()
 		s.topics[work.Settings] = []work.Record{{Key: "config", Value: []byte("4")}}
-		s.first[work.Settings] = 1000 // the history is gone, and the newest record is of before
+		s.first[work.Settings] = 1000 // the history is gone, and the newest record is outdated
 		s.mu.Unlock()
-		time.Sleep(2 * waitFor)
+		time.Sleep(2 * readWait)
 		before := f.Known().Proven
-		time.Sleep(3 * waitFor)
+		time.Sleep(3 * readWait)
 		known := f.Known()
 		if known.Config.Version != 9 || known.Proven.After(before) {
-			t.Errorf("version %d proven", known.Config.Version)
+			t.Errorf("version %d confirmed", known.Config.Version)
 		}
 	})
 }
 
-// TestForeignEntries checks that an entry which names no replica takes off the list what stood there before, that the
-// others hold, and that a configuration which can't be read leaves the one before in force.
-func TestForeignEntries(t *testing.T) {
-	play(t, func(t *testing.T, s *source, f *Feed, l *list) {
+// TestUndecodableRecords checks that an entry which does not decode removes the replica listed under its
+// key and no other, and that such a configuration leaves the previous one in force.
+func TestUndecodableRecords(t *testing.T) {
+	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
 		s.put(work.Replicas, "a", "broken")
 		s.put(work.Replicas, "z", "broken")
 		s.put(work.Replicas, "c", "x")
