--- a/gate/dial/confirm.go
+++ b/gate/dial/confirm.go
@@ -11,65 +11,66 @@
 	"mulleingate.dev/base/fault"
 )
 
-// confirmed sends the request's body only once the peer has said that it takes it. What rested in the pool may
-// be dead without a sign: a connection that fails then is left for the next, down to a new one. A peer that is
-// silent is given up at once, since a new connection would be, too.
-func (p *Pool) confirmed(ctx context.Context, req Request) (*Response, error) {
+// sendExpectContinue sends the request's body only once the peer has asked for it. An idle connection may
+// be dead without a sign, so a reused one that fails is replaced by the next, or finally a new one. If
+// the peer does not respond in time, no other connection is tried, since the peer would not respond there
+// either.
+func (p *Pool) sendExpectContinue(ctx context.Context, req Request) (*Response, error) {
 	for {
-		c, err := p.take(ctx, req.MaxRest)
+		c, err := p.acquire(ctx, req.MaxRest)
 		if err != nil {
 			return nil, err
 		}
-		rested := !c.since.IsZero()
-		resp := p.begin(ctx, c)
-		err = resp.ask(ctx, req)
+		reused := !c.idleSince.IsZero()
+		resp := p.newResponse(ctx, c)
+		err = resp.writeExpectContinue(ctx, req)
 		if err == nil {
-			return resp.answer(ctx, req)
+			return resp.awaitResponse(ctx, req)
 		}
-		resp.stop()
-		p.drop(c)
+		resp.unwatch()
+		p.discard(c)
 		if ctx.Err() != nil {
-			return nil, fault.Refuse(fault.TimedOut, "the call ended before the target took it").Because(err)
+			return nil, fault.Refuse(fault.TimedOut, "the call ended before the target accepted it").Because(err)
 		}
-		if !rested || errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil, fault.Refuse(fault.NoTarget, "the target does not take the call").Because(err)
+		if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
+			return nil, fault.Refuse(fault.NoTarget, "the target did not accept the call").Because(err)
 		}
 	}
 }
 
-// ask writes the head of the request and, once the peer wants it, the body. An answer that comes without that
-// is left to be read.
-func (r *Response) ask(ctx context.Context, req Request) error {
-	if _, err := r.conn.raw.Write(head(req, 0)); err != nil {
+// writeExpectContinue writes the head of the request and, once the peer asks for it, the body. Any other
+// response is left to be read.
+func (r *Response) writeExpectContinue(ctx context.Context, req Request) error {
+	if _, err := r.conn.netConn.Write(requestHead(req, 0)); err != nil {
 		return err
 	}
-	wanted, err := r.wanted(ctx, req.Confirm)
-	if err != nil || !wanted {
+	wantsBody, err := r.awaitContinue(ctx, req.Confirm)
+	if err != nil || !wantsBody {
 		return err
 	}
-	r.write(req.Body)
+	r.writeRequest(req.Body)
 	return nil
 }
 
-// wanted reports whether the peer asks for the body, false if it has begun another answer.
-func (r *Response) wanted(ctx context.Context, within time.Duration) (bool, error) {
-	if err := r.conn.raw.SetReadDeadline(time.Now().Add(within)); err != nil {
+// awaitContinue reports whether the peer asks for the body; false if it has begun another response.
+func (r *Response) awaitContinue(ctx context.Context, timeout time.Duration) (bool, error) {
+	if err := r.conn.netConn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return false, err
 	}
-	wants := []byte("HTTP/1.1 100")
-	begin, err := r.conn.in.Peek(len(wants))
+	continueLine := []byte("HTTP/1.1 100")
+	start, err := r.conn.reader.Peek(len(continueLine))
 	if err != nil {
 		return false, err
 	}
-	if err := r.conn.raw.SetReadDeadline(time.Time{}); err != nil {
+	if err := r.conn.netConn.SetReadDeadline(time.Time{}); err != nil {
 		return false, err
 	}
 	if ctx.Err() != nil {
-		r.conn.interrupt() // its deadline may just have been undone
+		r.conn.interrupt() // the previous call may have cleared the deadline that interrupt set
 	}
-	if string(begin) != string(wants) {
+	if string(start) != string(continueLine) {
 		return false, nil
 	}
-	_, err = http.ReadResponse(r.conn.in, nil) //nolint:bodyclose // an interim answer has no body
+	_, err = http.ReadResponse(r.conn.reader, nil) //nolint:bodyclose // an interim response has no body
 	return err == nil, err
 }
--- a/gate/dial/conn.go
+++ b/gate/dial/conn.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// conn is one connection. One request uses it at a time.
+// conn is one connection. It carries one request at a time.
 type conn struct {
-	raw net.Conn
-	in  *bufio.Reader
-	// since is when the last answer ended.
-	since time.Time
+	netConn net.Conn
+	reader  *bufio.Reader
+	// idleSince is when the last response ended; zero on a new connection.
+	idleSince time.Time
 }
 
 func newConn(raw net.Conn) *conn {
-	return &conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer)}
+	return &conn{netConn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}
 }
 
-func (c *conn) end() {
-	_ = c.raw.Close() // nothing is lost: the connection is given up
+func (c *conn) disconnect() {
+	_ = c.netConn.Close() // the connection is given up in any case
 }
 
-// quiet reports whether the connection is open and holds no bytes that nobody asked for.
-func (c *conn) quiet() bool {
-	if c.in.Buffered() > 0 {
+// isReusable reports whether the connection is open and holds no bytes that were not requested.
+func (c *conn) isReusable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	tcp, ok := c.raw.(*net.TCPConn)
+	tcp, ok := c.netConn.(*net.TCPConn)
 	if !ok {
 		return true
 	}
@@ -38,15 +38,15 @@
 	}
 	alive := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		alive = err == syscall.EAGAIN
 		return true
 	})
 	return err == nil && alive
 }
 
-// interrupt makes reads and writes under way end at once.
+// interrupt makes reads and writes in progress fail at once.
 func (c *conn) interrupt() {
-	_ = c.raw.SetDeadline(time.Unix(1, 0)) // it fails only on a closed connection
+	_ = c.netConn.SetDeadline(time.Unix(1, 0)) // it fails only on a closed connection
 }
--- a/gate/dial/dial_test.go
+++ b/gate/dial/dial_test.go
@@ -16,7 +16,7 @@
 	"mulleingate.dev/base/fault"
 )
 
-// listen takes connections and hands each to do.
+// listen accepts connections and passes each to do, with its number.
 func listen(t *testing.T, do func(n int, conn net.Conn)) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,8 +37,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// serve answers each request on each connection by do, which gets the number of the
-// request on its connection and returns the raw answer and whether to go on.
+// serve responds to requests with the raw responses that do returns. do gets the number of the request on
+// its connection, and reports whether to keep the connection.
 func serve(t *testing.T, do func(n int, req *http.Request) (string, bool)) netip.AddrPort {
 	t.Helper()
 	return listen(t, func(_ int, conn net.Conn) {
@@ -49,15 +49,15 @@
 			if err != nil {
 				return
 			}
-			raw, on := do(n, req)
-			if _, err := io.WriteString(conn, raw); err != nil || !on {
+			raw, keep := do(n, req)
+			if _, err := io.WriteString(conn, raw); err != nil || !keep {
 				return
 			}
 		}
 	})
 }
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nId: 1\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nId: 1\r\n\r\nok"
 
 func get(t *testing.T, p *Pool, req Request) (string, error) {
 	t.Helper()
@@ -71,8 +71,8 @@
 	return string(raw), err
 }
 
-func TestConnectionIsKept(t *testing.T) {
-	p := New(serve(t, func(int, *http.Request) (string, bool) { return fine, true }), 2)
+func TestConnectionIsReused(t *testing.T) {
+	p := New(serve(t, func(int, *http.Request) (string, bool) { return okResponse, true }), 2)
 	for range 5 {
 		if got, err := get(t, p, Request{}); got != "ok" || err != nil {
 			t.Fatalf("%q, %v", got, err)
@@ -83,12 +83,12 @@
 	}
 }
 
-// TestConnectionIsRetired checks every reason for which a connection must not be used again.
-func TestConnectionIsRetired(t *testing.T) {
+// TestConnectionIsNotReused checks every reason not to reuse a connection.
+func TestConnectionIsNotReused(t *testing.T) {
 	cases := map[string]string{
-		"the peer says so":       strings.Replace(fine, "\r\n", "\r\nConnection: close\r\n", 1),
-		"bytes behind an answer": fine + "more",
-		"no length":              "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok",
+		"the peer closes it":       strings.Replace(okResponse, "\r\n", "\r\nConnection: close\r\n", 1),
+		"bytes after the response": okResponse + "more",
+		"no length":                "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok",
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestConnectionClosedWhileIdle checks that a request does not go onto a connection that the
-// peer has closed meanwhile.
+// TestConnectionClosedWhileIdle checks that a request is not sent on a connection that the peer has
+// closed.
 func TestConnectionClosedWhileIdle(t *testing.T) {
-	p := New(serve(t, func(int, *http.Request) (string, bool) { return fine, false }), 2)
+	p := New(serve(t, func(int, *http.Request) (string, bool) { return okResponse, false }), 2)
 	for range 3 {
 		if got, err := get(t, p, Request{}); got != "ok" || err != nil {
 			t.Fatalf("%q, %v", got, err)
@@ -118,14 +118,14 @@
 	}
 }
 
-// TestNothingIsSentTwice checks that a request whose connection dies is not sent again, and
-// that the fault does not say that it has not run.
+// TestNothingIsSentTwice checks that a request whose connection breaks is not sent again, and that the
+// fault does not claim that it has not run.
 func TestNothingIsSentTwice(t *testing.T) {
 	seen := make(chan string, 10)
 	addr := serve(t, func(n int, req *http.Request) (string, bool) {
 		seen <- req.Method
 		if n == 0 {
-			return fine, true
+			return okResponse, true
 		}
 		return "", false
 	})
@@ -142,12 +142,12 @@
 	}
 }
 
-// TestBodyWaitsForThePeer checks that a request whose body is held back has surely not run where the peer is
-// gone or silent, and that a dead connection which had rested is left for a new one.
-func TestBodyWaitsForThePeer(t *testing.T) {
+// TestExpectContinue checks that a request whose body is held back has not run if the peer is gone or
+// silent, and that a dead idle connection is replaced by a new one.
+func TestExpectContinue(t *testing.T) {
 	const within = 200 * time.Millisecond
 	bodies := make(chan string, 4)
-	take := func(conn net.Conn, in *bufio.Reader) bool {
+	handle := func(conn net.Conn, in *bufio.Reader) bool {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return false
@@ -155,33 +155,33 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 		raw, _ := io.ReadAll(req.Body)
 		bodies <- string(raw)
-		_, _ = io.WriteString(conn, fine)
+		_, _ = io.WriteString(conn, okResponse)
 		return true
 	}
 	cases := map[string]struct {
 		peer func(n int, conn net.Conn)
-		// first is a request sent before, whose connection rests.
-		first bool
+		// reuse sends a request first, which leaves an idle connection.
+		reuse bool
 		kind  fault.Kind
 		want  []string
 	}{
-		"sound": {peer: func(_ int, conn net.Conn) {
-			for in := bufio.NewReader(conn); take(conn, in); {
+		"healthy": {peer: func(_ int, conn net.Conn) {
+			for in := bufio.NewReader(conn); handle(conn, in); {
 			}
-		}, first: true, want: []string{"body", "body"}},
-		"silent":           {peer: func(int, net.Conn) {}, kind: fault.NoTarget},
-		"ends at the head": {peer: func(_ int, conn net.Conn) { _, _ = conn.Read(make([]byte, 1)); _ = conn.Close() }, kind: fault.NoTarget},
-		"a rested connection is dead": {peer: func(n int, conn net.Conn) {
+		}, reuse: true, want: []string{"body", "body"}},
+		"silent":                 {peer: func(int, net.Conn) {}, kind: fault.NoTarget},
+		"closes during the head": {peer: func(_ int, conn net.Conn) { _, _ = conn.Read(make([]byte, 1)); _ = conn.Close() }, kind: fault.NoTarget},
+		"an idle connection is dead": {peer: func(n int, conn net.Conn) {
 			in := bufio.NewReader(conn)
-			take(conn, in)
+			handle(conn, in)
 			if n == 0 {
 				_, _ = http.ReadRequest(in)
 				_ = conn.Close()
 			}
-		}, first: true, want: []string{"body", "body"}},
-		"refuses without the body": {peer: func(_ int, conn net.Conn) {
+		}, reuse: true, want: []string{"body", "body"}},
+		"responds without the body": {peer: func(_ int, conn net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(conn))
-			_, _ = io.WriteString(conn, fine)
+			_, _ = io.WriteString(conn, okResponse)
 		}},
 	}
 	for name, c := range cases {
@@ -197,7 +197,7 @@
 				_, err = io.ReadAll(resp)
 				return err
 			}
-			if c.first {
+			if c.reuse {
 				if err := send(); err != nil {
 					t.Fatal(err)
 				}
@@ -215,13 +215,13 @@
 				got = append(got, <-bodies)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Errorf("bodies that the peer saw (-want +got):\n%s", diff)
+				t.Errorf("bodies that the peer received (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestNotReached(t *testing.T) {
+func TestConnectFailure(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -234,25 +234,25 @@
 	}
 }
 
-// TestAnswersOfOthers checks that answers to earlier requests are skipped, and that a peer
-// which sends nothing else is given up.
-func TestAnswersOfOthers(t *testing.T) {
-	mine := func(header http.Header) bool { return header.Get("Id") == "1" }
-	other := strings.Replace(fine, "Id: 1", "Id: 0", 1)
-	p := New(serve(t, func(int, *http.Request) (string, bool) { return other + fine, true }), 2)
-	if got, err := get(t, p, Request{Mine: mine}); got != "ok" || err != nil {
+// TestStaleResponses checks that responses to earlier requests are skipped, and that the request fails if
+// the peer sends nothing else.
+func TestStaleResponses(t *testing.T) {
+	isOwn := func(header http.Header) bool { return header.Get("Id") == "1" }
+	stale := strings.Replace(okResponse, "Id: 1", "Id: 0", 1)
+	p := New(serve(t, func(int, *http.Request) (string, bool) { return stale + okResponse, true }), 2)
+	if got, err := get(t, p, Request{Mine: isOwn}); got != "ok" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if _, err := get(t, p, Request{Mine: mine}); err != nil || p.Dials() != 2 {
+	if _, err := get(t, p, Request{Mine: isOwn}); err != nil || p.Dials() != 2 {
 		t.Errorf("%v after %d connections", err, p.Dials())
 	}
-	p = New(serve(t, func(int, *http.Request) (string, bool) { return strings.Repeat(other, 6), true }), 2)
-	if _, err := get(t, p, Request{Mine: mine}); !fault.Is(err, fault.TargetFailed) {
+	p = New(serve(t, func(int, *http.Request) (string, bool) { return strings.Repeat(stale, 6), true }), 2)
+	if _, err := get(t, p, Request{Mine: isOwn}); !fault.Is(err, fault.TargetFailed) {
 		t.Errorf("fault %v", err)
 	}
 }
 
-func TestBrokenAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedBody(t *testing.T) {
 	for name, raw := range map[string]string{
 		"short":   "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -260,15 +260,15 @@
 		t.Run(name, func(t *testing.T) {
 			p := New(serve(t, func(int, *http.Request) (string, bool) { return raw, false }), 2)
 			if got, err := get(t, p, Request{}); err == nil {
-				t.Errorf("%q looks whole", got)
+				t.Errorf("%q was read as a whole body", got)
 			}
 		})
 	}
 }
 
-// TestEarlyAnswerToALongRequest checks that a connection on which the rest of a request is
-// due is not used again.
-func TestEarlyAnswerToALongRequest(t *testing.T) {
+// TestResponseBeforeRequestEnds checks that a connection is not reused while part of its request is
+// unwritten.
+func TestResponseBeforeRequestEnds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -282,8 +282,8 @@
 			}
 			go func() {
 				buf := make([]byte, 100)
-				_, _ = conn.Read(buf) // the beginning is enough
-				_, _ = io.WriteString(conn, fine)
+				_, _ = conn.Read(buf) // reads only the beginning of the request
+				_, _ = io.WriteString(conn, okResponse)
 			}()
 		}
 	}()
@@ -299,13 +299,13 @@
 		resp.Close()
 	}
 	if p.Dials() != 2 {
-		t.Errorf("%d connections", p.Dials())
+		t.Errorf("%d connections for 2 requests", p.Dials())
 	}
 }
 
 func TestLimit(t *testing.T) {
 	free := make(chan struct{})
-	p := New(serve(t, func(int, *http.Request) (string, bool) { <-free; return fine, true }), 1)
+	p := New(serve(t, func(int, *http.Request) (string, bool) { <-free; return okResponse, true }), 1)
 	done := make(chan error)
 	go func() {
 		_, err := get(t, p, Request{})
@@ -324,10 +324,10 @@
 	}
 }
 
-// TestLimitThatFalls checks that connections above a lower limit are ended once they are idle.
-func TestLimitThatFalls(t *testing.T) {
+// TestLoweredLimit checks that connections above a lowered limit are closed once they are idle.
+func TestLoweredLimit(t *testing.T) {
 	free := make(chan struct{})
-	p := New(serve(t, func(int, *http.Request) (string, bool) { <-free; return fine, true }), 4)
+	p := New(serve(t, func(int, *http.Request) (string, bool) { <-free; return okResponse, true }), 4)
 	done := make(chan error)
 	for range 4 {
 		go func() {
@@ -353,12 +353,12 @@
 	}
 	p.Limit(1)
 	if p.Full() || len(p.idle) != 1 {
-		t.Errorf("%d connections rest", len(p.idle))
+		t.Errorf("%d idle connections", len(p.idle))
 	}
 }
 
-func TestCallerLeaves(t *testing.T) {
-	p := New(serve(t, func(int, *http.Request) (string, bool) { time.Sleep(time.Minute); return fine, true }), 1)
+func TestContextEnds(t *testing.T) {
+	p := New(serve(t, func(int, *http.Request) (string, bool) { time.Sleep(time.Minute); return okResponse, true }), 1)
 	ctx, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer stop()
 	start := time.Now()
--- a/gate/dial/doc.go
+++ b/gate/dial/doc.go
@@ -1,4 +1,3 @@
-// Package dial keeps HTTP/1.1 connections to one address and sends each request at most
-// once. It tells apart a request of which no byte was written and one that may have run,
-// and matches answers to their requests.
+// Package dial keeps HTTP/1.1 connections to one address and sends each request at most once. It tells
+// requests that cannot have run from those that may have, and matches responses to their requests.
 package dial
--- a/gate/dial/pool.go
+++ b/gate/dial/pool.go
@@ -12,136 +12,135 @@
 )
 
 const (
-	// connectTimeout bounds a new connection: a few round trips between availability zones,
-	// and below the seconds after which a lost opening packet is sent again.
+	// connectTimeout bounds the opening of a connection: a few round trips between availability zones,
+	// but less than the time after which TCP resends a lost SYN.
 	connectTimeout = 400 * time.Millisecond
-	// deadAfter is how long written bytes may stay unacknowledged before the connection
-	// counts as dead.
-	deadAfter = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a dead peer while an answer is
-	// awaited: about 2 s, the least that whole seconds allow. Callers give a silent answer up
-	// after 2.4 s or more, and a call that is found broken earlier is sent again earlier.
+	// ackTimeout is how long written bytes may stay unacknowledged before the connection counts as dead.
+	ackTimeout = 1500 * time.Millisecond
+	// keepAliveIdle, keepAliveEvery and keepAliveCount detect a dead peer while a response is awaited,
+	// within about 2 s, the minimum in whole seconds. Callers give up on a silent replica after 2.4 s or
+	// more, and can retry a call earlier if its connection breaks earlier.
 	keepAliveIdle  = time.Second
 	keepAliveEvery = time.Second
 	keepAliveCount = 1
-	// maxIdle is how long a connection may rest unless the peer names a shorter time.
-	maxIdle = 8 * time.Second
-	// idleMargin is taken off the time that a peer names, so that both don't meet there.
+	// maxIdleTime is how long a connection may be idle unless the peer announces a shorter time.
+	maxIdleTime = 8 * time.Second
+	// idleMargin is subtracted from the time that the peer announces, so that a connection is not reused
+	// just as the peer closes it.
 	idleMargin = time.Second
-	// readBuffer is enough for the head of an answer, in bytes.
-	readBuffer = 4 << 10
+	// readBufferSize is enough for the head of a response, in bytes.
+	readBufferSize = 4 << 10
 )
 
-// Pool keeps the connections to one address.
+// Pool holds the connections to one address.
 type Pool struct {
 	addr netip.AddrPort
-	// limit bounds the connections open at once.
+	// limit is the maximum number of open connections.
 	limit int
 
 	mu sync.Mutex
-	// idle is in the order of last use; the newest is used first.
+	// idle holds the idle connections in the order of last use; the newest is used first.
 	idle []*conn
 	// open counts the connections, idle or in use.
 	open   int
 	closed bool
-	// rest is how long a connection may rest, and told whether the peer has named that time.
-	rest time.Duration
-	told bool
-	// dials counts the connections that were opened.
+	// idleTimeout is how long a connection may be idle; idleTimeoutKnown says that the peer announced it.
+	idleTimeout      time.Duration
+	idleTimeoutKnown bool
+	// dials counts the connections that were opened, including failed attempts.
 	dials int64
 }
 
-// New makes a pool without connections.
+// New returns a pool without connections that keeps at most limit open, and at least one.
 func New(addr netip.AddrPort, limit int) *Pool {
-	return &Pool{addr: addr, limit: max(limit, 1), rest: maxIdle}
+	return &Pool{addr: addr, limit: max(limit, 1), idleTimeout: maxIdleTime}
 }
 
-// Limit bounds the connections open at once from now on. Idle ones above it are ended; those
-// in use are ended once they are idle.
+// Limit sets the maximum number of open connections. Idle ones above it are closed at once, those in use
+// when they become idle.
 func (p *Pool) Limit(connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = max(connections, 1)
 	for p.open > p.limit && len(p.idle) > 0 {
-		p.idle[0].end()
+		p.idle[0].disconnect()
 		p.idle = p.idle[1:]
 		p.open--
 	}
 }
 
-// Dials counts the connections opened so far.
+// Dials returns the number of connections opened so far, including failed attempts.
 func (p *Pool) Dials() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// Full reports whether a request now would find neither an idle connection nor room for a
-// new one.
+// Full reports whether a request would now find neither an idle connection nor room for a new one.
 func (p *Pool) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) == 0 && p.open >= p.limit
 }
 
-// Connected reports whether a connection rests that a request now may use.
+// Connected reports whether a request could now reuse an idle connection, its MaxRest aside.
 func (p *Pool) Connected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := len(p.idle) - 1
-	return last >= 0 && time.Since(p.idle[last].since) < p.rest
+	return last >= 0 && time.Since(p.idle[last].idleSince) < p.idleTimeout
 }
 
-// Close ends all idle connections and keeps the others from coming back.
+// Close closes all idle connections. Those in use are closed when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
 		p.open--
-		c.end()
+		c.disconnect()
 	}
 	p.idle = nil
 }
 
-// take returns an idle connection that has rested at most maxRest, or for less than the peer names, and still looks alive,
-// or a new one.
-func (p *Pool) take(ctx context.Context, maxRest time.Duration) (*conn, error) {
+// acquire returns an idle connection that still looks alive, or a new one. An idle one may have been idle
+// for as long as the peer allows, or for at most idleLimit if the peer has not said.
+func (p *Pool) acquire(ctx context.Context, idleLimit time.Duration) (*conn, error) {
 	now := time.Now()
 	for {
-		c, err := p.reuse(now, maxRest)
+		c, err := p.popIdle(now, idleLimit)
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
 			return p.connect(ctx)
 		}
-		if c.quiet() {
+		if c.isReusable() {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-// reuse takes the newest idle connection. Where there is none it makes room for a new one
-// and returns nil.
-func (p *Pool) reuse(now time.Time, maxRest time.Duration) (*conn, error) {
+// popIdle removes and returns the newest usable idle connection. If there is none, it reserves room for a
+// new one and returns nil.
+func (p *Pool) popIdle(now time.Time, idleLimit time.Duration) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, fault.Refuse(fault.NoTarget, "the target is gone")
+		return nil, fault.Refuse(fault.NoTarget, "the target has been removed")
 	}
-	rest := p.rest
-	if !p.told {
-		rest = min(rest, maxRest)
+	timeout := p.idleTimeout
+	if !p.idleTimeoutKnown {
+		timeout = min(timeout, idleLimit)
 	}
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Sub(c.since) <= rest {
+		if now.Sub(c.idleSince) <= timeout {
 			return c, nil
 		}
-		c.end()
+		c.disconnect()
 		p.open--
 	}
 	if p.open >= p.limit {
@@ -152,56 +151,59 @@
 	return nil, nil
 }
 
+// connect opens a connection for which room has been reserved.
 func (p *Pool) connect(ctx context.Context) (*conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, Control: setUserTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount,
 	}}
 	raw, err := dialer.DialContext(ctx, "tcp", p.addr.String())
 	if err != nil {
-		p.left()
-		return nil, fault.Refuse(fault.NoTarget, "no connection to the target").Because(err)
+		p.connClosed()
+		return nil, fault.Refuse(fault.NoTarget, "cannot connect to the target").Because(err)
 	}
 	return newConn(raw), nil
 }
 
-func (p *Pool) left() {
+// connClosed removes a connection from the count of open ones.
+func (p *Pool) connClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// put takes a connection back after a whole answer.
-func (p *Pool) put(c *conn, rest time.Duration) {
-	c.since = time.Now()
+// release returns a connection to the pool after a whole response. keepAlive is the idle timeout that the
+// peer announced; zero if none.
+func (p *Pool) release(c *conn, keepAlive time.Duration) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if rest > 0 {
-		p.rest, p.told = min(maxIdle, max(rest-idleMargin, rest/2)), true
+	if keepAlive > 0 {
+		p.idleTimeout, p.idleTimeoutKnown = min(maxIdleTime, max(keepAlive-idleMargin, keepAlive/2)), true
 	}
 	if p.closed || p.open > p.limit {
 		p.open--
-		c.end()
+		c.disconnect()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// drop ends a connection.
-func (p *Pool) drop(c *conn) {
-	c.end()
-	p.left()
+// discard closes a connection that is in use.
+func (p *Pool) discard(c *conn) {
+	c.disconnect()
+	p.connClosed()
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall does not define.
 const tcpUserTimeout = 18
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(deadAfter.Milliseconds()))
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
