--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -43,8 +43,9 @@
 	failureRateAt   time.Time
 	// announcedAt is when this box last told the other boxes that the replica fails calls.
 	announcedAt time.Time
-	// removed is set once the replica is off the list. missing is set if its entry disappeared while the
-	// log was unreachable: the replica may have left, or its entry expired and will be written again.
+	// removed is set once the replica is off the list or has restarted. missing is set if its entry
+	// disappeared while the log was unreachable: the replica may have left, or its entry expired and will
+	// be written again.
 	removed, missing bool
 	// suspectUntil is when the replica stops being avoided after a call did not reach it.
 	suspectUntil time.Time
