--- a/gate/turns/answer.go
+++ b/gate/turns/answer.go
@@ -12,32 +12,32 @@
 	"mulleingate.dev/gate/work"
 )
 
-// pass hands the answer on as it comes, and ends it once the ledger has it.
-func (t *turn) pass(ctx context.Context, reply work.Reply) error {
+// forwardReply streams the answer to the caller and ends the turn in the ledger.
+func (t *turn) forwardReply(ctx context.Context, reply work.Reply) error {
 	defer reply.Body.Close()
 	if err := t.awaitStart(ctx); err != nil {
 		t.lease.Done(target.Dropped, 0)
 		return err
 	}
 	if reply.Head.Status != http.StatusOK || !reply.Sound {
-		return t.passFailure(reply)
+		return t.forwardFailure(reply)
 	}
 	begun := time.Now()
-	before := t.tap.collected.count
+	before := t.answer.collected.count
 	if err := t.stream(ctx, reply); err != nil {
-		t.lease.Done(t.outcome(ctx, err), 0)
+		t.lease.Done(t.errorOutcome(ctx, err), 0)
 		return err
 	}
 	gap := time.Duration(0)
-	if events := t.tap.collected.count - before; events > 1 {
+	if events := t.answer.collected.count - before; events > 1 {
 		gap = time.Since(begun) / time.Duration(events-1)
 	}
 	t.lease.Done(target.Answered, gap)
 	return t.ledger.finish(ctx)
 }
 
-// passFailure hands on an answer that is no series of events.
-func (t *turn) passFailure(reply work.Reply) error {
+// forwardFailure forwards an answer with an error status, which is no event stream.
+func (t *turn) forwardFailure(reply work.Reply) error {
 	if reply.Head.Status < http.StatusMultipleChoices {
 		t.lease.Done(target.Broken, 0)
 		return fault.Fail(fault.Protocol, "the answer lacks the replica's proof of origin")
@@ -47,23 +47,24 @@
 		t.lease.Done(target.Broken, 0)
 		return fault.Fail(fault.TargetFailed, "the answer broke off").Because(err)
 	}
-	t.lease.Done(verdict(reply.Head.Status), 0)
-	t.log.Info("turns: replica failed the turn", "id", t.call.ID, "replica", t.lease.Replica.ID, "status", reply.Head.Status)
-	if t.tap.begun {
-		return fault.Fail(fault.TargetFailed, "the replica did not take the turn up")
+	t.lease.Done(statusOutcome(reply.Head.Status), 0)
+	t.log.Info("turns: replica answered with an error status", "id", t.call.ID, "replica", t.lease.Replica.ID, "status", reply.Head.Status)
+	if t.answer.begun {
+		return fault.Fail(fault.TargetFailed, "the replica did not resume the turn")
 	}
 	t.ended = true
 	t.ledger.abort()
 	reply.Head.Length = int64(len(body))
-	if err := t.tap.Begin(reply.Head); err != nil {
+	if err := t.answer.Begin(reply.Head); err != nil {
 		return nil
 	}
-	_ = t.tap.Answer.Write(body) // the caller is gone; the turn has ended either way
+	_ = t.answer.Answer.Write(body) // the turn has ended even if the caller is gone
 	return nil
 }
 
-// verdict tells a replica's own failure from the caller's, and from a time that ran out.
-func verdict(status int) target.Outcome {
+// statusOutcome maps a status to an outcome: a 5xx is a failure of the replica, except a timeout, which says
+// nothing about it; other statuses are answers.
+func statusOutcome(status int) target.Outcome {
 	switch {
 	case status == http.StatusGatewayTimeout:
 		return target.Dropped
@@ -74,54 +75,55 @@
 	}
 }
 
-// stream copies the answer until its end.
+// stream copies the answer to the caller until its end.
 func (t *turn) stream(ctx context.Context, reply work.Reply) error {
-	if !t.tap.begun {
-		t.tap.head = reply.Head
-		t.tap.head.Length = -1
+	if !t.answer.begun {
+		t.answer.head = reply.Head
+		t.answer.head.Length = -1
 	}
-	err := work.Copy(reply.Body, t.tap, fault.TargetFailed)
+	err := work.Copy(reply.Body, t.answer, fault.TargetFailed)
 	if err == nil {
-		return t.tap.flush()
+		return t.answer.flush()
 	}
-	t.tap.held = nil // the part of an event; the replica that goes on sends it whole
+	t.answer.partial = nil // drop the incomplete event; a replica that resumes sends it again
 	if fault.Is(err, fault.TargetFailed) && ctx.Err() != nil {
-		return fault.Fail(fault.TimedOut, "the turn's time ended before its answer").Because(err)
+		return fault.Fail(fault.TimedOut, "the turn's deadline passed before the end of its answer").Because(err)
 	}
 	return err
 }
 
-// tap sees an answer on its way to the caller. The head goes out with the first bytes.
-type tap struct {
+// answerWriter writes an answer to the caller and collects its events. The head is sent with the first bytes.
+type answerWriter struct {
 	work.Answer
 	turn *turn
 	head work.Head
-	// collected is what was handed to the caller.
+	// collected holds the events sent to the caller.
 	collected events
-	// held is the beginning of an event on a route whose answers are taken up again: the caller
-	// gets whole events only, so that none is told twice.
-	held  []byte
+	// partial is the beginning of an event on a resumable route. The caller gets complete events only, so
+	// that none is duplicated after a resume.
+	partial []byte
+	// begun is set once anything was sent to the caller.
 	begun bool
 }
 
 // Write implements work.Answer.
-func (p *tap) Write(data []byte) error {
-	p.turn.heard = time.Now()
+func (p *answerWriter) Write(data []byte) error {
+	p.turn.lastReceived = time.Now()
 	if !p.turn.route.Resumable {
-		return p.hand(data)
+		return p.send(data)
 	}
-	p.held = append(p.held, data...)
-	end := wholeEvents(p.held)
+	p.partial = append(p.partial, data...)
+	end := completeEvents(p.partial)
 	if end == 0 {
 		return nil
 	}
-	err := p.hand(p.held[:end])
-	p.held = append(p.held[:0], p.held[end:]...)
+	err := p.send(p.partial[:end])
+	p.partial = append(p.partial[:0], p.partial[end:]...)
 	return err
 }
 
-// wholeEvents is the number of bytes up to the end of the last whole event.
-func wholeEvents(raw []byte) int {
+// completeEvents returns the length of raw up to the end of its last complete event.
+func completeEvents(raw []byte) int {
 	end := 0
 	if at := bytes.LastIndex(raw, []byte("\n\n")); at >= 0 {
 		end = at + len("\n\n")
@@ -132,22 +134,22 @@
 	return end
 }
 
-// flush hands out what follows the last event of a whole answer.
-func (p *tap) flush() error {
-	if len(p.held) == 0 {
+// flush sends what follows the last event of a complete answer.
+func (p *answerWriter) flush() error {
+	if len(p.partial) == 0 {
 		return nil
 	}
-	rest := p.held
-	p.held = nil
-	return p.hand(rest)
+	rest := p.partial
+	p.partial = nil
+	return p.send(rest)
 }
 
-// hand gives bytes to the caller.
-func (p *tap) hand(data []byte) error {
+// send sends bytes to the caller, after the head if they are the first.
+func (p *answerWriter) send(data []byte) error {
 	if !p.begun {
 		p.begun = true
-		p.turn.lease.First(time.Since(p.turn.offered))
-		p.turn.first = time.Since(p.turn.call.Arrived)
+		p.turn.lease.First(time.Since(p.turn.sentAt))
+		p.turn.firstEventLatency = time.Since(p.turn.call.Arrived)
 		if err := p.Begin(p.head); err != nil {
 			return err
 		}
--- a/gate/turns/doc.go
+++ b/gate/turns/doc.go
@@ -1,3 +1,3 @@
-// Package turns runs the turns of programs on the box that owns them: it builds the prompt
-// from the turns before, keeps the budget, and has the answer in the log before its end.
+// Package turns runs the turns of programs on the box that owns them: it builds the prompt from earlier
+// turns, enforces the token budget, and writes the answer to the log before completing it to the caller.
 package turns
--- a/gate/turns/events.go
+++ b/gate/turns/events.go
@@ -2,32 +2,33 @@
 
 import "bytes"
 
-// maxLine bounds a line of an event that is kept, in bytes.
+// maxLine bounds a buffered line of an event and the body of an error answer, in bytes.
 const maxLine = 1 << 20
 
-// events collects the data of a series of events while its bytes pass by.
+// events parses a stream of server-sent events and collects their data.
 type events struct {
-	// text is the data of each event with a line feed behind.
+	// text is the data of all events, each followed by a line feed.
 	text []byte
 	// count is the number of events with data.
 	count int
-	// line is the beginning of a line whose end has not come.
+	// line buffers a line whose end has not arrived.
 	line []byte
-	// data is that of the event under way; some tells that it has a data line.
-	data []byte
-	some bool
-	// id is that of the event under way, last that of the newest event with data.
-	id, last string
+	// data belongs to the current event; hasData is set once that event has a data line.
+	data    []byte
+	hasData bool
+	// id is the latest ID seen, lastID that of the last complete event with data.
+	id, lastID string
 }
 
-// begun is the number of events of which something has passed by.
-func (e *events) begun() int {
-	if e.some || len(e.line) > 0 {
+// started returns the number of events that have started, complete or not.
+func (e *events) started() int {
+	if e.hasData || len(e.line) > 0 {
 		return e.count + 1
 	}
 	return e.count
 }
 
+// write parses the next bytes of the stream.
 func (e *events) write(raw []byte) {
 	for len(raw) > 0 {
 		end := bytes.IndexByte(raw, '\n')
@@ -42,12 +43,13 @@
 			line = append(e.line, line...)
 			e.line = e.line[:0]
 		}
-		e.take(bytes.TrimSuffix(line, []byte("\r")))
+		e.parseLine(bytes.TrimSuffix(line, []byte("\r")))
 		raw = raw[end+1:]
 	}
 }
 
-func (e *events) take(line []byte) {
+// parseLine handles one line without its line ending.
+func (e *events) parseLine(line []byte) {
 	if len(line) == 0 {
 		e.dispatch()
 		return
@@ -60,21 +62,22 @@
 	if !ok {
 		return
 	}
-	if e.some {
+	if e.hasData {
 		e.data = append(e.data, '\n')
 	}
 	e.data = append(e.data, bytes.TrimPrefix(data, []byte(" "))...)
-	e.some = true
+	e.hasData = true
 }
 
+// dispatch completes the current event at an empty line.
 func (e *events) dispatch() {
-	if !e.some {
+	if !e.hasData {
 		return
 	}
 	e.text = append(e.text, e.data...)
 	e.text = append(e.text, '\n')
 	e.count++
-	e.last = e.id
+	e.lastID = e.id
 	e.data = e.data[:0]
-	e.some = false
+	e.hasData = false
 }
--- a/gate/turns/events_test.go
+++ b/gate/turns/events_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestEventsInPieces checks that the cuts between reads make no difference.
+// TestEventsInPieces checks that the boundaries between writes do not change the parsed text.
 func TestEventsInPieces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		raw := rapid.StringOf(rapid.SampledFrom([]rune("data: x\n\r:i"))).Draw(rt, "raw")
--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -11,68 +11,68 @@
 )
 
 const (
-	// recordSpare is left in a record for the names beside a turn's text, and answerShare is the
-	// part of it, one in so many, that a caller's input must leave to the answer.
-	recordSpare = 1 << 10
-	answerShare = 4
-	// maxChain bounds the text of a chain, in bytes.
-	maxChain = 16 << 20
-	// spendingFor is how long it is known what a program has spent where its route does not say:
-	// longer than a program is likely to rest between two turns.
-	spendingFor = 2 * time.Minute
-	// settleFor bounds how long the next owner of a slot is asked to take a turn's end.
-	settleFor = 10 * time.Second
+	// recordSpare is the space in a log record, in bytes, kept for the identifiers beside a turn's text.
+	// answerDivisor sets the part of the text that the input must leave for the answer: 1/answerDivisor.
+	recordSpare   = 1 << 10
+	answerDivisor = 4
+	// maxHistoryBytes bounds a prompt: the program's history and the new input.
+	maxHistoryBytes = 16 << 20
+	// defaultRetention is how long a program's spending is kept if its route sets no retention. It exceeds
+	// the usual pause between two turns.
+	defaultRetention = 2 * time.Minute
+	// settleTimeout bounds the attempts to record the tokens that a turn has spent.
+	settleTimeout = 10 * time.Second
 )
 
-// ledger is how a turn counts against its program's budget, and what is kept of it.
+// ledger charges a turn to its program's budget and decides what the log keeps of it.
 type ledger interface {
 	// enter checks the turn against the state and reserves its budget.
 	enter(state *chain.State) error
-	// needsLog reports whether the turn can't end without the log.
+	// needsLog reports whether the turn has to wait for the log.
 	needsLog() bool
-	// logged notes that the log holds the turn's first record.
-	logged()
-	// finish ends the turn after a whole answer.
+	// onStartLogged is called once the log holds the turn's start record.
+	onStartLogged()
+	// finish ends the turn after a complete answer.
 	finish(ctx context.Context) error
-	// abort ends it without one.
+	// abort ends the turn without a complete answer.
 	abort()
 }
 
-// newLedger makes the ledger of the turn's route.
+// newLedger returns the ledger for the turn's route.
 func newLedger(t *turn) ledger {
 	if t.route.Stateful {
-		return &kept{t}
+		return &statefulLedger{t}
 	}
 	if t.open.Retention <= 0 {
-		t.open.Retention = spendingFor
+		t.open.Retention = defaultRetention
 	}
-	return &drawn{t}
+	return &statelessLedger{t}
 }
 
-// kept is the ledger of turns that later ones go on from: the log holds each.
-type kept struct{ *turn }
+// statefulLedger is the ledger for stateful routes: the log stores every turn, and later turns continue from it.
+type statefulLedger struct{ *turn }
 
-func (t *kept) enter(state *chain.State) error {
-	if len(t.input) > t.mostText-t.mostText/answerShare {
-		return fault.Refuse(fault.TooLarge, "the log can't keep a turn of this length")
+func (t *statefulLedger) enter(state *chain.State) error {
+	if len(t.input) > t.maxTextBytes-t.maxTextBytes/answerDivisor {
+		return fault.Refuse(fault.TooLarge, "the turn is too long for a log record")
 	}
-	if len(t.call.Turn.Base) > t.mostText {
-		return fault.Refuse(fault.TooLarge, "the log can't keep a copy of a history of this length")
+	if len(t.call.Turn.Base) > t.maxTextBytes {
+		return fault.Refuse(fault.TooLarge, "the history to copy is too long for a log record")
 	}
 	var recs []work.Record
-	line, err := state.Line(t.open.Program, t.open.Previous)
+	history, err := state.Line(t.open.Program, t.open.Previous)
 	if fault.Is(err, fault.NoTurn) && t.call.Turn.Base != nil {
 		recs = append(recs, state.Import(time.Now(), t.open.Program, t.open.Previous, t.call.Turn.Base, t.open.Retention))
-		line, err = state.Line(t.open.Program, t.open.Previous)
+		history, err = state.Line(t.open.Program, t.open.Previous)
 	}
 	if err != nil {
 		return err
 	}
 	size := len(t.input)
-	for _, before := range line {
+	for _, before := range history {
 		size += len(before.Text)
 	}
-	if size > maxChain {
+	if size > maxHistoryBytes {
 		return fault.Refuse(fault.TooLarge, "the program's history is too long")
 	}
 	starts, err := state.Start(time.Now(), t.open, t.call.Turn.Budget)
@@ -80,71 +80,71 @@
 		return err
 	}
 	recs = append(recs, starts...)
-	t.build(line, size)
+	t.buildPrompt(history, size)
 	if len(recs) > 0 {
 		t.started = t.slot.QueueLocked(recs)
 	}
 	return nil
 }
 
-// build makes the prompt of so many bytes from the turns before and the input.
-func (t *kept) build(line []*chain.Turn, size int) {
+// buildPrompt assembles the prompt, of size bytes, from the history and the input.
+func (t *statefulLedger) buildPrompt(history []*chain.Turn, size int) {
 	t.prompt = make([]byte, 0, size)
-	t.seen = map[string]int{}
-	for _, before := range line {
+	t.cachedTokens = map[string]int{}
+	for _, before := range history {
 		t.prompt = append(t.prompt, before.Text...)
 		if before.Ran != "" {
-			t.seen[before.Ran] = before.Cached
+			t.cachedTokens[before.Ran] = before.Cached
 		}
 	}
 	t.prompt = append(t.prompt, t.input...)
 }
 
-func (*kept) needsLog() bool { return true }
+func (*statefulLedger) needsLog() bool { return true }
 
-func (*kept) logged() {}
+func (*statefulLedger) onStartLogged() {}
 
-// finish writes the turn to the log; the answer's end waits for it.
-func (t *kept) finish(ctx context.Context) error {
-	text := append(append([]byte(nil), t.input...), t.tap.collected.text...)
-	if len(text) > t.mostText {
-		return fault.Fail(fault.TooLarge, "the log can't keep an answer of this length")
+// finish writes the turn to the log and waits for it; only then is the answer complete for the caller.
+func (t *statefulLedger) finish(ctx context.Context) error {
+	text := append(append([]byte(nil), t.input...), t.answer.collected.text...)
+	if len(text) > t.maxTextBytes {
+		return fault.Fail(fault.TooLarge, "the turn with its answer is too long for a log record")
 	}
-	tokens := t.spent(t.tap.collected.count)
+	tokens := t.answerTokens(t.answer.collected.count)
 	var pending *shard.Pending
 	t.slot.Change(func(state *chain.State) {
-		made, recs := state.Finish(time.Now(), t.open, tokens, text)
-		made.Ran = t.lease.Replica.Life()
+		finished, recs := state.Finish(time.Now(), t.open, tokens, text)
+		finished.Ran = t.lease.Replica.Life()
 		if t.call.Prompt != nil {
-			made.Cached = t.call.Prompt.Tokens + tokens
+			finished.Cached = t.call.Prompt.Tokens + tokens
 		}
 		pending = t.slot.QueueLocked(recs)
 		t.ended = true
 	})
 	start := time.Now()
 	if err := t.slot.Await(ctx, pending); err != nil {
-		t.log.Warn("turns: end not confirmed", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
+		t.log.Warn("turns: end of turn not confirmed by the log", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
 		t.counts.Count("turns.unconfirmed", 1)
-		go t.free(context.Background(), pending) // it ends with the slot at the latest
-		return fault.Fail(fault.LogUnavailable, "the log does not hold the answer").Because(err)
+		go t.releaseReservation(context.Background(), pending) // returns at the latest when the slot is given up
+		return fault.Fail(fault.LogUnavailable, "the log did not confirm the answer").Because(err)
 	}
-	t.free(ctx, pending)
+	t.releaseReservation(ctx, pending)
 	t.counts.Time("turns.confirm_time", time.Since(start))
 	t.answered(time.Since(start))
 	return nil
 }
 
-// free lets the program's next turn use what this one had reserved, once this owner has
-// written the turn's end.
-func (t *kept) free(ctx context.Context, end *shard.Pending) {
+// releaseReservation lets the program's next turn use the tokens that this one had reserved, once this owner
+// has written the turn's end to the log.
+func (t *statefulLedger) releaseReservation(ctx context.Context, end *shard.Pending) {
 	if end.Wait(ctx) == nil {
 		t.slot.Change(func(state *chain.State) { state.Free(t.open) })
 	}
 }
 
-func (t *kept) abort() {
+func (t *statefulLedger) abort() {
 	t.slot.Change(func(state *chain.State) {
-		if t.ran {
+		if t.mayHaveRun {
 			state.Break(t.open)
 			return
 		}
@@ -154,11 +154,11 @@
 	})
 }
 
-// drawn is the ledger of turns that bring their history. The log holds what their program may
-// spend by them, written ahead, so that most of them wait for nothing and go on without the log.
-type drawn struct{ *turn }
+// statelessLedger is the ledger for turns that carry their own history. The log holds a token grant for several
+// turns of a program, written in advance, so that most turns neither wait for the log nor need it.
+type statelessLedger struct{ *turn }
 
-func (t *drawn) enter(state *chain.State) error {
+func (t *statelessLedger) enter(state *chain.State) error {
 	recs, err := state.Draw(time.Now(), t.open, t.call.Turn.Budget)
 	if err != nil {
 		return err
@@ -171,30 +171,30 @@
 	return nil
 }
 
-func (t *drawn) needsLog() bool { return t.started != nil }
+func (t *statelessLedger) needsLog() bool { return t.started != nil }
 
-func (t *drawn) logged() {
+func (t *statelessLedger) onStartLogged() {
 	t.slot.Change(func(state *chain.State) { state.Confirm(t.open.Program, t.open.Granted) })
 }
 
-// finish counts what the answer held. Nothing waits for the log.
-func (t *drawn) finish(context.Context) error {
+// finish charges the answer's tokens without waiting for the log.
+func (t *statelessLedger) finish(context.Context) error {
 	t.ended = true
-	t.back()
+	t.charge()
 	t.answered(0)
 	return nil
 }
 
-func (t *drawn) abort() {
-	t.back()
+func (t *statelessLedger) abort() {
+	t.charge()
 }
 
-// back counts what was handed out, also of an answer that broke off: the caller can't have got
-// more.
-func (t *drawn) back() {
+// charge counts the tokens sent to the caller, also for an incomplete answer, and frees the rest of the
+// reservation.
+func (t *statelessLedger) charge() {
 	tokens := 0
-	if t.tap.begun {
-		tokens = min(t.spent(t.tap.collected.begun()), t.open.Most)
+	if t.answer.begun {
+		tokens = min(t.answerTokens(t.answer.collected.started()), t.open.Most)
 	}
 	var pending *shard.Pending
 	t.slot.Change(func(state *chain.State) {
@@ -203,23 +203,24 @@
 		}
 	})
 	if pending != nil {
-		go t.settle(pending)
+		go t.awaitSettlement(pending)
 	}
 }
 
-// settle has the slot's next owner count what the turn has spent, not its most.
-func (t *drawn) settle(pending *shard.Pending) {
-	ctx, stop := context.WithTimeout(context.Background(), settleFor)
+// awaitSettlement waits until the log holds what the turn has spent, if need be by way of the slot's next owner,
+// which otherwise counts the turn's maximum.
+func (t *statelessLedger) awaitSettlement(pending *shard.Pending) {
+	ctx, stop := context.WithTimeout(context.Background(), settleTimeout)
 	defer stop()
 	if err := t.slot.Await(ctx, pending); err != nil {
-		t.log.Info("turns: end counted at its most", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
+		t.log.Info("turns: tokens spent not logged, the next owner counts the turn's maximum", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
 	}
 }
 
-// answered notes a turn that was answered whole; confirm is how long its end waited for the log.
+// answered logs and measures a complete answer; confirm is how long its end waited for the log.
 func (t *turn) answered(confirm time.Duration) {
-	t.counts.Time("turns.first_event{class="+t.route.Name+"}", t.first)
+	t.counts.Time("turns.first_event{class="+t.route.Name+"}", t.firstEventLatency)
 	t.log.Info("turns: turn answered", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(),
 		"replica", t.lease.Replica.ID, "prompt", promptTokens(t.call), "cached", t.lease.Cached, "score", t.lease.Score, "among", t.lease.Among,
-		"sent", t.sent, "placed", t.offered.Sub(t.call.Arrived), "events", t.tap.collected.count, "first", t.first, "confirm", confirm, "took", time.Since(t.call.Arrived))
+		"sent", t.sent, "placed", t.sentAt.Sub(t.call.Arrived), "events", t.answer.collected.count, "first", t.firstEventLatency, "confirm", confirm, "took", time.Since(t.call.Arrived))
 }
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -16,64 +16,62 @@
 )
 
 const (
-	// maxSends bounds the replicas that a turn is offered to.
+	// maxSends bounds how many replicas a turn is sent to.
 	maxSends = 4
-	// retryAfter is the advice given when no replica takes a turn.
+	// retryAfter is the Retry-After delay for a turn that no replica accepts.
 	retryAfter = 200 * time.Millisecond
-	// silentAfter is the time without a word from which a replica is blamed even though the
-	// caller has left: pauses of a busy replica are a tenth of it.
-	silentAfter = 1500 * time.Millisecond
-	// worthTrying is the least time left in which another replica can still take a turn up.
-	worthTrying = 30 * time.Millisecond
-	// logAway is how long the log may leave an append unanswered before it counts as away: twice what
-	// it takes where it is sixty times slower than usual.
-	logAway = 600 * time.Millisecond
-	// lastTry is the number of failed tries from which a program of the platform bears no more.
-	lastTry = 2
-	// stayFor is the time that a caller must have left for its turn when it comes again: a silence
-	// that callers bear, and a turn.
-	stayFor = 2500 * time.Millisecond
-	// comeShare is the part of its time, one in so many, after which a caller is asked to come again:
-	// the longest that callers of the platform wait.
-	comeShare = 3
-	// lastEvent is the header that has a replica go on behind an event.
-	lastEvent = "Last-Event-Id"
+	// silenceThreshold is how long a replica may send nothing before the failure counts against it even
+	// though the caller has left.
+	silenceThreshold = 1500 * time.Millisecond
+	// minRetryTime is the least time before the deadline at which another replica is still tried.
+	minRetryTime = 30 * time.Millisecond
+	// logUnavailableAfter is how long an append may be pending before the log counts as unavailable.
+	logUnavailableAfter = 600 * time.Millisecond
+	// maxFailures is the number of consecutive failed tries that a program survives; one more ends it.
+	maxFailures = 2
+	// minTimeAfterRetry is the time that must remain for a postponed turn once its caller retries. It
+	// covers a silence that callers tolerate and the turn itself.
+	minTimeAfterRetry = 2500 * time.Millisecond
+	// retryDelayDivisor sets the retry delay of a postponed turn: its remaining time divided by this.
+	retryDelayDivisor = 3
+	// lastEventHeader makes a replica resume after the given event.
+	lastEventHeader = "Last-Event-Id"
 )
 
-// Sender hands a call to a replica; see relay.Sender.
+// Sender sends a call to a replica; see relay.Sender.
 type Sender interface {
 	Send(ctx context.Context, lease *target.Lease, call *work.Call, left time.Duration) (work.Reply, error)
 }
 
-// Targets chooses replicas.
+// Targets selects replicas.
 type Targets interface {
-	// Admit decides whether the program of a turn may begin.
+	// Admit decides whether the program of a turn may start.
 	Admit(ask target.Ask) sched.Verdict
 	Take(ask target.Ask) (*target.Lease, error)
 }
 
-// Counts takes figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// Runner runs turns.
+// Runner runs turns on slots that this box owns.
 type Runner struct {
 	targets Targets
 	sender  Sender
 	counts  Counts
 	log     *slog.Logger
-	// mostText bounds the text of one turn, in bytes: it is one record of the log.
-	mostText int
+	// maxTextBytes bounds the text of one turn, which is stored as one log record.
+	maxTextBytes int
 }
 
-// New makes a runner. The log takes records of so many bytes at most.
+// New returns a Runner. recordBytes is the largest record that the log accepts.
 func New(targets Targets, sender Sender, recordBytes int, counts Counts, log *slog.Logger) *Runner {
-	return &Runner{targets: targets, sender: sender, counts: counts, log: log, mostText: recordBytes - recordSpare}
+	return &Runner{targets: targets, sender: sender, counts: counts, log: log, maxTextBytes: recordBytes - recordSpare}
 }
 
-// turn is the state of one turn under way.
+// turn is the state of one turn in progress.
 type turn struct {
 	*Runner
 	slot   *shard.Slot
@@ -81,42 +79,42 @@
 	route  *work.Route
 	open   chain.Open
 	ledger ledger
-	// input is what the caller sent; prompt the whole chain with it.
+	// input is what the caller sent; prompt is the program's history followed by input.
 	input, prompt []byte
-	// seen is what replicas keep of the chain, in tokens.
-	seen map[string]int
-	// started is the record that must be in the log before anything is handed out; nil if the
-	// log holds it already.
+	// cachedTokens is how many tokens of the history each replica holds, by work.Replica.Life.
+	cachedTokens map[string]int
+	// started is the pending record that must be in the log before any of the answer is sent to the
+	// caller; nil if the log already holds it.
 	started *shard.Pending
-	// fresh says that the turn is its program's first, failures how many tries of it have failed.
-	fresh    bool
-	failures int
-	// ran says that a replica may have run the turn; ended that the state counts it as over.
-	ran, ended bool
-	// lease is the newest place at a replica; empty before there was one.
+	// firstTurn is set for a program's first turn; failures counts this turn's consecutive failed tries.
+	firstTurn bool
+	failures  int
+	// mayHaveRun is set once a replica may have run the turn, ended once the state has recorded its end.
+	mayHaveRun, ended bool
+	// lease is the lease of the latest attempt; empty before the first.
 	lease *target.Lease
-	// sent counts the replicas that the turn was offered to, runs those that may have run it.
+	// sent counts the replicas that the turn was sent to, runs those that may have run it.
 	sent, runs int
-	// tap is the answer on its way to the caller.
-	tap   *tap
-	first time.Duration
-	// offered is when the turn was sent to the replica of the lease.
-	offered time.Time
-	// heard is when the replica last said something, or when the turn was sent to it.
-	heard time.Time
+	// answer forwards the answer to the caller.
+	answer *answerWriter
+	// firstEventLatency is the time from the turn's arrival to the first bytes sent to the caller.
+	firstEventLatency time.Duration
+	// sentAt is when the turn was sent to the lease's replica.
+	sentAt time.Time
+	// lastReceived is when the replica last sent data, or sentAt if it has sent none.
+	lastReceived time.Time
 }
 
-// Run runs the turn on the slot. It returns nil after a whole answer that the log holds, where
-// the route keeps turns; a fault with NotRun if the turn has not run and won't; any other fault
-// if it may have.
+// Run runs the turn on the slot. It returns nil after a complete answer, which the log holds if the route is
+// stateful; a fault with NotRun if the turn has not run and will not; and any other fault if it may have run.
 func (r *Runner) Run(ctx context.Context, slot *shard.Slot, call *work.Call, route *work.Route, out work.Answer) error {
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
 	t := &turn{Runner: r, slot: slot, call: call, route: route, input: call.Body, lease: &target.Lease{}}
 	t.open = chain.Open{
-		ID: call.Own(call.ID), Program: call.Own(call.Turn.Program), Previous: call.Own(call.Turn.Previous), Most: most(call), Retention: route.Retention,
+		ID: call.Own(call.ID), Program: call.Own(call.Turn.Program), Previous: call.Own(call.Turn.Previous), Most: maxAnswerTokens(call), Retention: route.Retention,
 	}
-	t.tap = &tap{turn: t, Answer: out}
+	t.answer = &answerWriter{turn: t, Answer: out}
 	t.ledger = newLedger(t)
 	if err := slot.Enter(t.enter); err != nil {
 		return err
@@ -125,24 +123,24 @@
 	if err != nil && !t.ended {
 		t.abandon(ctx, err)
 	}
-	t.slot.Change(func(state *chain.State) { t.tally(state, err) })
+	t.slot.Change(func(state *chain.State) { t.recordResult(state, err) })
 	return err
 }
 
-// tally counts the turn's tries that failed one after the other.
-func (t *turn) tally(state *chain.State, err error) {
+// recordResult updates the count of the turn's consecutive failed tries.
+func (t *turn) recordResult(state *chain.State, err error) {
 	switch {
 	case err == nil:
 		state.Pass(t.open)
-	case t.ran:
+	case t.mayHaveRun:
 		state.Fail(t.open)
 	}
 }
 
-// enter begins the turn at its program's ledger. A program that has not begun is refused where it
-// would not end in time, before anything is written of it.
+// enter starts the turn in the slot's state. A program that has not started and would not finish in time is
+// refused before anything about it is written.
 func (t *turn) enter(state *chain.State) error {
-	t.fresh = !state.Begun(t.open.Program)
+	t.firstTurn = !state.Begun(t.open.Program)
 	t.failures = state.Failures(t.open)
 	if err := t.admit(); err != nil {
 		return err
@@ -150,8 +148,9 @@
 	return t.ledger.enter(state)
 }
 
+// admit asks the targets whether a new program may start. Turns of running programs are always admitted.
 func (t *turn) admit() error {
-	if !t.fresh || t.call.Prompt == nil {
+	if !t.firstTurn || t.call.Prompt == nil {
 		return nil
 	}
 	verdict := t.targets.Admit(t.ask(nil))
@@ -161,26 +160,26 @@
 	t.log.Info("turns: program not begun", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "left", t.call.Turn.Left,
 		"stretch", verdict.Stretch, "taken", verdict.Taken, "retry_after", verdict.After)
 	t.counts.Count("turns.not_begun", 1)
-	return fault.Refuse(fault.Overloaded, "no programs are begun now that would not end in time").After(verdict.After)
+	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").After(verdict.After)
 }
 
-// most is the tokens that the call's answer may hold.
-func most(call *work.Call) int {
+// maxAnswerTokens returns the most tokens that the call's answer may have, zero without a prompt.
+func maxAnswerTokens(call *work.Call) int {
 	if call.Prompt == nil {
 		return 0
 	}
 	return call.Prompt.Most
 }
 
-// abandon ends a turn without a whole answer.
+// abandon ends a turn that has no complete answer.
 func (t *turn) abandon(ctx context.Context, err error) {
-	t.log.Info("turns: turn failed", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(), "ran", t.ran,
+	t.log.Info("turns: turn failed", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(), "ran", t.mayHaveRun,
 		"replica", t.lease.Replica.ID, "sent", t.sent, "caller_gone", ctx.Err() == context.Canceled, "after", time.Since(t.call.Arrived), "kind", fault.From(err).Kind, "cause", err)
 	t.counts.Count("turns.failed", 1)
 	t.ledger.abort()
 }
 
-// run offers the turn to replicas until one has answered it.
+// run sends the turn to one replica after another until one has answered it.
 func (t *turn) run(ctx context.Context) error {
 	if err := t.postpone(); err != nil {
 		return err
@@ -196,7 +195,7 @@
 		t.lease = lease
 		avoid = append(avoid, lease.Replica.ID)
 		err = t.attempt(ctx)
-		if err == nil || (t.ran && !t.resumes(ctx, err)) {
+		if err == nil || (t.mayHaveRun && !t.resumes(ctx, err)) {
 			return err
 		}
 		last = err
@@ -204,80 +203,79 @@
 			break
 		}
 	}
-	if t.ran {
-		return fault.Fail(fault.TargetFailed, "no replica took the turn up again").Because(last)
+	if t.mayHaveRun {
+		return fault.Fail(fault.TargetFailed, "no replica resumed the turn").Because(last)
 	}
 	t.counts.Count("turns.no_replica", 1)
-	return fault.Refuse(fault.Overloaded, "no replica took the turn").After(retryAfter).Because(last)
+	return fault.Refuse(fault.Overloaded, "no replica accepted the turn").After(retryAfter).Because(last)
 }
 
-// postpone refuses the last try of a turn that needs the log while that is away, if its caller has the
-// time to come again and stay. A try is given up after two silent seconds, and the third that fails ends
-// its program, so that an outage of seven seconds would; begun so late, the last try outlasts eight.
-// Tries before it are held instead: most outages are shorter.
+// postpone refuses the last try of a turn that needs the log while the log is unavailable, provided that its
+// caller has enough time to retry. Another failure would end the program, and a later try is more likely to
+// outlast the outage. Earlier tries wait for the log instead.
 func (t *turn) postpone() error {
-	if t.failures < lastTry || !t.ledger.needsLog() || t.slot.Behind() < logAway {
+	if t.failures < maxFailures || !t.ledger.needsLog() || t.slot.Behind() < logUnavailableAfter {
 		return nil
 	}
 	left := time.Until(t.call.Deadline)
-	after := left / comeShare
-	if left-after < stayFor {
+	after := left / retryDelayDivisor
+	if left-after < minTimeAfterRetry {
 		return nil
 	}
 	t.counts.Count("turns.postponed", 1)
-	return fault.Refuse(fault.LogUnavailable, "the log is away").After(after)
+	return fault.Refuse(fault.LogUnavailable, "the log is unavailable").After(after)
 }
 
-// ask is the turn as it is placed.
+// ask returns the placement request for the turn; avoid lists the replicas already tried.
 func (t *turn) ask(avoid []string) target.Ask {
 	return target.Ask{
-		Work: t.route.Name, Services: t.route.Splits, Regions: t.call.Regions, Avoid: avoid, Prompt: t.call.Prompt, Seen: t.seen,
+		Work: t.route.Name, Services: t.route.Splits, Regions: t.call.Regions, Avoid: avoid, Prompt: t.call.Prompt, Seen: t.cachedTokens,
 		Turn: sched.Turn{
-			Program: t.open.Program, Kind: t.route.Name, Fresh: t.fresh, Priority: t.route.Priority, Left: t.call.Turn.Left,
+			Program: t.open.Program, Kind: t.route.Name, Fresh: t.firstTurn, Priority: t.route.Priority, Left: t.call.Turn.Left,
 			Arrived: t.call.Arrived,
 		},
 	}
 }
 
-// resumes reports whether another replica may take the turn up where this one broke off.
+// resumes reports whether another replica may resume the turn after err.
 func (t *turn) resumes(ctx context.Context, err error) bool {
 	if !t.route.Resumable || t.ended || t.runs >= t.route.Attempts {
 		return false
 	}
-	if ctx.Err() != nil || time.Until(t.call.Deadline) < worthTrying {
+	if ctx.Err() != nil || time.Until(t.call.Deadline) < minRetryTime {
 		return false
 	}
-	if t.tap.begun && t.tap.collected.last == "" {
-		return false // its events have no ids to go on behind
+	if t.answer.begun && t.answer.collected.lastID == "" {
+		return false // without event IDs, no replica can resume after the last event
 	}
 	return fault.From(err).NotRun || fault.Is(err, fault.TargetFailed) || fault.Is(err, fault.Protocol)
 }
 
-// attempt has the replica of the lease answer the turn.
+// attempt sends the turn to the lease's replica and forwards its answer.
 func (t *turn) attempt(ctx context.Context) error {
-	guarded, stop := t.lease.Guard(ctx)
+	replicaCtx, stop := t.lease.Guard(ctx)
 	defer stop()
-	reply, err := t.offer(ctx, guarded)
+	reply, err := t.send(ctx, replicaCtx)
 	if err != nil {
 		return err
 	}
-	return t.pass(ctx, reply)
+	return t.forwardReply(ctx, reply)
 }
 
-// offer sends the turn to the replica of the lease; guarded ends with that replica.
-func (t *turn) offer(ctx, guarded context.Context) (work.Reply, error) {
+// send sends the turn to the lease's replica; replicaCtx also ends when that replica restarts.
+func (t *turn) send(ctx, replicaCtx context.Context) (work.Reply, error) {
 	t.sent++
 	call := *t.call
 	call.Body = t.prompt
-	if t.tap.begun {
-		call.Header = t.behind(call.Header)
+	if t.answer.begun {
+		call.Header = t.resumeHeader(call.Header)
 	}
-	t.offered = time.Now()
-	t.heard = t.offered
-	reply, err := t.sender.Send(guarded, t.lease, &call, time.Until(call.Deadline))
+	t.sentAt = time.Now()
+	t.lastReceived = t.sentAt
+	reply, err := t.sender.Send(replicaCtx, t.lease, &call, time.Until(call.Deadline))
 	if err != nil {
-		t.count(!fault.From(err).NotRun)
-		t.lease.Done(t.outcome(ctx, err), 0)
+		t.countRun(!fault.From(err).NotRun)
+		t.lease.Done(t.errorOutcome(ctx, err), 0)
 		return reply, err
 	}
 	if reply.NotRun {
@@ -286,30 +284,30 @@
 		t.counts.Count("turns.replica_refused", 1)
 		return reply, fault.Refuse(fault.Overloaded, "the replica did not run the turn")
 	}
-	t.count(true)
+	t.countRun(true)
 	return reply, nil
 }
 
-// behind is the header with the word to go on behind the last event that the caller got.
-func (t *turn) behind(header http.Header) http.Header {
+// resumeHeader returns a copy of header that asks the replica to resume after the last event sent to the caller.
+func (t *turn) resumeHeader(header http.Header) http.Header {
 	out := http.Header{}
 	maps.Copy(out, header)
-	out.Set(lastEvent, t.tap.collected.last)
+	out.Set(lastEventHeader, t.answer.collected.lastID)
 	t.counts.Count("turns.resumed", 1)
-	t.log.Info("turns: turn taken up again", "id", t.call.ID, "replica", t.lease.Replica.ID, "behind", t.tap.collected.last)
+	t.log.Info("turns: resuming turn on another replica", "id", t.call.ID, "replica", t.lease.Replica.ID, "behind", t.answer.collected.lastID)
 	return out
 }
 
-// count notes whether the replica may have run the turn.
-func (t *turn) count(ran bool) {
+// countRun counts the attempt as a run if the replica may have run the turn.
+func (t *turn) countRun(ran bool) {
 	if ran {
-		t.ran = true
+		t.mayHaveRun = true
 		t.runs++
 	}
 }
 
-// outcome is what an answer that did not come, or not whole, says of the replica.
-func (t *turn) outcome(ctx context.Context, err error) target.Outcome {
+// errorOutcome returns the outcome to report for the replica after a missing or incomplete answer.
+func (t *turn) errorOutcome(ctx context.Context, err error) target.Outcome {
 	switch {
 	case fault.From(err).NotRun:
 		return target.Unreached
@@ -317,37 +315,37 @@
 		return target.Dropped
 	case ctx.Err() == nil:
 		return target.Broken
-	case time.Since(t.heard) >= silentAfter:
+	case time.Since(t.lastReceived) >= silenceThreshold:
 		return target.Silent
 	default:
 		return target.Dropped
 	}
 }
 
-// awaitStart returns once the log holds what the turn may spend. A start goes to no other
-// owner: only the one that wrote it has held it against the budget.
+// awaitStart waits until the log holds the record that reserves the turn's tokens. The record is not
+// delivered to another owner, since only the owner that wrote it has checked it against the budget.
 func (t *turn) awaitStart(ctx context.Context) error {
 	if t.started == nil {
 		return nil
 	}
 	if err := t.started.Wait(ctx); err != nil {
-		return fault.Fail(fault.LogUnavailable, "the log does not hold the turn's start").Because(err)
+		return fault.Fail(fault.LogUnavailable, "the log did not confirm the turn's start").Because(err)
 	}
 	t.started = nil
-	t.ledger.logged()
+	t.ledger.onStartLogged()
 	return nil
 }
 
-// spent is the tokens of an answer with so many events. Where the size of an event is not
-// known, the turn counts at its most.
-func (t *turn) spent(events int) int {
+// answerTokens returns the tokens of an answer with the given number of events. Where the route's stride
+// is not known, it returns the turn's maximum.
+func (t *turn) answerTokens(events int) int {
 	if t.route.Stride == 0 {
 		return t.open.Most
 	}
 	return events * t.route.Stride
 }
 
-// promptTokens is the length of the call's prompt, zero if it does not say.
+// promptTokens returns the length of the call's prompt, zero if it is not known.
 func promptTokens(call *work.Call) int {
 	if call.Prompt == nil {
 		return 0
--- a/gate/turns/turns_test.go
+++ b/gate/turns/turns_test.go
@@ -13,32 +13,31 @@
 	"mulleingate.dev/gate/work"
 )
 
-// TestTokensOfAnAnswer checks that a turn counts at its most where the size of its events is
-// not known: an owner without a configuration once counted each event as one token.
-func TestTokensOfAnAnswer(t *testing.T) {
+// TestAnswerTokens checks that a turn is charged its maximum where the stride of its events is not known.
+func TestAnswerTokens(t *testing.T) {
 	got := map[int]int{}
 	for _, stride := range []int{0, 1, 4} {
-		one := &turn{route: &work.Route{Stride: stride}, open: chain.Open{Most: 136}}
-		got[stride] = one.spent(11)
+		tr := &turn{route: &work.Route{Stride: stride}, open: chain.Open{Most: 136}}
+		got[stride] = tr.answerTokens(11)
 	}
 	if diff := cmp.Diff(map[int]int{0: 136, 1: 11, 4: 44}, got); diff != "" {
 		t.Errorf("tokens by stride (-want +got):\n%s", diff)
 	}
 }
 
-// TestVerdict checks that a replica is blamed for its own failures only.
-func TestVerdict(t *testing.T) {
+// TestStatusOutcome checks that only a replica's own failures count against it.
+func TestStatusOutcome(t *testing.T) {
 	for status, want := range map[int]target.Outcome{
 		400: target.Answered, 404: target.Answered, 500: target.Failed, 502: target.Failed, 503: target.Failed, 504: target.Dropped,
 	} {
-		if got := verdict(status); got != want {
+		if got := statusOutcome(status); got != want {
 			t.Errorf("status %d: outcome %d, want %d", status, got, want)
 		}
 	}
 }
 
-// TestOutcome checks that a replica is not blamed for a caller that left, and is for its silence.
-func TestOutcome(t *testing.T) {
+// TestErrorOutcome checks that a caller that left does not count against a replica, unless the replica was silent.
+func TestErrorOutcome(t *testing.T) {
 	left, stop := context.WithCancel(context.Background())
 	stop()
 	cases := []struct {
@@ -52,12 +51,12 @@
 		{"no connection", false, 0, context.Background(), fault.Refuse(fault.NoTarget, ""), target.Unreached},
 		{"broke off", true, 0, context.Background(), fault.Fail(fault.TargetFailed, ""), target.Broken},
 		{"caller does not take the answer", true, time.Minute, left, fault.Fail(fault.CallerGone, ""), target.Dropped},
-		{"caller left early", true, silentAfter / 2, left, fault.Fail(fault.TimedOut, ""), target.Dropped},
-		{"caller left a silent replica", true, 2 * silentAfter, left, fault.Fail(fault.TimedOut, ""), target.Silent},
+		{"caller left early", true, silenceThreshold / 2, left, fault.Fail(fault.TimedOut, ""), target.Dropped},
+		{"caller left a silent replica", true, 2 * silenceThreshold, left, fault.Fail(fault.TimedOut, ""), target.Silent},
 	}
 	for _, c := range cases {
-		one := &turn{ran: c.ran, heard: time.Now().Add(-c.silent)}
-		if got := one.outcome(c.ctx, c.err); got != c.want {
+		tr := &turn{mayHaveRun: c.ran, lastReceived: time.Now().Add(-c.silent)}
+		if got := tr.errorOutcome(c.ctx, c.err); got != c.want {
 			t.Errorf("%s: outcome %d, want %d", c.name, got, c.want)
 		}
 	}
