--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -14,55 +14,57 @@
 )
 
 const (
-	// ownerTries bounds how often the owners of a slot are looked up for one call, and
-	// ownerPause is the time between. A refusal that comes later than a quarter of the time in
-	// which callers want an answer helps nobody; a hand-over is done within it.
-	ownerTries = 2
-	ownerPause = 30 * time.Millisecond
-	// ownerRanks is how many boxes are asked in one look: the one that should own the slot,
-	// and those that would without it. While a box joins, the next of them holds the slot still;
-	// of an availability zone that comes back, three boxes may join at once.
-	ownerRanks = 4
-	// retryUnknown is the advice given while the owner of a program can't be asked and it is
-	// not known for how long; it bounds the advice where that is known.
-	retryUnknown = 1200 * time.Millisecond
-	// findWait bounds the question to all boxes for a turn: a round trip between availability
-	// zones, and the log's word where an owner needs it.
-	findWait = 600 * time.Millisecond
+	// maxOwnerLookups bounds how often the owners of a slot are looked up for one call, and
+	// ownerRetryDelay is the pause between lookups, in which a slot handover can finish. Both are small
+	// because a late refusal is of no use to the caller.
+	maxOwnerLookups = 2
+	ownerRetryDelay = 30 * time.Millisecond
+	// ownerCandidates is how many boxes are asked in one lookup: the expected owner of the slot and its
+	// successors. While the expected owner is joining, a successor still holds the slot; several boxes may
+	// join at once when an availability zone comes back.
+	ownerCandidates = 4
+	// retryOwnerUnknown is the Retry-After delay while the owner of a program cannot be reached and the
+	// time of a takeover is not known. It also bounds the delay where that time is known.
+	retryOwnerUnknown = 1200 * time.Millisecond
+	// findTimeout bounds the search for a turn on all boxes: a round trip between availability zones, and
+	// the log's confirmation where an owner needs one.
+	findTimeout = 600 * time.Millisecond
 )
 
-// Feed knows the configuration.
+// Feed provides the current configuration.
 type Feed interface {
 	Known() access.Known
 }
 
-// Boxes tells who should own a slot.
+// Boxes tells which box should own a slot and which boxes are reachable.
 type Boxes interface {
+	// Owner returns the box that should own the slot.
 	Owner(slot string) (work.Box, bool)
-	// Owners returns the box that should own a slot and, in order, those that should if the
-	// ones before were gone: n at most.
+	// Owners returns at most n boxes: the one that should own the slot, followed by those that would own
+	// it if all boxes before them were gone.
 	Owners(slot string, n int) []work.Box
-	// Unreached notes that a box could not be reached.
+	// Unreached records that a box could not be reached.
 	Unreached(box work.Box)
-	// TakeoverIn is how long it takes until a slot of the box is likely to have another owner.
+	// TakeoverIn estimates how long it takes until another box owns the slots of the given one.
 	TakeoverIn(box work.Box) time.Duration
-	// JustUnreached reports that a box could not be reached a moment ago.
+	// JustUnreached reports whether a recent attempt to reach the box failed.
 	JustUnreached(box work.Box) bool
 }
 
-// Reach knows whether this box is cut off from the others and from the log.
+// Reach reports whether this box is cut off from the other boxes and from the log.
 type Reach interface {
 	CutOff() bool
-	// Elsewhere is when a caller that comes again is likely to meet a box that is not.
+	// Elsewhere returns the delay after which a retry is likely to arrive at a box that is not cut off.
 	Elsewhere() time.Duration
 }
 
 // Slots holds the slots of this box.
 type Slots interface {
+	// Get returns the slot, or a fault if this box does not own it.
 	Get(ctx context.Context, number int) (*shard.Slot, error)
 	// Holds reports whether this box holds the slot now.
 	Holds(number int) bool
-	// All returns the slots held.
+	// All returns the slots that this box holds.
 	All() []*shard.Slot
 }
 
@@ -73,33 +75,34 @@
 
 // Peers forwards turns to other boxes.
 type Peers interface {
+	// Turn runs a turn on the box if that owns the slot.
 	Turn(ctx context.Context, box work.Box, slot int, call *work.Call, route *work.Route, out work.Answer) error
 	// Find asks a box for a turn in any of its slots; see Entry.Find.
 	Find(ctx context.Context, box work.Box, turn string, home int) (text []byte, slots []int, err error)
 }
 
-// Quotas bounds what workspaces may call.
+// Quotas limits the calls of workspaces.
 type Quotas interface {
-	// Take counts a call of the workspace, one with which a program may begin or another. Its fault says that the
-	// call has not run, and when to come again.
+	// Take counts a call against the workspace's quota; begins is set if a program may start with it. A fault
+	// of Take says that the call has not run and when to retry.
 	Take(ctx context.Context, space work.Workspace, begins bool) (quota.Pass, error)
 }
 
-// Relay carries calls outside programs, and the tools of programs.
+// Relay sends calls that need no program owner to replicas.
 type Relay interface {
 	Carry(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error
 }
 
-// Counts takes figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 }
 
-// Entry is the service.
+// Entry checks incoming calls and sends them to where they run.
 type Entry struct {
 	self   work.Box
 	layout shard.Layout
-	// regions tells the region of each availability zone.
+	// regions maps each availability zone to its region.
 	regions work.Regions
 	feed    Feed
 	rules   access.Rules
@@ -114,7 +117,7 @@
 	log     *slog.Logger
 }
 
-// New makes an entry.
+// New returns an Entry for the box self.
 func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, reach Reach, slots Slots, runner Runner,
 	peers Peers, relay Relay, counts Counts, log *slog.Logger) *Entry {
 	return &Entry{
@@ -123,9 +126,9 @@
 	}
 }
 
-// Handle serves one call. Left is how long the caller waits; zero if it does not say. It
-// returns nil after a whole answer. A fault with NotRun means that no replica has run the
-// call or ever will; after any other fault one may have.
+// Handle serves one call. left is how long the caller waits, zero if it is not known. Handle returns nil after a
+// complete answer. A fault with NotRun means that no replica has run the call or will; after any other fault, a
+// replica may have run it.
 func (e *Entry) Handle(ctx context.Context, call *work.Call, left time.Duration, out work.Answer) error {
 	known := e.feed.Known()
 	path, _, _ := strings.Cut(call.Target, "?")
@@ -138,7 +141,7 @@
 	if err != nil {
 		e.counts.Count("entry.caller_refused", 1)
 		if fault.Is(err, fault.StaleConfig) && e.reach.CutOff() {
-			err = fault.From(err).After(e.reach.Elsewhere()) // other boxes may know
+			err = fault.From(err).After(e.reach.Elsewhere()) // another box may have the newest configuration
 		}
 		e.log.Info("entry: caller refused", "id", call.ID, "route", route.Name, "version", known.Config.Version,
 			"proven", call.Arrived.Sub(known.Proven), "cause", err)
@@ -152,38 +155,40 @@
 		left = route.Timeout
 	}
 	call.Deadline = call.Arrived.Add(left)
-	call.Priority = urgency(call, space, route)
-	return e.counted(ctx, space, call, route, out)
+	call.Priority = replicaPriority(call, space, route)
+	return e.runWithinQuota(ctx, space, call, route, out)
 }
 
-// regionsOf returns the regions in which the call may be served; both its route and its workspace bind.
+// regionsOf returns the regions in which both the route and the workspace allow the call to be served.
 func (e *Entry) regionsOf(call *work.Call, route *work.Route, space work.Workspace) ([]string, error) {
 	regions, ok := work.BothRegions(route.Regions, space.Regions)
 	if ok {
 		return regions, nil
 	}
-	return nil, e.noRegion(call, route, "", "the route and the workspace allow no region in common")
+	return nil, e.refuseNoRegion(call, route, "", "the route and the workspace allow no region in common")
 }
 
-// noRegion refuses a call that may be served nowhere. Owner names the box that may not have it, if there is one.
-func (e *Entry) noRegion(call *work.Call, route *work.Route, owner, detail string) error {
+// refuseNoRegion returns the refusal of a call that may not be served in any region, or not where its owner is.
+// owner is the name of that owner, empty if there is none.
+func (e *Entry) refuseNoRegion(call *work.Call, route *work.Route, owner, detail string) error {
 	e.counts.Count("entry.no_region", 1)
 	e.log.Info("entry: no region is allowed", "id", call.ID, "route", route.Name, "workspace", call.Workspace, "owner", owner)
 	return fault.Refuse(fault.NoTarget, detail)
 }
 
-// leaves reports that the call must not be handed to the box: it lies in another region than this one, to which the
-// caller chose to send, and the call may not be there.
-func (e *Entry) leaves(call *work.Call, box work.Box) bool {
+// leavesRegions reports whether sending the call to the box is forbidden: the box is in a region that the call
+// does not allow, and not in the region of this box, which the caller chose by sending the call here.
+func (e *Entry) leavesRegions(call *work.Call, box work.Box) bool {
 	return !e.regions.Allow(call.Regions, box.Zone) && e.regions[box.Zone] != e.regions[e.self.Zone]
 }
 
-// counted runs the call within its workspace's quota. One that no replica has run does not count.
-func (e *Entry) counted(ctx context.Context, space work.Workspace, call *work.Call, route *work.Route, out work.Answer) error {
-	pass, err := e.quotas.Take(ctx, space, begins(call, route))
+// runWithinQuota counts the call against its workspace's quota and runs it. The count is returned if the call has
+// not run.
+func (e *Entry) runWithinQuota(ctx context.Context, space work.Workspace, call *work.Call, route *work.Route, out work.Answer) error {
+	pass, err := e.quotas.Take(ctx, space, mayStartProgram(call, route))
 	if err != nil {
 		e.counts.Count("entry.quota_refused", 1)
-		e.log.Info("entry: refused by quota", "id", call.ID, "workspace", space.Name, "begins", begins(call, route), "after", time.Since(call.Arrived), "cause", err)
+		e.log.Info("entry: refused by quota", "id", call.ID, "workspace", space.Name, "begins", mayStartProgram(call, route), "after", time.Since(call.Arrived), "cause", err)
 		return err
 	}
 	err = e.run(ctx, call, route, out)
@@ -193,46 +198,45 @@
 	return err
 }
 
-// begins reports whether the call is a turn with which a program may begin. Where turns bring their history, none
-// says which is the first.
-func begins(call *work.Call, route *work.Route) bool {
+// mayStartProgram reports whether a program may start with the call. On routes that are not stateful, turns carry
+// their own history and do not tell whether they are the first.
+func mayStartProgram(call *work.Call, route *work.Route) bool {
 	return route.Stateful && call.Turn != nil && call.Turn.Previous == ""
 }
 
+// run runs the call on the owner of its program, or on a replica if it needs no owner.
 func (e *Entry) run(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
-	if owned(call, route) {
+	if needsOwner(call, route) {
 		return e.turn(ctx, call, route, out)
 	}
 	return e.relay.Carry(ctx, call, route, out)
 }
 
-// owned reports whether the call is a turn that its program's owner must run: the one that keeps
-// the program's history, or counts it against the program's budget.
-func owned(call *work.Call, route *work.Route) bool {
+// needsOwner reports whether the call must run on the box that owns its program, since that box keeps the
+// program's history or charges the call to the program's budget.
+func needsOwner(call *work.Call, route *work.Route) bool {
 	return call.Turn != nil && (route.Stateful || call.Turn.Budget >= 0)
 }
 
 const (
-	// spaceStep separates workspaces, whose priorities come before those of their routes, and routeStep the
-	// routes' priorities, so that a program's progress fits between.
-	spaceStep = 3
-	routeStep = 2
-	// beginLater is how much less urgent a program's first turn is than those of programs
-	// under way: under overload it is better to finish some than to delay all.
-	beginLater = 3
+	// workspaceStep and routeStep are the weights of the workspace's and the route's priority.
+	workspaceStep = 3
+	routeStep     = 2
+	// firstTurnPenalty makes a program's first turn less urgent than later turns: under overload it is better
+	// to finish some programs than to delay all.
+	firstTurnPenalty = 3
 )
 
-// urgency is the priority of a call at replicas that serve urgent calls first; 0 is the most
-// urgent.
-func urgency(call *work.Call, space work.Workspace, route *work.Route) int {
-	urgent := spaceStep*space.Priority + routeStep*route.Priority
+// replicaPriority returns the call's priority at replicas that order their calls; 0 is the most urgent.
+func replicaPriority(call *work.Call, space work.Workspace, route *work.Route) int {
+	urgent := workspaceStep*space.Priority + routeStep*route.Priority
 	if call.Turn != nil && call.Turn.Previous == "" {
-		urgent += beginLater
+		urgent += firstTurnPenalty
 	}
 	return urgent
 }
 
-// turn runs a turn where its program lives.
+// turn runs a turn on the box that owns its program.
 func (e *Entry) turn(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
 	if e.reach.CutOff() {
 		e.counts.Count("entry.cut_off", 1)
@@ -240,72 +244,72 @@
 		return fault.Refuse(fault.OwnerUnknown, "this box is cut off from the others").After(e.reach.Elsewhere())
 	}
 	home := e.layout.Home(call.Own(call.Turn.Program))
-	if box, ok := e.boxes.Owner(e.layout.Name(home)); ok && e.leaves(call, box) {
-		return e.noRegion(call, route, box.Name, "the owner of the program lies outside of the regions that are allowed")
+	if box, ok := e.boxes.Owner(e.layout.Name(home)); ok && e.leavesRegions(call, box) {
+		return e.refuseNoRegion(call, route, box.Name, "the owner of the program is outside of the allowed regions")
 	}
-	err := e.runAt(ctx, home, call, route, out)
-	if elsewhere(err) {
-		if call.Turn.Base, err = e.find(ctx, call, home); err == nil {
-			err = e.runAt(ctx, home, call, route, out)
+	err := e.runOnSlot(ctx, home, call, route, out)
+	if previousNotKept(err) {
+		if call.Turn.Base, err = e.findPrevious(ctx, call, home); err == nil {
+			err = e.runOnSlot(ctx, home, call, route, out)
 		}
 	}
-	if !unreached(err) {
+	if !ownerNotReached(err) {
 		return err
 	}
 	e.counts.Count("entry.owner_unknown", 1)
 	e.log.Info("entry: owner not reached", "id", call.ID, "program", call.Turn.Program, "route", route.Name, "after", time.Since(call.Arrived), "cause", err)
-	return fault.Refuse(fault.TurnUnknown, "the owner of the program can't be asked now").After(e.takeoverIn(home)).Because(err)
+	return fault.Refuse(fault.TurnUnknown, "the owner of the program cannot be reached now").After(e.retryDelay(home)).Because(err)
 }
 
-// takeoverIn is when a caller should come again whose program's owner can't be asked.
-func (e *Entry) takeoverIn(slot int) time.Duration {
+// retryDelay returns the delay after which to retry a turn whose owner cannot be reached.
+func (e *Entry) retryDelay(slot int) time.Duration {
 	box, ok := e.boxes.Owner(e.layout.Name(slot))
 	if !ok {
-		return retryUnknown
+		return retryOwnerUnknown
 	}
-	return min(e.boxes.TakeoverIn(box), retryUnknown)
+	return min(e.boxes.TakeoverIn(box), retryOwnerUnknown)
 }
 
-// elsewhere reports that the owner does not keep the turn to go on from.
-func elsewhere(err error) bool {
+// previousNotKept reports whether the owner refused the turn because it does not keep the previous one.
+func previousNotKept(err error) bool {
 	return fault.Is(err, fault.NoTurn) && fault.From(err).NotRun
 }
 
-// unreached reports that nobody could be asked.
-func unreached(err error) bool {
+// ownerNotReached reports whether the turn has not run because no owner could be reached.
+func ownerNotReached(err error) bool {
 	if err == nil || !fault.From(err).NotRun {
 		return false
 	}
 	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.OwnerUnknown)
 }
 
-// runAt runs the turn at whoever holds the slot.
-func (e *Entry) runAt(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error {
+// runOnSlot runs the turn on the box that holds the slot.
+func (e *Entry) runOnSlot(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error {
 	var err error
-	for try := range ownerTries {
-		if try > 0 && !pause(ctx) {
+	for try := range maxOwnerLookups {
+		if try > 0 && !waitRetry(ctx) {
 			return err
 		}
-		if err = e.look(ctx, slot, call, route, out); !unreached(err) {
+		if err = e.tryOwners(ctx, slot, call, route, out); !ownerNotReached(err) {
 			return err
 		}
 	}
 	return err
 }
 
-// look asks the boxes that may hold the slot, the likeliest first. The fault of the first one
-// is returned if none does.
-func (e *Entry) look(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error {
-	// A box that gives up its slots still holds them until another asks.
+// tryOwners tries the boxes that may hold the slot, the most likely one first. If none holds it, the fault of
+// the first candidate owner is returned.
+func (e *Entry) tryOwners(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error {
+	// A box that is giving up its slots still holds them until their next owner asks for them.
 	if e.slots.Holds(slot) {
-		if err := e.RunHere(ctx, slot, call, route, out); !unreached(err) {
+		if err := e.RunHere(ctx, slot, call, route, out); !ownerNotReached(err) {
 			return err
 		}
 	}
 	var first error
-	for rank, box := range e.boxes.Owners(e.layout.Name(slot), ownerRanks) {
-		err := e.runOn(ctx, box, rank, slot, call, route, out)
-		if !unreached(err) {
+	for rank, box := range e.boxes.Owners(e.layout.Name(slot), ownerCandidates) {
+		err := e.runOnBox(ctx, box, rank, slot, call, route, out)
+		if !ownerNotReached(err) {
 			return err
 		}
 		if first == nil {
@@ -318,16 +322,16 @@
 	return first
 }
 
-// runOn runs the turn on one box if that holds the slot.
-func (e *Entry) runOn(ctx context.Context, box work.Box, rank, slot int, call *work.Call, route *work.Route, out work.Answer) error {
+// runOnBox runs the turn on the given box if that holds the slot.
+func (e *Entry) runOnBox(ctx context.Context, box work.Box, rank, slot int, call *work.Call, route *work.Route, out work.Answer) error {
 	if box.Name == e.self.Name {
 		return e.RunHere(ctx, slot, call, route, out)
 	}
-	if e.leaves(call, box) {
-		return fault.Refuse(fault.OwnerUnknown, "the box lies outside of the regions that are allowed")
+	if e.leavesRegions(call, box) {
+		return fault.Refuse(fault.OwnerUnknown, "the box is outside of the allowed regions")
 	}
 	if e.boxes.JustUnreached(box) {
-		return fault.Refuse(fault.PeerLost, "the owner of the slot was not reached a moment ago")
+		return fault.Refuse(fault.PeerLost, "a recent attempt to reach the owner of the slot failed")
 	}
 	e.log.Info("entry: turn forwarded", "id", call.ID, "program", call.Turn.Program, "slot", slot, "owner", box.Name, "rank", rank)
 	err := e.peers.Turn(ctx, box, slot, call, route, out)
@@ -337,9 +341,10 @@
 	return err
 }
 
-func pause(ctx context.Context) bool {
+// waitRetry waits before the next lookup. It returns false if ctx ends first.
+func waitRetry(ctx context.Context) bool {
 	select {
-	case <-time.After(ownerPause):
+	case <-time.After(ownerRetryDelay):
 		return true
 	case <-ctx.Done():
 		return false
--- a/gate/entry/find.go
+++ b/gate/entry/find.go
@@ -8,74 +8,75 @@
 	"mulleingate.dev/gate/work"
 )
 
-// found is what one box answered.
-type found struct {
+// findResult is the answer of one box to a search.
+type findResult struct {
 	box   string
 	text  []byte
 	slots []int
 	err   error
 }
 
-// find asks the owners of all slots for the turn that a call goes on from: it may be of another
-// program, or its program's owner may have missed it. It returns a fault NoTurn only if they have said
-// that they do not keep it.
-func (e *Entry) find(ctx context.Context, call *work.Call, home int) ([]byte, error) {
-	ctx, stop := context.WithTimeout(ctx, findWait)
+// findPrevious asks the owners of all slots for the turn that a call continues from: it may belong to another
+// program, or the program's owner may not have it. It returns a NoTurn fault only if the owners of all slots
+// have confirmed that they do not keep the turn.
+func (e *Entry) findPrevious(ctx context.Context, call *work.Call, home int) ([]byte, error) {
+	ctx, stop := context.WithTimeout(ctx, findTimeout)
 	defer stop()
-	s := &search{Entry: e, call: call, home: home, asked: map[string]bool{}, covered: map[int]bool{}}
-	for _, ranks := range []int{1, ownerRanks} {
-		if text := s.round(ctx, ranks); text != nil {
+	s := &turnSearch{Entry: e, call: call, home: home, asked: map[string]bool{}, ruledOut: map[int]bool{}}
+	for _, ranks := range []int{1, ownerCandidates} {
+		if text := s.askOwners(ctx, ranks); text != nil {
 			return text, nil
 		}
-		if len(s.covered) == e.layout.Slots() {
+		if len(s.ruledOut) == e.layout.Slots() {
 			e.log.Info("entry: no such turn", "id", call.ID, "program", call.Turn.Program, "previous", call.Turn.Previous)
 			return nil, fault.Refuse(fault.NoTurn, "the turn to go on from is not kept")
 		}
 	}
-	return nil, fault.Refuse(fault.OwnerUnknown, "not all owners could be asked for the turn")
+	return nil, fault.Refuse(fault.OwnerUnknown, "not all slot owners could be asked for the turn")
 }
 
-// search is one search for a turn.
-type search struct {
+// turnSearch is the state of one search for a turn.
+type turnSearch struct {
 	*Entry
 	call *work.Call
 	home int
-	// asked holds the boxes that were asked, covered the slots whose owners are sure not to keep it.
-	asked   map[string]bool
-	covered map[int]bool
+	// asked holds the names of the boxes that were asked, ruledOut the slots whose owners have confirmed that
+	// they do not keep the turn.
+	asked    map[string]bool
+	ruledOut map[int]bool
 }
 
-// round asks the boxes that may hold the slots which are not covered, so many for each, and returns the
-// turn's text if one keeps it.
-func (s *search) round(ctx context.Context, ranks int) []byte {
-	boxes := s.holders(ranks)
-	answers := make(chan found, len(boxes))
+// askOwners asks up to ranks candidate owners of each slot that is not ruled out, and returns the text of the
+// chain that ends with the turn, or nil.
+func (s *turnSearch) askOwners(ctx context.Context, ranks int) []byte {
+	boxes := s.nextBoxes(ranks)
+	answers := make(chan findResult, len(boxes))
 	for _, box := range boxes {
-		go func() { answers <- s.ask(ctx, box, s.call.Own(s.call.Turn.Previous), s.home) }()
+		go func() { answers <- s.askBox(ctx, box, s.call.Own(s.call.Turn.Previous), s.home) }()
 	}
 	for range boxes {
 		got := <-answers
 		if got.err != nil {
-			s.log.Info("entry: box not asked for a turn", "id", s.call.ID, "other", got.box, "cause", got.err)
+			s.log.Info("entry: box did not answer the search for a turn", "id", s.call.ID, "other", got.box, "cause", got.err)
 			continue
 		}
 		if got.text != nil {
-			s.log.Info("entry: turn found elsewhere", "id", s.call.ID, "previous", s.call.Turn.Previous, "other", got.box)
+			s.log.Info("entry: previous turn found by search", "id", s.call.ID, "previous", s.call.Turn.Previous, "other", got.box)
 			return got.text
 		}
 		for _, slot := range got.slots {
-			s.covered[slot] = true
+			s.ruledOut[slot] = true
 		}
 	}
 	return nil
 }
 
-// holders are the boxes to be asked next. Most boxes of a large fleet own no slot: where 200 boxes have 48
-// slots, some 40 are asked in place of all.
-func (s *search) holders(ranks int) []work.Box {
+// nextBoxes returns the boxes to ask next and marks them as asked. Boxes that are no candidate owner of a slot
+// are left out.
+func (s *turnSearch) nextBoxes(ranks int) []work.Box {
 	var boxes []work.Box
 	for slot := range s.layout.Slots() {
-		if s.covered[slot] {
+		if s.ruledOut[slot] {
 			continue
 		}
 		for _, box := range s.boxes.Owners(s.layout.Name(slot), ranks) {
@@ -88,8 +89,9 @@
 	return boxes
 }
 
-func (e *Entry) ask(ctx context.Context, box work.Box, turn string, home int) found {
-	got := found{box: box.Name}
+// askBox searches one box, which may be this one, for the turn.
+func (e *Entry) askBox(ctx context.Context, box work.Box, turn string, home int) findResult {
+	got := findResult{box: box.Name}
 	if box.Name == e.self.Name {
 		got.text, got.slots = e.Find(ctx, turn, home)
 		return got
@@ -98,24 +100,24 @@
 	return got
 }
 
-// Find returns the text of the chain that ends with the turn if a slot of this box keeps
-// it, and otherwise the slots that are sure not to. The log is asked about the program's
-// home in any case, and about others where this box may have been taken for dead.
-func (e *Entry) Find(ctx context.Context, turn string, home int) (text []byte, sure []int) {
+// Find returns the text of the chain that ends with the turn if a slot of this box keeps it, and otherwise the
+// slots that are known not to. This box confirms with the log that it still owns the program's home slot, and
+// also any other slot that another box may have claimed.
+func (e *Entry) Find(ctx context.Context, turn string, home int) (text []byte, ruledOut []int) {
 	for _, slot := range e.slots.All() {
 		slot.Change(func(state *chain.State) { text, _ = state.Find(turn) })
 		if text != nil {
 			return text, nil
 		}
 		if slot.Number() != home && slot.Fresh() {
-			sure = append(sure, slot.Number())
+			ruledOut = append(ruledOut, slot.Number())
 			continue
 		}
 		if err := slot.Confirm(ctx); err != nil {
-			e.log.Info("entry: owner not confirmed", "slot", slot.Number(), "cause", err)
+			e.log.Info("entry: slot ownership not confirmed", "slot", slot.Number(), "cause", err)
 			continue
 		}
-		sure = append(sure, slot.Number())
+		ruledOut = append(ruledOut, slot.Number())
 	}
-	return nil, sure
+	return nil, ruledOut
 }
