--- a/gate/quota/counter.go
+++ b/gate/quota/counter.go
@@ -10,74 +10,74 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Ask is a question to the counter of a part of a workspace's quota.
+// Ask is a request to the counter of a part of a workspace's quota.
 type Ask struct {
 	Workspace string `json:"workspace"`
-	// Want is how many calls are asked for; at least 1.
+	// Want is the number of calls requested, at least 1.
 	Want int `json:"want"`
-	// Begins says that the first of them is one with which a program may begin.
+	// Begins says that a program may begin with the first of these calls.
 	Begins bool `json:"begins,omitempty"`
-	// Back says that a program for which calls were planned has not begun. Nothing is granted then.
+	// Back cancels the plan for a program that has not begun. Nothing is granted then.
 	Back bool `json:"back,omitempty"`
 }
 
-// Answer is the counter's.
+// Answer is a counter's answer to an Ask.
 type Answer struct {
-	// Counts says that the box counts the workspace.
+	// Counts says that the box is a counter of the workspace.
 	Counts bool `json:"counts"`
-	// Granted is how many calls may be made; zero if none.
+	// Granted is the number of calls that may be made.
 	Granted int `json:"granted,omitempty"`
-	// AfterMillis is when to ask again, if nothing is granted.
+	// AfterMillis is the delay in milliseconds after which to ask again if nothing is granted.
 	AfterMillis int64 `json:"after_ms,omitempty"`
 }
 
-// Winners tells who counts what.
+// Winners finds the counters of workspaces.
 type Winners interface {
-	// Counter is the box that counts the workspace's quota in an availability zone.
+	// Counter returns the box that counts the workspace's quota in an availability zone.
 	Counter(workspace, zone string) (work.Box, bool)
 }
 
-// Counter counts the parts that this box was chosen for.
+// Counter counts the parts of quotas that are assigned to this box.
 type Counter struct {
 	self    work.Box
 	zones   []string
 	bounds  Bounds
-	winners Winners
+	locator Winners
 
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
 	mu sync.Mutex
-	// awake is when the box was last seen not to be frozen; zero before the start.
-	awake time.Time
-	conf  *work.Config
-	parts map[string]*part
-	// chosen tells since when this box counts a workspace. It is zero for one that no configuration had before, of
-	// which nobody can have handed anything out.
-	chosen map[string]time.Time
+	// lastActive is when the process last ran as usual, to detect freezes; zero before the start.
+	lastActive time.Time
+	conf       *work.Config
+	parts      map[string]*part
+	// countingSince tells since when this box counts a workspace. It is the zero time for a workspace that was not
+	// in the previous configuration, for which no other box can have granted calls.
+	countingSince map[string]time.Time
 }
 
-// NewCounter makes a counter of a box; zones are all availability zones.
-func NewCounter(self work.Box, zones []string, bounds Bounds, winners Winners) *Counter {
-	return &Counter{self: self, zones: zones, bounds: bounds, winners: winners, parts: map[string]*part{}, chosen: map[string]time.Time{}}
+// NewCounter returns the Counter of the box self; zones are all availability zones.
+func NewCounter(self work.Box, zones []string, bounds Bounds, locator Winners) *Counter {
+	return &Counter{self: self, zones: zones, bounds: bounds, locator: locator, parts: map[string]*part{}, countingSince: map[string]time.Time{}}
 }
 
 const (
-	// awakeEvery is the time between two looks whether the box was frozen, and frozenAfter the gap from which it was: other
-	// boxes take one that is silent for some longer for gone, and count in its place.
-	awakeEvery  = 250 * time.Millisecond
-	frozenAfter = 600 * time.Millisecond
-	// overlap is how long the counter before may go on after another was chosen: a heartbeat, in which all boxes come to
-	// know of the change.
-	overlap = 300 * time.Millisecond
+	// activityInterval is the time between two checks for a freeze, and freezeThreshold the gap that counts as
+	// one. It is shorter than the silence after which other boxes replace this one as a counter.
+	activityInterval = 250 * time.Millisecond
+	freezeThreshold  = 600 * time.Millisecond
+	// handoverOverlap is how long the previous counter may continue after another took over: one heartbeat,
+	// in which all boxes learn of the change.
+	handoverOverlap = 300 * time.Millisecond
 )
 
 // Start implements a service.
 func (c *Counter) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.stayAwake(time.Now())
-	c.done.Go(func() { kernel.Every(ctx, awakeEvery, func() { c.stayAwake(time.Now()) }) })
+	c.recordActivity(time.Now())
+	c.done.Go(func() { kernel.Every(ctx, activityInterval, func() { c.recordActivity(time.Now()) }) })
 	return nil
 }
 
@@ -88,78 +88,80 @@
 	return nil
 }
 
-func (c *Counter) stayAwake(now time.Time) {
+// recordActivity runs the check for a freeze at regular intervals. Its first call starts the detection.
+func (c *Counter) recordActivity(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.awake.IsZero() {
-		c.awake = now
+	if c.lastActive.IsZero() {
+		c.lastActive = now
 	}
-	c.look(now)
+	c.resetAfterFreeze(now)
 }
 
-// look begins anew with nothing after a freeze: another box may have counted meanwhile, and may still do.
-func (c *Counter) look(now time.Time) {
-	if c.awake.IsZero() {
+// resetAfterFreeze makes all parts start empty after a freeze, since another box may have counted in the meantime and
+// may still do so. c.mu must be held.
+func (c *Counter) resetAfterFreeze(now time.Time) {
+	if c.lastActive.IsZero() {
 		return
 	}
-	if now.Sub(c.awake) > frozenAfter {
+	if now.Sub(c.lastActive) > freezeThreshold {
 		clear(c.parts)
-		for name := range c.chosen {
-			c.chosen[name] = now.Add(overlap)
+		for name := range c.countingSince {
+			c.countingSince[name] = now.Add(handoverOverlap)
 		}
 	}
-	c.awake = now
+	c.lastActive = now
 }
 
-// Update takes the configuration and, with the boxes that live now, who counts what.
+// Update applies a configuration and determines which workspaces this box counts, given the boxes that are alive.
 func (c *Counter) Update(now time.Time, conf *work.Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.conf
 	c.conf = conf
 	if conf == nil || conf.Callers == nil {
-		clear(c.chosen)
+		clear(c.countingSince)
 		clear(c.parts)
 		return
 	}
 	for _, space := range conf.Callers.All() {
-		winner, ok := c.winners.Counter(space.Name, c.self.Zone)
-		if !ok || winner.Name != c.self.Name {
-			delete(c.chosen, space.Name)
+		counter, ok := c.locator.Counter(space.Name, c.self.Zone)
+		if !ok || counter.Name != c.self.Name {
+			delete(c.countingSince, space.Name)
 			delete(c.parts, space.Name)
 			continue
 		}
-		if _, already := c.chosen[space.Name]; !already {
-			c.chosen[space.Name] = c.begin(now, before, space.Name)
+		if _, already := c.countingSince[space.Name]; !already {
+			c.countingSince[space.Name] = c.countingStart(now, before, space.Name)
 		}
 	}
 }
 
-// begin is since when nobody else has handed out what is counted from now on.
-func (c *Counter) begin(now time.Time, before *work.Config, name string) time.Time {
+// countingStart returns the time from which no other box grants calls of a workspace that this box begins to count.
+func (c *Counter) countingStart(now time.Time, before *work.Config, name string) time.Time {
 	if before == nil {
-		return now.Add(overlap) // the box has just started
+		return now.Add(handoverOverlap) // the box has just started
 	}
 	if before.Callers == nil {
 		return time.Time{}
 	}
 	if _, known := before.Callers.Workspace(name); known {
-		return now.Add(overlap)
+		return now.Add(handoverOverlap)
 	}
 	return time.Time{}
 }
 
-// Grant answers a question.
+// Grant answers a request for calls.
 func (c *Counter) Grant(now time.Time, ask Ask) Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.look(now)
-	since, chosen := c.chosen[ask.Workspace]
-	if !chosen {
+	c.resetAfterFreeze(now)
+	since, counts := c.countingSince[ask.Workspace]
+	if !counts {
 		return Answer{}
 	}
 	space, known := c.conf.Callers.Workspace(ask.Workspace)
-	zones := c.bounds.zonesOf(space, c.zones)
+	zones := c.bounds.countingZones(space, c.zones)
 	if !known || !slices.Contains(zones, c.self.Zone) {
 		return Answer{}
 	}
@@ -169,9 +171,9 @@
 		c.parts[ask.Workspace] = p
 	}
 	if ask.Back {
-		p.back()
+		p.cancelProgram()
 		return Answer{Counts: true}
 	}
-	granted, after := p.grant(now, c.bounds.share(space, len(zones)), ask.Want, ask.Begins)
+	granted, after := p.grant(now, c.bounds.partLimits(space, len(zones)), ask.Want, ask.Begins)
 	return Answer{Counts: true, Granted: granted, AfterMillis: after.Milliseconds()}
 }
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -9,16 +9,16 @@
 	"mulleingate.dev/gate/work"
 )
 
-// chosen is a fleet of one box, as its counter sees it.
-type chosen struct{ box work.Box }
+// singleBox is a CounterLocator for a fleet of one box.
+type singleBox struct{ box work.Box }
 
-func (c chosen) Counter(string, string) (work.Box, bool) { return c.box, true }
+func (c singleBox) Counter(string, string) (work.Box, bool) { return c.box, true }
 
-// counted is a counter whose part is full.
-func counted(t *testing.T) *Counter {
+// newFullCounter returns a started counter whose part is full.
+func newFullCounter(t *testing.T) *Counter {
 	t.Helper()
 	self := work.Box{Name: "b", Zone: "a"}
-	c := NewCounter(self, zones[:1], bounds, chosen{self})
+	c := NewCounter(self, zones[:1], bounds, singleBox{self})
 	if err := c.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -29,62 +29,62 @@
 	return c
 }
 
-// all is how many calls the counter grants at once.
-func all(c *Counter) int {
+// grantAll returns how many calls the counter grants at once.
+func grantAll(c *Counter) int {
 	return c.Grant(time.Now(), Ask{Workspace: "w", Want: 1000}).Granted
 }
 
-// TestBeginsWithNothing checks that a counter which was just chosen, or frozen, hands out no more than what has come in since:
-// another box may have handed out all before.
-func TestBeginsWithNothing(t *testing.T) {
+// TestStartsEmpty checks that a counter that just took over or was frozen starts with an empty part, since another box
+// may have granted all calls before.
+func TestStartsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := counted(t)
+		c := newFullCounter(t)
 		defer func() { _ = c.Stop(context.Background()) }()
-		full := all(c)
+		full := grantAll(c)
 		if full < 20 {
-			t.Errorf("%d calls at once of a part that was not used", full)
+			t.Errorf("%d calls at once from a full part", full)
 		}
 		time.Sleep(20 * time.Second)
 		c.mu.Lock()
-		c.awake = time.Now().Add(-5 * time.Second) // nothing ran for so long
+		c.lastActive = time.Now().Add(-5 * time.Second) // simulates a freeze
 		c.mu.Unlock()
-		if got := all(c); got != 0 {
+		if got := grantAll(c); got != 0 {
 			t.Errorf("%d calls right after a freeze", got)
 		}
 		time.Sleep(time.Second)
-		if got := all(c); got < 4 || got > 11 {
+		if got := grantAll(c); got < 4 || got > 11 {
 			t.Errorf("%d calls a second after a freeze", got)
 		}
 		c.Update(time.Now(), c.conf)
-		delete(c.chosen, "w")
+		delete(c.countingSince, "w")
 		c.Update(time.Now(), c.conf)
-		if got := all(c); got > 1 {
-			t.Errorf("%d calls of a counter that was just chosen", got)
+		if got := grantAll(c); got > 1 {
+			t.Errorf("%d calls from a counter that just took over", got)
 		}
 	})
 }
 
-// TestQuotaOfANewWorkspace checks that a workspace that no configuration had before may call at once.
-func TestQuotaOfANewWorkspace(t *testing.T) {
+// TestNewWorkspace checks that a workspace that was in no earlier configuration starts with a full part.
+func TestNewWorkspace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := counted(t)
+		c := newFullCounter(t)
 		defer func() { _ = c.Stop(context.Background()) }()
 		conf := work.NewConfig(2, nil, nil, work.Limits{})
 		conf.Callers = work.NewCallers([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}, {Name: "new", Rate: 10, Burst: 10}})
 		c.Update(time.Now(), conf)
 		if got := c.Grant(time.Now(), Ask{Workspace: "new", Want: 10}).Granted; got != 10 {
-			t.Errorf("%d calls of 10", got)
+			t.Errorf("%d of 10 calls granted", got)
 		}
 		if got := c.Grant(time.Now(), Ask{Workspace: "gone", Want: 10}); got.Counts {
-			t.Errorf("a workspace that is not known: %+v", got)
+			t.Errorf("unknown workspace: %+v", got)
 		}
 	})
 }
 
-// TestWorkspacesGone checks that a counter outlives a configuration without workspaces.
-func TestWorkspacesGone(t *testing.T) {
+// TestNoWorkspaces checks that a counter stops counting when a configuration has no workspaces.
+func TestNoWorkspaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := counted(t)
+		c := newFullCounter(t)
 		defer func() { _ = c.Stop(context.Background()) }()
 		c.Update(time.Now(), work.NewConfig(2, nil, nil, work.Limits{}))
 		if got := c.Grant(time.Now(), Ask{Workspace: "w", Want: 1}); got.Counts {
--- a/gate/quota/even_test.go
+++ b/gate/quota/even_test.go
@@ -6,19 +6,19 @@
 	"mulleingate.dev/gate/work"
 )
 
-// even gives each box the same part of a quota, whoever calls it: what counters are compared with.
-type even struct {
+// evenSplit gives each box the same part of a quota. Counters are compared with it.
+type evenSplit struct {
 	bounds Bounds
 	boxes  int
 	parts  map[string]*part
 }
 
-func (e *even) take(now time.Time, space work.Workspace) bool {
+func (e *evenSplit) take(now time.Time, space work.Workspace) bool {
 	p, ok := e.parts[space.Name]
 	if !ok {
 		p = newPart(time.Time{})
 		e.parts[space.Name] = p
 	}
-	granted, _ := p.grant(now, e.bounds.share(space, e.boxes), 1, false)
+	granted, _ := p.grant(now, e.bounds.partLimits(space, e.boxes), 1, false)
 	return granted > 0
 }
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -17,33 +17,35 @@
 
 var bounds = Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// zones of the fleets here.
+// zones are the availability zones of the test fleets.
 var zones = []string{"a", "b", "c"}
 
-// fleet is boxes that ask each other, without a network: each question takes way.
+// fleet is a set of boxes that ask each other without a network; each request takes askDelay.
 type fleet struct {
 	boxes    []work.Box
 	quotas   []*Quotas
 	counters []*Counter
 	spaces   map[string]work.Workspace
-	// oneCounter has a quota counted whole, in the first zone of its rendezvous.
+	// oneCounter is set if each quota is counted as a whole, in the first zone.
 	oneCounter bool
 
 	mu sync.Mutex
-	// dead boxes answer nothing; views don't hold those in gone. Boxes of different sides don't reach each other.
-	dead, gone map[string]bool
-	side       map[string]int
+	// dead boxes do not answer, and removed ones are not in the boxes' views; the entry "far" removes all
+	// boxes on the other side of a partition. Boxes with different values of side do not reach each other.
+	dead, removed map[string]bool
+	side          map[string]int
 }
 
-const way = time.Millisecond
+const askDelay = time.Millisecond
 
-// Quota implements Peers for a box.
-type from struct {
+// boxView is a box of the fleet, as Peers, Winners and Counts of that box.
+type boxView struct {
 	*fleet
 	self work.Box
 }
 
-func (f from) Quota(ctx context.Context, box work.Box, ask Ask) (Answer, error) {
+// Quota implements Peers.
+func (f boxView) Quota(ctx context.Context, box work.Box, ask Ask) (Answer, error) {
 	f.mu.Lock()
 	cut := f.dead[box.Name] || f.side[box.Name] != f.side[f.self.Name]
 	f.mu.Unlock()
@@ -51,7 +53,7 @@
 		<-ctx.Done()
 		return Answer{}, fault.Fail(fault.PeerLost, "silent")
 	}
-	time.Sleep(way)
+	time.Sleep(askDelay)
 	for i, other := range f.boxes {
 		if other.Name == box.Name {
 			return f.counters[i].Grant(time.Now(), ask), nil
@@ -60,38 +62,39 @@
 	return Answer{}, nil
 }
 
-func (f from) Count(string, int64) {}
+func (f boxView) Count(string, int64) {}
 
-// Counter implements Winners, as a box sees it.
-func (f from) Counter(workspace, zone string) (work.Box, bool) {
+// Counter implements Winners by the view of the box.
+func (f boxView) Counter(workspace, zone string) (work.Box, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near []work.Box
+	var candidates []work.Box
 	for _, box := range f.boxes {
-		seen := f.side[box.Name] == f.side[f.self.Name] || !f.gone["far"]
-		if box.Zone == zone && !f.gone[box.Name] && seen {
-			near = append(near, box)
+		seen := f.side[box.Name] == f.side[f.self.Name] || !f.removed["far"]
+		if box.Zone == zone && !f.removed[box.Name] && seen {
+			candidates = append(candidates, box)
 		}
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return work.Box{}, false
 	}
-	return near[ident.Closest(workspace, len(near), func(i int) string { return near[i].Name }, 1)[0]], true
+	return candidates[ident.Closest(workspace, len(candidates), func(i int) string { return candidates[i].Name }, 1)[0]], true
 }
 
+// newFleet returns a fleet of n boxes in turn in all zones.
 func newFleet(n int, spaces []work.Workspace, oneCounter bool) *fleet {
-	f := &fleet{spaces: map[string]work.Workspace{}, oneCounter: oneCounter, dead: map[string]bool{}, gone: map[string]bool{}, side: map[string]int{}}
+	f := &fleet{spaces: map[string]work.Workspace{}, oneCounter: oneCounter, dead: map[string]bool{}, removed: map[string]bool{}, side: map[string]int{}}
 	for i := range n {
 		f.boxes = append(f.boxes, work.Box{Name: fmt.Sprintf("b%d", i), Zone: zones[i%len(zones)]})
 	}
-	counted := zones
+	counterZones := zones
 	if oneCounter {
-		counted = zones[:1]
+		counterZones = zones[:1]
 	}
 	for i, box := range f.boxes {
-		at := from{f, box}
-		f.counters = append(f.counters, NewCounter(box, counted, bounds, at))
-		f.quotas = append(f.quotas, New(box, counted, bounds, at, f.counters[i], at, at))
+		at := boxView{f, box}
+		f.counters = append(f.counters, NewCounter(box, counterZones, bounds, at))
+		f.quotas = append(f.quotas, New(box, counterZones, bounds, at, f.counters[i], at, at))
 	}
 	for _, space := range spaces {
 		f.spaces[space.Name] = space
@@ -99,7 +102,7 @@
 	return f
 }
 
-// update tells all counters of the boxes that live now.
+// update applies the configuration and the current views to the counters of all live boxes.
 func (f *fleet) update() {
 	conf := work.NewConfig(1, nil, nil, work.Limits{})
 	var spaces []work.Workspace
@@ -114,19 +117,20 @@
 	}
 }
 
-// tally is what became of a workspace's calls and programs.
+// tally counts the outcomes of a workspace's calls and programs.
 type tally struct {
 	mu sync.Mutex
-	// ran tells when calls ran, refused counts those that did not, ended and broken programs that began.
-	ran            []time.Time
-	refused        int
-	ended, broken  int
-	turned         int
-	longest, waits time.Duration
+	// ran holds when calls ran, and refused counts refusals. ended, interrupted and rejected count the programs that
+	// ended, began but did not end, and did not begin.
+	ran                []time.Time
+	refused            int
+	ended, interrupted int
+	rejected           int
+	longest, waits     time.Duration
 }
 
-// most is the most calls that ran in any window.
-func (t *tally) most() int {
+// maxInWindow returns the most calls that ran in any window.
+func (t *tally) maxInWindow() int {
 	most, from := 0, 0
 	for i, at := range t.ran {
 		for at.Sub(t.ran[from]) > bounds.Window {
@@ -137,19 +141,19 @@
 	return most
 }
 
-// allowed is what may run in a window.
+// allowed returns how many calls may run in a window.
 func allowed(space work.Workspace) int {
 	return int((space.Rate*bounds.Window.Seconds()+space.Burst)*(1+bounds.Overshoot) + bounds.Slack)
 }
 
-// callsOf is how many calls a program makes.
-func callsOf(rng *rand.Rand) int {
+// programCalls draws the number of calls of a program.
+func programCalls(rng *rand.Rand) int {
 	return max(1, int(14*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// load has a workspace's clients begin programs, each through boxes of its own, at so many times the calls that a program
-// makes a second.
-func (f *fleet) load(ctx context.Context, space work.Workspace, calls func(at time.Duration) float64, seed uint64, into *tally, take func(box int, begins bool) error) {
+// generateLoad begins programs of a workspace's clients at random times, until ctx ends. calls returns the mean number
+// of calls per second at a time since the start.
+func (f *fleet) generateLoad(ctx context.Context, space work.Workspace, calls func(at time.Duration) float64, seed uint64, into *tally, take func(box int, begins bool) error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Now()
 	clients := 1 + int(space.Rate/10)
@@ -157,15 +161,15 @@
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(rng.ExpFloat64() / (calls(time.Since(start)) / 14) * float64(time.Second)))
 		box := int(ident.Weight(space.Name, fmt.Sprint(rng.IntN(clients))) % uint64(len(f.boxes)))
-		n := callsOf(rng)
+		n := programCalls(rng)
 		other := rng.Uint64()
-		all.Go(func() { program(n, box, len(f.boxes), rand.New(rand.NewPCG(other, 1)), into, take) })
+		all.Go(func() { runProgram(n, box, len(f.boxes), rand.New(rand.NewPCG(other, 1)), into, take) })
 	}
 	all.Wait()
 }
 
-// program makes its calls one after another, some through another box. A call that is refused is made once more.
-func program(calls, box, boxes int, rng *rand.Rand, into *tally, take func(box int, begins bool) error) {
+// runProgram makes the calls of a program one after another, some through another box. A refused call is retried once.
+func runProgram(calls, box, boxes int, rng *rand.Rand, into *tally, take func(box int, begins bool) error) {
 	for i := range calls {
 		if i > 0 {
 			time.Sleep(time.Duration((0.5 + rng.Float64()) * 200 * float64(time.Millisecond)))
@@ -180,9 +184,9 @@
 		into.mu.Lock()
 		defer into.mu.Unlock()
 		if i == 0 {
-			into.turned++
+			into.rejected++
 		} else {
-			into.broken++
+			into.interrupted++
 		}
 		return
 	}
@@ -191,6 +195,7 @@
 	into.ended++
 }
 
+// call makes a call with one retry, and reports whether it ran.
 func (t *tally) call(box int, begins bool, take func(box int, begins bool) error) bool {
 	for try := range 2 {
 		asked := time.Now()
@@ -213,7 +218,7 @@
 	return false
 }
 
-// workspaces are one large and some small ones, whose callers make 0.62 of the calls that they may.
+// workspaces returns one large workspace, one of middle size and some small ones.
 func workspaces() []work.Workspace {
 	spaces := []work.Workspace{{Name: "large", Rate: 374, Burst: 374}, {Name: "middle", Rate: 60, Burst: 60}}
 	for i := range 6 {
@@ -222,38 +227,41 @@
 	return spaces
 }
 
-const usual = 0.62
+// usualLoad is the part of its quota that a workspace calls without overload.
+const usualLoad = 0.62
 
-// result sums up workspaces of a size.
+// result sums up the tallies of the workspaces of one size.
 type result struct {
-	ended, broken, turned, calls int
-	// over is the most calls in a window against what is allowed.
-	over          float64
+	ended, interrupted, rejected, calls int
+	// peak is the ratio of the most calls in a window to the allowed number.
+	peak          float64
 	mean, longest time.Duration
 }
 
-func (r result) share() float64 {
-	return float64(r.ended) / float64(max(1, r.ended+r.broken+r.turned))
+// endedShare returns the part of all programs that ended.
+func (r result) endedShare() float64 {
+	return float64(r.ended) / float64(max(1, r.ended+r.interrupted+r.rejected))
 }
 
 func (r result) String() string {
-	return fmt.Sprintf("%d ended, %d broken off, %d turned away, %.2f of the most in a window, %v a call, %v at most", r.ended, r.broken, r.turned, r.over, r.mean, r.longest)
+	return fmt.Sprintf("%d programs ended, %d interrupted, %d rejected, peak window at %.2f of the limit, %v mean wait, %v longest wait", r.ended, r.interrupted, r.rejected, r.peak, r.mean, r.longest)
 }
 
-// play has all workspaces call a fleet for 20 s; hot tells how many times its usual one sends. Harm does something to it.
-func play(t *testing.T, n int, way string, seed uint64, hot map[string]float64, harm func(f *fleet)) (large, small result) {
+// simulate lets all workspaces call a fleet for 20 s. overload multiplies the usual load of a workspace for some of that
+// time, and disrupt, if not nil, injects failures.
+func simulate(t *testing.T, n int, method string, seed uint64, overload map[string]float64, disrupt func(f *fleet)) (large, small result) {
 	t.Helper()
 	spaces := workspaces()
 	tallies := make([]*tally, len(spaces))
 	synctest.Test(t, func(*testing.T) {
-		f := newFleet(n, spaces, way == "one counter")
+		f := newFleet(n, spaces, method == "one counter")
 		f.update()
-		time.Sleep(10 * time.Second) // traffic comes later
-		evens := make([]*even, n)
-		for i := range evens {
-			evens[i] = &even{bounds: bounds, boxes: n, parts: map[string]*part{}}
+		time.Sleep(10 * time.Second) // let the parts fill
+		splits := make([]*evenSplit, n)
+		for i := range splits {
+			splits[i] = &evenSplit{bounds: bounds, boxes: n, parts: map[string]*part{}}
 		}
-		var guard sync.Mutex
+		var mu sync.Mutex
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
 		var all sync.WaitGroup
@@ -262,13 +270,13 @@
 			take := func(box int, begins bool) error {
 				f.mu.Lock()
 				for f.dead[f.boxes[box].Name] {
-					box = (box + 1) % n // the balancer sends callers elsewhere
+					box = (box + 1) % n // the load balancer skips dead boxes
 				}
 				f.mu.Unlock()
-				if way == "even" {
-					guard.Lock()
-					defer guard.Unlock()
-					if evens[box].take(time.Now(), space) {
+				if method == "even" {
+					mu.Lock()
+					defer mu.Unlock()
+					if splits[box].take(time.Now(), space) {
 						return nil
 					}
 					return fault.Refuse(fault.QuotaReached, "").After(300 * time.Millisecond)
@@ -277,16 +285,16 @@
 				return err
 			}
 			calls := func(at time.Duration) float64 {
-				load := usual * space.Rate
-				if x := hot[space.Name]; x > 0 && at > 5*time.Second && at < 13*time.Second {
+				load := usualLoad * space.Rate
+				if x := overload[space.Name]; x > 0 && at > 5*time.Second && at < 13*time.Second {
 					load *= x
 				}
 				return load
 			}
-			all.Go(func() { f.load(ctx, space, calls, seed+uint64(i), tallies[i], take) })
+			all.Go(func() { f.generateLoad(ctx, space, calls, seed+uint64(i), tallies[i], take) })
 		}
-		if harm != nil {
-			all.Go(func() { harm(f) })
+		if disrupt != nil {
+			all.Go(func() { disrupt(f) })
 		}
 		all.Wait()
 	})
@@ -296,21 +304,21 @@
 			of = &large
 		}
 		of.ended += tallies[i].ended
-		of.broken += tallies[i].broken
-		of.turned += tallies[i].turned
+		of.interrupted += tallies[i].interrupted
+		of.rejected += tallies[i].rejected
 		of.calls += len(tallies[i].ran)
-		of.over = max(of.over, float64(tallies[i].most())/float64(allowed(space)))
+		of.peak = max(of.peak, float64(tallies[i].maxInWindow())/float64(allowed(space)))
 		of.longest = max(of.longest, tallies[i].longest)
 		of.mean += tallies[i].waits / time.Duration(len(spaces)*max(1, len(tallies[i].ran)))
 	}
 	return large, small
 }
 
-// TestWays plays loads and losses against the ways to count quotas: a counter in each zone, one for all, and an even
-// part for each box. With counters in each zone no window holds more than is allowed, also where a zone is cut off or counters
-// are lost; even parts turn most programs away, and one counter for all breaks programs off while it is lost.
-func TestWays(t *testing.T) {
-	cut := func(f *fleet) {
+// TestCountingMethods checks that with a counter in each zone no window exceeds its limit, few programs are interrupted
+// and most of the small workspaces' programs end, also in a partition and when counters are lost. It logs the results of
+// a single counter and of an even split for comparison.
+func TestCountingMethods(t *testing.T) {
+	partition := func(f *fleet) {
 		time.Sleep(6 * time.Second)
 		f.mu.Lock()
 		for _, box := range f.boxes {
@@ -320,58 +328,58 @@
 		}
 		f.mu.Unlock()
 		time.Sleep(1500 * time.Millisecond)
-		f.set("far", true)
+		f.setRemoved("far", true)
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		clear(f.side)
 		f.mu.Unlock()
-		f.set("far", false)
+		f.setRemoved("far", false)
 	}
-	killed := func(f *fleet) {
+	counterLoss := func(f *fleet) {
 		for i, name := range []string{"large", "small0", "small1", "middle"} {
 			time.Sleep(3 * time.Second)
-			box, _ := from{f, f.boxes[0]}.Counter(name, zones[i%len(zones)])
+			box, _ := boxView{f, f.boxes[0]}.Counter(name, zones[i%len(zones)])
 			f.mu.Lock()
 			f.dead[box.Name] = true
 			f.mu.Unlock()
 			time.Sleep(1500 * time.Millisecond)
 			f.mu.Lock()
 			for name := range f.dead {
-				f.gone[name] = true
+				f.removed[name] = true
 			}
 			f.mu.Unlock()
 			f.update()
 		}
 	}
 	for _, tc := range []struct {
-		name string
-		hot  map[string]float64
-		harm func(f *fleet)
-		// least is the part of the small workspaces' programs that end.
-		least float64
+		name     string
+		overload map[string]float64
+		disrupt  func(f *fleet)
+		// minEnded is the least part of the small workspaces' programs that must end.
+		minEnded float64
 	}{
 		{"usual", nil, nil, 0.92},
-		{"hot", map[string]float64{"large": 5, "small0": 5}, nil, 0.7},
-		{"cut", map[string]float64{"large": 5}, cut, 0.9},
-		{"counters lost", nil, killed, 0.9},
+		{"overload", map[string]float64{"large": 5, "small0": 5}, nil, 0.7},
+		{"partition", map[string]float64{"large": 5}, partition, 0.9},
+		{"counters lost", nil, counterLoss, 0.9},
 	} {
 		for _, size := range []int{11, 67, 300} {
 			t.Run(fmt.Sprintf("%s/%d boxes", tc.name, size), func(t *testing.T) {
 				t.Parallel()
-				for _, way := range []string{"zones", "one counter", "even"} {
-					large, small := play(t, size, way, 1, tc.hot, tc.harm)
-					t.Logf("%-12s large %v; small %v", way, large, small)
-					if way != "zones" {
+				for _, method := range []string{"zones", "one counter", "even"} {
+					large, small := simulate(t, size, method, 1, tc.overload, tc.disrupt)
+					t.Logf("%-12s large %v; small %v", method, large, small)
+					if method != "zones" {
 						continue
 					}
-					if large.over > 1 || small.over > 1 {
-						t.Errorf("%.2f and %.2f of what is allowed in a window", large.over, small.over)
+					if large.peak > 1 || small.peak > 1 {
+						t.Errorf("peak windows at %.2f and %.2f of the limit", large.peak, small.peak)
 					}
-					if began := large.ended + large.broken; 10*large.broken > began {
-						t.Errorf("%d of %d large programs that began break off", large.broken, began)
+					if began := large.ended + large.interrupted; 10*large.interrupted > began {
+						t.Errorf("%d of %d programs of large workspaces were interrupted", large.interrupted, began)
 					}
-					if small.share() < tc.least {
-						t.Errorf("%.3f of the small workspaces' programs end", small.share())
+					if small.endedShare() < tc.minEnded {
+						t.Errorf("only %.3f of the small workspaces' programs ended", small.endedShare())
 					}
 				}
 			})
@@ -379,10 +387,10 @@
 	}
 }
 
-// set changes what boxes see.
-func (f *fleet) set(what string, gone bool) {
+// setRemoved removes a box from the views, or adds it again, and updates the counters.
+func (f *fleet) setRemoved(what string, removed bool) {
 	f.mu.Lock()
-	f.gone[what] = gone
+	f.removed[what] = removed
 	f.mu.Unlock()
 	f.update()
 }
--- a/gate/quota/part.go
+++ b/gate/quota/part.go
@@ -7,138 +7,139 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Bounds are what operators promise of quotas.
+// Bounds is how precisely quotas are enforced, as set by operators.
 type Bounds struct {
-	// Window is the time over which calls are counted, in whatever span of that length.
+	// Window is the length of the sliding window in which calls are counted.
 	Window time.Duration
-	// Overshoot is the part of a quota, and Slack the number of calls, by which a count may exceed it.
+	// Overshoot is the fraction of a quota, and Slack the number of calls, by which a window may exceed the quota.
 	Overshoot, Slack float64
 }
 
 const (
-	// usedSlack is the part of what a count may exceed its quota by that is used. The rest covers moments in which two
-	// boxes take themselves for the counter.
-	usedSlack = 0.9
-	// leastPart is the fewest calls in a window that a part of a quota is worth: with fewer, most callers would have to ask
-	// several zones for each call.
-	leastPart = 20
-	// planAtOnce is the part of a window's calls that may be planned for programs that begin together: their calls come
-	// over the seconds that follow, beside those of programs that begin then.
-	planAtOnce = 0.07
-	// planShare is the part of a quota that is planned for programs. What is left lets those that need more
-	// than most end.
+	// usedOvershoot is the part of the allowed excess that counters use. The rest covers moments in which two
+	// boxes act as the counter of one part.
+	usedOvershoot = 0.9
+	// minPartCalls is the least number of calls in a window for a part of a quota. With smaller parts, most calls
+	// would have to ask several zones.
+	minPartCalls = 20
+	// planBurst is the part of a window's calls that may be planned at once for programs that begin together.
+	planBurst = 0.07
+	// planShare is the part of a quota that is planned for programs. The rest is for programs that need more
+	// calls than planned.
 	planShare = 0.9
-	// planDebt is the part of a program's calls for which no plan need be left when it begins: a small quota may never
-	// have a whole program's.
-	planDebt = 0.5
-	// firstNeed is how many calls a program is expected to make until that was seen, and needWeight how many
-	// programs that counts for.
-	firstNeed  = 12
-	needWeight = 4
-	// needFade fades what was seen of programs, so that about the last hundred count.
-	needFade = 0.99
-	// steadyBurst is the part of a quota's burst that is handed out evenly over the window, on top of its rate: what may
-	// run in any window then holds for a workspace that asks for more all the time, too. The rest may come at once.
+	// planOverdraft is the part of a program's calls that may be missing from the plan when it begins, since a
+	// small quota may never hold the calls of a whole program.
+	planOverdraft = 0.5
+	// initialProgramCalls is the assumed number of calls of a program before any was observed, and
+	// initialWeight is the number of observed programs that this assumption counts for.
+	initialProgramCalls = 12
+	initialWeight       = 4
+	// programDecay is the weight kept by earlier observations at each new program: about the last hundred count.
+	programDecay = 0.99
+	// steadyBurst is the part of a quota's burst that is granted evenly over the window, on top of its rate, so that
+	// a workspace that is always at its limit also gets it. The rest may be used at once.
 	steadyBurst = 0.5
 )
 
-// inWindow is how many calls of a workspace may run in any window.
-func (b Bounds) inWindow(space work.Workspace) float64 {
+// windowLimit returns how many calls of a workspace counters may grant in any window.
+func (b Bounds) windowLimit(space work.Workspace) float64 {
 	limit := space.Rate*b.Window.Seconds() + space.Burst
-	over := b.Overshoot*limit + b.Slack
-	held := aheadShare * space.Rate * heldFor.Seconds() // by boxes, beyond what counters know
-	return limit + max(0, usedSlack*over-held)
+	excess := b.Overshoot*limit + b.Slack
+	prefetched := prefetchShare * space.Rate * prefetchLifetime.Seconds() // granted before the window and used within it
+	return limit + max(0, usedOvershoot*excess-prefetched)
 }
 
-// zonesOf are the availability zones that count parts of the workspace's quota: all, or fewer where parts
-// would be too small.
-func (b Bounds) zonesOf(space work.Workspace, zones []string) []string {
-	n := min(len(zones), max(1, int(b.inWindow(space)/leastPart)))
-	var of []string
+// countingZones returns the availability zones that count parts of the workspace's quota: all zones, or fewer if the
+// parts would be too small.
+func (b Bounds) countingZones(space work.Workspace, zones []string) []string {
+	n := min(len(zones), max(1, int(b.windowLimit(space)/minPartCalls)))
+	var counting []string
 	for _, i := range ident.Closest(space.Name, len(zones), func(i int) string { return zones[i] }, n) {
-		of = append(of, zones[i])
+		counting = append(counting, zones[i])
 	}
-	return of
+	return counting
 }
 
-// level is a count that rises with time up to a bound. It may be below zero.
-type level struct {
-	left float64
-	at   time.Time
+// tokenBucket is a count that grows with time up to a limit. It may be negative.
+type tokenBucket struct {
+	tokens float64
+	at     time.Time
 }
 
-func (l *level) rise(now time.Time, perSecond, most float64) {
-	if gone := now.Sub(l.at); gone > 0 {
-		l.left += gone.Seconds() * perSecond
-		l.at = now
+// refill adds the tokens for the time since the last refill, up to most.
+func (b *tokenBucket) refill(now time.Time, perSecond, most float64) {
+	if elapsed := now.Sub(b.at); elapsed > 0 {
+		b.tokens += elapsed.Seconds() * perSecond
+		b.at = now
 	}
-	l.left = min(l.left, most)
+	b.tokens = min(b.tokens, most)
 }
 
-// until is how long it takes until the level is above a value.
-func (l *level) until(above, perSecond float64) time.Duration {
-	return time.Duration((above - l.left) / perSecond * float64(time.Second))
+// timeUntil returns how long it takes until the bucket holds the given number of tokens.
+func (b *tokenBucket) timeUntil(tokens, perSecond float64) time.Duration {
+	return time.Duration((tokens - b.tokens) / perSecond * float64(time.Second))
 }
 
-// share is what a part of a quota may hand out: perSecond calls and atOnce beyond that, so that inWindow run in any window.
-type share struct {
-	perSecond, atOnce, inWindow float64
+// partLimits is what one part of a quota may grant: rate calls per second and burst calls beyond that, which is
+// windowLimit calls in any window.
+type partLimits struct {
+	rate, burst, windowLimit float64
 }
 
-// share is that of each of several parts.
-func (b Bounds) share(space work.Workspace, parts int) share {
+// partLimits returns the limits of each part of a quota that is divided into equal parts.
+func (b Bounds) partLimits(space work.Workspace, parts int) partLimits {
 	n := float64(parts)
-	most := b.inWindow(space)
+	most := b.windowLimit(space)
 	steady := space.Rate*b.Window.Seconds() + steadyBurst*space.Burst
-	return share{perSecond: steady / b.Window.Seconds() / n, atOnce: (most - steady) / n, inWindow: most / n}
+	return partLimits{rate: steady / b.Window.Seconds() / n, burst: (most - steady) / n, windowLimit: most / n}
 }
 
-// part is a part of a workspace's quota as its counter keeps it.
+// part is the counter's state of a part of a workspace's quota.
 type part struct {
-	// calls is what may still be called, plan what is not yet planned for programs under way.
-	calls, plan level
-	// seen and begun count calls and programs that began lately.
-	seen, begun float64
+	// calls holds the calls that may still be granted, plan those that are not yet planned for running programs.
+	calls, plan tokenBucket
+	// recentCalls and recentPrograms are decaying counts of granted calls and of programs that began.
+	recentCalls, recentPrograms float64
 }
 
-// newPart is the part of a counter that has counted since a moment: it begins with nothing then, so that whatever was
-// handed out before, no window holds more than it may.
+// newPart returns a part that has been counted since the given time. It starts empty at that time, so that no window
+// exceeds its limit whatever another counter granted before.
 func newPart(since time.Time) *part {
-	return &part{calls: level{at: since}, plan: level{at: since}}
+	return &part{calls: tokenBucket{at: since}, plan: tokenBucket{at: since}}
 }
 
-// need is how many calls a program makes, as far as was seen.
-func (p *part) need() float64 {
-	return (p.seen + needWeight*firstNeed) / (p.begun + needWeight)
+// callsPerProgram estimates how many calls a program makes.
+func (p *part) callsPerProgram() float64 {
+	return (p.recentCalls + initialWeight*initialProgramCalls) / (p.recentPrograms + initialWeight)
 }
 
-// grant hands out up to want calls, one at least or none. A program begins only if what those under way will still
-// need leaves room for it: calls of programs under way are never refused for one that has not begun.
-func (p *part) grant(now time.Time, of share, want int, begins bool) (granted int, after time.Duration) {
-	p.calls.rise(now, of.perSecond, of.atOnce)
-	p.plan.rise(now, planShare*of.perSecond, planAtOnce*of.inWindow)
-	if debt := -planDebt * p.need(); begins && p.plan.left <= debt {
-		return 0, p.plan.until(debt, planShare*of.perSecond)
+// grant grants up to want calls, or none and the delay after which to ask again. A program may begin only if the plan
+// has room for it beside the running programs, so that their calls are not refused because of a new program.
+func (p *part) grant(now time.Time, limits partLimits, want int, begins bool) (granted int, after time.Duration) {
+	p.calls.refill(now, limits.rate, limits.burst)
+	p.plan.refill(now, planShare*limits.rate, planBurst*limits.windowLimit)
+	if debt := -planOverdraft * p.callsPerProgram(); begins && p.plan.tokens <= debt {
+		return 0, p.plan.timeUntil(debt, planShare*limits.rate)
 	}
-	granted = min(want, int(p.calls.left))
+	granted = min(want, int(p.calls.tokens))
 	if granted < 1 {
-		return 0, p.calls.until(1, of.perSecond)
+		return 0, p.calls.timeUntil(1, limits.rate)
 	}
-	p.calls.left -= float64(granted)
-	p.seen = p.seen*needFadeOf(granted) + float64(granted)
+	p.calls.tokens -= float64(granted)
+	p.recentCalls = p.recentCalls*callDecay(granted) + float64(granted)
 	if begins {
-		p.plan.left -= p.need()
-		p.begun = p.begun*needFade + 1
+		p.plan.tokens -= p.callsPerProgram()
+		p.recentPrograms = p.recentPrograms*programDecay + 1
 	}
 	return granted, 0
 }
 
-// needFadeOf fades the calls as the programs that make them are.
-func needFadeOf(calls int) float64 {
-	return max(0, 1-(1-needFade)*float64(calls)/firstNeed)
+// callDecay returns the decay of recentCalls for a number of calls, at the same pace as that of programs.
+func callDecay(calls int) float64 {
+	return max(0, 1-(1-programDecay)*float64(calls)/initialProgramCalls)
 }
 
-// back takes the plan for a program back that has not begun.
-func (p *part) back() {
-	p.plan.left += p.need()
+// cancelProgram removes the plan for a program that has not begun.
+func (p *part) cancelProgram() {
+	p.plan.tokens += p.callsPerProgram()
 }
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -11,118 +11,120 @@
 )
 
 const (
-	// askWait bounds a question to a counter: some round trips between availability zones, on a busy box. A call
-	// waits for it.
-	askWait = 120 * time.Millisecond
-	// lostFor is how long a counter that did not answer is not asked.
-	lostFor = 400 * time.Millisecond
-	// heldFor is how long calls that were granted ahead are good, and aheadShare the part of the last second's calls
-	// that is asked for ahead: a box goes on with them while a counter is lost, and asks once for some calls in a row.
-	heldFor    = time.Second
-	aheadShare = 0.25
-	// retryUnknown is the advice given while counters are lost: others have been chosen about then.
-	retryUnknown = 600 * time.Millisecond
-	// leastAfter bounds the advice from below.
-	leastAfter = 50 * time.Millisecond
-	// soon is how long a call of a program under way waits for its turn in place of being refused: its caller would
-	// be back no sooner, and has few tries.
-	soon = 200 * time.Millisecond
+	// askTimeout bounds a request to a counter, for which a call waits. It allows for some round trips between
+	// availability zones on a busy box.
+	askTimeout = 120 * time.Millisecond
+	// lostPause is how long a counter that did not answer is not asked again.
+	lostPause = 400 * time.Millisecond
+	// prefetchLifetime is how long prefetched calls are valid, and prefetchShare is the part of the last second's
+	// calls that is prefetched. Prefetching saves requests, and covers the time in which a counter is lost.
+	prefetchLifetime = time.Second
+	prefetchShare    = 0.25
+	// retryCountersLost is the Retry-After delay while counters are lost, about the time to choose others.
+	retryCountersLost = 600 * time.Millisecond
+	// minRetryDelay is the least Retry-After delay of a call beyond the quota.
+	minRetryDelay = 50 * time.Millisecond
+	// maxQuotaWait is how long a call that begins no program may wait for quota instead of being refused: a
+	// retry would come no sooner, and callers retry only a few times.
+	maxQuotaWait = 200 * time.Millisecond
 )
 
-// Peers asks other boxes.
+// Peers sends requests to other boxes.
 type Peers interface {
+	// Quota asks the counter on a box for calls.
 	Quota(ctx context.Context, box work.Box, ask Ask) (Answer, error)
 }
 
-// Counts takes figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 }
 
-// Quotas is what a box knows of the quotas of the workspaces that call it.
+// Quotas enforces the quotas of workspaces on the calls that arrive at one box.
 type Quotas struct {
 	self    work.Box
 	zones   []string
 	bounds  Bounds
-	winners Winners
+	locator Winners
 	counter *Counter
 	peers   Peers
 	counts  Counts
 
-	mu     sync.Mutex
-	purses map[string]*purse
-	// lost holds counters that did not answer, until when they are not asked.
-	lost map[string]time.Time
+	mu         sync.Mutex
+	workspaces map[string]*workspaceState
+	// lostUntil holds, by box name, until when a counter that did not answer is not asked again.
+	lostUntil map[string]time.Time
 }
 
-// purse is what a box holds of one workspace's quota.
-type purse struct {
-	// held is calls that were granted ahead, good until a moment.
-	held  int
-	until time.Time
-	// recent counts calls of the second that began at since, and before those of the one before it.
-	recent, before int
-	since          time.Time
-	// empty tells for each zone until when its counter has nothing left, for calls and for programs that begin.
-	empty map[refused]time.Time
+// workspaceState is what a box holds of one workspace's quota.
+type workspaceState struct {
+	// prefetched is the number of calls granted in advance, valid until prefetchExpiry.
+	prefetched     int
+	prefetchExpiry time.Time
+	// recent counts the calls in the second that began at recentStart, previous those in the second before it.
+	recent, previous int
+	recentStart      time.Time
+	// exhaustedUntil tells until when the counter of a zone has nothing left for a kind of call.
+	exhaustedUntil map[grantKind]time.Time
 }
 
-// refused is what a counter has refused.
-type refused struct {
+// grantKind is a zone's counter and a kind of call: one with which a program may begin, or another.
+type grantKind struct {
 	zone   string
 	begins bool
 }
 
-// New makes the quotas of a box, which ask the counters of all zones.
-func New(self work.Box, zones []string, bounds Bounds, winners Winners, counter *Counter, peers Peers, counts Counts) *Quotas {
+// New returns the Quotas of the box self, which ask the counters of all zones.
+func New(self work.Box, zones []string, bounds Bounds, locator Winners, counter *Counter, peers Peers, counts Counts) *Quotas {
 	return &Quotas{
-		self: self, zones: zones, bounds: bounds, winners: winners, counter: counter, peers: peers, counts: counts,
-		purses: map[string]*purse{}, lost: map[string]time.Time{},
+		self: self, zones: zones, bounds: bounds, locator: locator, counter: counter, peers: peers, counts: counts,
+		workspaces: map[string]*workspaceState{}, lostUntil: map[string]time.Time{},
 	}
 }
 
-// Pass is a call that was counted.
+// Pass is a call that was counted against a quota.
 type Pass struct {
 	quotas *Quotas
 	space  work.Workspace
-	// begun is the counter that has planned for a program with it; empty if none has.
-	begun work.Box
+	// plannedBy is the counter that has planned a program's calls with this one; empty if none has.
+	plannedBy work.Box
 }
 
-// Take counts a call of the workspace; begins says that a program may begin with it. Its fault says that the call has not
-// run and when to come again.
+// Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its fault says that
+// the call has not run and when to retry. A call that begins no program may wait briefly instead of
+// being refused.
 func (q *Quotas) Take(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
 	if space.Rate <= 0 {
 		return Pass{}, nil
 	}
-	pass, err := q.take(ctx, space, begins)
-	if begins || !fault.Is(err, fault.QuotaReached) || fault.From(err).RetryAfter > soon {
+	pass, err := q.tryTake(ctx, space, begins)
+	if begins || !fault.Is(err, fault.QuotaReached) || fault.From(err).RetryAfter > maxQuotaWait {
 		return pass, err
 	}
 	select {
 	case <-time.After(fault.From(err).RetryAfter):
-		return q.take(ctx, space, begins)
+		return q.tryTake(ctx, space, begins)
 	case <-ctx.Done():
 		return pass, err
 	}
 }
 
-// take counts a call by what is left now.
-func (q *Quotas) take(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
+// tryTake counts a call if a grant is available now.
+func (q *Quotas) tryTake(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
 	pass := Pass{quotas: q, space: space}
-	if !begins && q.spend(space.Name) {
+	if !begins && q.usePrefetched(space.Name) {
 		return pass, nil
 	}
 	after, unknown := time.Duration(0), false
-	for _, zone := range q.order(space) {
-		answer, box, asked := q.ask(ctx, space, zone, begins)
+	for _, zone := range q.zoneOrder(space) {
+		answer, box, asked := q.askZone(ctx, space, zone, begins)
 		switch {
 		case !asked || !answer.Counts:
 			unknown = true
 		case answer.Granted > 0:
-			q.keep(space.Name, answer.Granted-1)
+			q.addPrefetched(space.Name, answer.Granted-1)
 			if begins {
-				pass.begun = box
+				pass.plannedBy = box
 			}
 			return pass, nil
 		default:
@@ -133,107 +135,110 @@
 		}
 	}
 	if unknown && after == 0 {
-		return pass, fault.Refuse(fault.OwnerUnknown, "the workspace's quota can't be asked now").After(retryUnknown)
+		return pass, fault.Refuse(fault.OwnerUnknown, "the workspace's quota counters cannot be reached now").After(retryCountersLost)
 	}
-	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").After(max(after, leastAfter))
+	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").After(max(after, minRetryDelay))
 }
 
-// Return takes back what was counted of a call that has not run.
+// Return gives back the quota of a call that has not run.
 func (p Pass) Return() {
 	if p.quotas == nil || p.space.Rate <= 0 {
 		return
 	}
-	p.quotas.keep(p.space.Name, 1)
-	if p.begun.Name != "" {
-		go p.quotas.back(p.begun, p.space.Name)
+	p.quotas.addPrefetched(p.space.Name, 1)
+	if p.plannedBy.Name != "" {
+		go p.quotas.cancelProgram(p.plannedBy, p.space.Name)
 	}
 }
 
-// back tells a counter that a program has not begun. If it is not told, it plans for one program too many.
-func (q *Quotas) back(box work.Box, workspace string) {
-	ctx, stop := context.WithTimeout(context.Background(), askWait)
+// cancelProgram tells a counter that a program has not begun. If the request fails, the counter keeps the plan for
+// one program too many.
+func (q *Quotas) cancelProgram(box work.Box, workspace string) {
+	ctx, stop := context.WithTimeout(context.Background(), askTimeout)
 	defer stop()
 	if _, err := q.send(ctx, box, Ask{Workspace: workspace, Back: true}); err != nil {
 		q.counts.Count("quota.not_returned", 1)
 	}
 }
 
-// order is the zones that count the workspace, this box's own first.
-func (q *Quotas) order(space work.Workspace) []string {
-	zones := q.bounds.zonesOf(space, q.zones)
+// zoneOrder returns the zones that count the workspace's quota, this box's own zone first.
+func (q *Quotas) zoneOrder(space work.Workspace) []string {
+	zones := q.bounds.countingZones(space, q.zones)
 	if at := slices.Index(zones, q.self.Zone); at > 0 {
 		zones[0], zones[at] = zones[at], zones[0]
 	}
 	return zones
 }
 
-// spend takes a call that was granted ahead.
-func (q *Quotas) spend(workspace string) bool {
+// usePrefetched counts a call and takes it from the prefetched ones. It returns false if none is left.
+func (q *Quotas) usePrefetched(workspace string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.purse(workspace)
-	p.count(time.Now())
-	if p.held == 0 || !time.Now().Before(p.until) {
-		p.held = 0
+	p := q.stateOf(workspace)
+	p.countCall(time.Now())
+	if p.prefetched == 0 || !time.Now().Before(p.prefetchExpiry) {
+		p.prefetched = 0
 		return false
 	}
-	p.held--
+	p.prefetched--
 	return true
 }
 
-// keep holds calls ahead.
-func (q *Quotas) keep(workspace string, calls int) {
+// addPrefetched adds calls granted in advance.
+func (q *Quotas) addPrefetched(workspace string, calls int) {
 	if calls == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.purse(workspace)
-	if !time.Now().Before(p.until) {
-		p.held = 0
+	p := q.stateOf(workspace)
+	if !time.Now().Before(p.prefetchExpiry) {
+		p.prefetched = 0
 	}
-	p.held += calls
-	p.until = time.Now().Add(heldFor)
+	p.prefetched += calls
+	p.prefetchExpiry = time.Now().Add(prefetchLifetime)
 }
 
-func (q *Quotas) purse(workspace string) *purse {
-	p, ok := q.purses[workspace]
+// stateOf returns the workspace's state, which it creates if need be. q.mu must be held.
+func (q *Quotas) stateOf(workspace string) *workspaceState {
+	p, ok := q.workspaces[workspace]
 	if !ok {
-		p = &purse{empty: map[refused]time.Time{}}
-		q.purses[workspace] = p
+		p = &workspaceState{exhaustedUntil: map[grantKind]time.Time{}}
+		q.workspaces[workspace] = p
 	}
 	return p
 }
 
-// count notes a call.
-func (p *purse) count(now time.Time) {
-	if gone := now.Sub(p.since); gone >= time.Second {
-		p.before = p.recent
-		if gone >= 2*time.Second {
-			p.before = 0
+// countCall counts a call for the size of the next prefetch.
+func (p *workspaceState) countCall(now time.Time) {
+	if elapsed := now.Sub(p.recentStart); elapsed >= time.Second {
+		p.previous = p.recent
+		if elapsed >= 2*time.Second {
+			p.previous = 0
 		}
-		p.recent, p.since = 0, now
+		p.recent, p.recentStart = 0, now
 	}
 	p.recent++
 }
 
-// ahead is how many calls to ask for beyond the one that waits.
-func (p *purse) ahead() int {
-	return int(aheadShare * float64(max(p.before, p.recent)))
+// prefetchCount returns how many calls to ask for in addition to the waiting one.
+func (p *workspaceState) prefetchCount() int {
+	return int(prefetchShare * float64(max(p.previous, p.recent)))
 }
 
-// ask asks the counter of a zone, unless its answer is known.
-func (q *Quotas) ask(ctx context.Context, space work.Workspace, zone string, begins bool) (answer Answer, box work.Box, asked bool) {
-	box, ok := q.winners.Counter(space.Name, zone)
+// askZone asks the counter of a zone, unless it is known to be exhausted or lost. asked is false if there is no
+// answer.
+func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer Answer, box work.Box, asked bool) {
+	box, ok := q.locator.Counter(space.Name, zone)
 	if !ok {
 		return Answer{}, box, false
 	}
 	now := time.Now()
-	of := refused{zone: zone, begins: begins}
+	kind := grantKind{zone: zone, begins: begins}
 	q.mu.Lock()
-	p := q.purse(space.Name)
-	wait, lost := p.empty[of].Sub(now), now.Before(q.lost[box.Name])
-	msg := Ask{Workspace: space.Name, Want: 1 + p.ahead(), Begins: begins}
+	p := q.stateOf(space.Name)
+	wait, lost := p.exhaustedUntil[kind].Sub(now), now.Before(q.lostUntil[box.Name])
+	msg := Ask{Workspace: space.Name, Want: 1 + p.prefetchCount(), Begins: begins}
 	q.mu.Unlock()
 	if wait > 0 {
 		return Answer{Counts: true, AfterMillis: 1 + wait.Milliseconds()}, box, true
@@ -241,16 +246,16 @@
 	if lost {
 		return Answer{}, box, false
 	}
-	asking, stop := context.WithTimeout(ctx, askWait)
+	askCtx, stop := context.WithTimeout(ctx, askTimeout)
 	defer stop()
-	answer, err := q.send(asking, box, msg)
-	if ctx.Err() == nil { // a caller that left says nothing of the counter
-		q.note(box, space.Name, of, answer, err)
+	answer, err := q.send(askCtx, box, msg)
+	if ctx.Err() == nil { // a canceled call does not mean that the counter is lost
+		q.recordAnswer(box, space.Name, kind, answer, err)
 	}
 	return answer, box, err == nil
 }
 
-// send asks a box, which may be this one.
+// send sends a request to the counter on a box, which may be this one.
 func (q *Quotas) send(ctx context.Context, box work.Box, msg Ask) (Answer, error) {
 	if box.Name == q.self.Name {
 		return q.counter.Grant(time.Now(), msg), nil
@@ -259,16 +264,16 @@
 	return q.peers.Quota(ctx, box, msg)
 }
 
-// note remembers what an answer, or none, says of the questions to come.
-func (q *Quotas) note(box work.Box, workspace string, of refused, answer Answer, err error) {
+// recordAnswer remembers an exhausted or lost counter, so that it is not asked again for a while.
+func (q *Quotas) recordAnswer(box work.Box, workspace string, kind grantKind, answer Answer, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err != nil:
 		q.counts.Count("quota.counter_lost", 1)
-		q.lost[box.Name] = now.Add(lostFor)
+		q.lostUntil[box.Name] = now.Add(lostPause)
 	case answer.Counts && answer.Granted == 0:
-		q.purse(workspace).empty[of] = now.Add(time.Duration(answer.AfterMillis) * time.Millisecond)
+		q.stateOf(workspace).exhaustedUntil[kind] = now.Add(time.Duration(answer.AfterMillis) * time.Millisecond)
 	}
 }
