--- a/gate/relay/doc.go
+++ b/gate/relay/doc.go
@@ -1,3 +1,3 @@
-// Package relay carries one call to replicas and its answer back, without a log: a call
-// that may not be repeated is sent on only where it is known that it has not run.
+// Package relay sends single calls to replicas and their answers back without using the log. A call that is not
+// repeatable is sent to another replica only if it is known not to have run.
 package relay
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// maxSends bounds the replicas that one call is offered to, whether they run it or not.
+	// maxSends bounds how many replicas one call is sent to, whether they run it or not.
 	maxSends = 5
-	// patience is the part of the time left, one in so many, that a repeatable call may take at
-	// one replica before another is tried, unless its objective is longer.
-	patience = 5
-	// leastPatience bounds that from below: a network round trip and a full queue.
-	leastPatience = 250 * time.Millisecond
-	// worthTrying is the least time left in which another replica can still answer.
-	worthTrying = 30 * time.Millisecond
-	// retryAfter is the advice given with a refusal: about the time until a replica of a
-	// full service has a place again.
+	// attemptDivisor sets how long a repeatable call may take on one replica before another is tried: its
+	// remaining time divided by this, or the route's objective if that is longer.
+	attemptDivisor = 5
+	// minAttemptTimeout is the least such time: a network round trip and a full queue.
+	minAttemptTimeout = 250 * time.Millisecond
+	// minRetryTime is the least time before the deadline at which another replica is still tried.
+	minRetryTime = 30 * time.Millisecond
+	// retryAfter is the Retry-After delay of a refused call, about the time until a replica of a full
+	// service has capacity again.
 	retryAfter = 150 * time.Millisecond
-	// hangsAfter is the time without an answer from which a replica is blamed even though the
-	// caller has left: no call of the users' services takes so long.
-	hangsAfter = 1500 * time.Millisecond
-	// maxWhole is the longest answer that is read whole before it is passed on, in bytes.
-	maxWhole = 64 << 10
+	// silenceThreshold is the time without an answer after which the failure counts against the replica even
+	// though the caller has left.
+	silenceThreshold = 1500 * time.Millisecond
+	// maxBuffered is the size, in bytes, below which an answer is read completely before it is forwarded.
+	maxBuffered = 64 << 10
 )
 
-// Sender hands a call to a replica.
+// Sender sends a call to a replica.
 type Sender interface {
-	// Send returns once the head of the answer has come. Left is how long the replica may
-	// work. A fault with NotRun means that the replica has not seen the call.
+	// Send returns once the head of the answer has arrived. left is how long the replica may take. A fault
+	// with NotRun means that the replica has not received the call.
 	Send(ctx context.Context, lease *target.Lease, call *work.Call, left time.Duration) (work.Reply, error)
 }
 
-// Targets chooses replicas.
+// Targets selects replicas.
 type Targets interface {
+	// Take selects a replica and reserves capacity on it.
 	Take(ask target.Ask) (*target.Lease, error)
 }
 
-// Counts takes figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// Relay carries calls.
+// Relay sends calls to replicas.
 type Relay struct {
 	targets Targets
 	sender  Sender
@@ -60,35 +61,35 @@
 	log     *slog.Logger
 }
 
-// New makes a relay.
+// New returns a Relay.
 func New(targets Targets, sender Sender, counts Counts, log *slog.Logger) *Relay {
 	return &Relay{targets: targets, sender: sender, counts: counts, log: log}
 }
 
-// attempts is the state of one call.
+// attempts is the state of one call across its attempts.
 type attempts struct {
 	*Relay
 	call  *work.Call
 	route *work.Route
 	avoid []string
-	// sent counts the replicas that the call was offered to, ran those that may have run it.
-	sent, ran int
-	// last is why the newest attempt failed.
+	// sent counts the replicas that the call was sent to, runs those that may have run it.
+	sent, runs int
+	// last is the error of the latest attempt.
 	last error
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// answer is a replica's answer that is ready to be forwarded.
+type answer struct {
 	head work.Head
-	// body is the answer, or its beginning if rest is set.
+	// body is the complete body, or its beginning if rest is set.
 	body []byte
 	rest io.Reader
-	// end closes a long answer after rest was read.
+	// end releases the connection and the lease after rest was read; nil if that is done.
 	end func(out target.Outcome)
 }
 
-// Carry runs the call. It returns nil after a whole answer; a fault with NotRun if no
-// replica ran it or ever will; any other fault if one may have.
+// Carry runs the call. It returns nil after a complete answer; a fault with NotRun if no replica has run the call or
+// will; and any other fault if one may have run it.
 func (r *Relay) Carry(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
@@ -96,38 +97,39 @@
 	for {
 		got, err := a.try(ctx)
 		if err == nil {
-			return a.pass(got, out)
+			return a.forward(got, out)
 		}
 		a.last = err
-		if !a.again(ctx, err) {
+		if !a.canRetry(ctx, err) {
 			return a.failure(ctx)
 		}
 	}
 }
 
-// again reports whether another replica may be tried.
-func (a *attempts) again(ctx context.Context, err error) bool {
-	if ctx.Err() != nil || time.Until(a.call.Deadline) < worthTrying || a.sent >= maxSends {
+// canRetry reports whether another replica may be tried after err.
+func (a *attempts) canRetry(ctx context.Context, err error) bool {
+	if ctx.Err() != nil || time.Until(a.call.Deadline) < minRetryTime || a.sent >= maxSends {
 		return false
 	}
-	if noneLeft(err) {
+	if isNoReplica(err) {
 		return false
 	}
-	return a.ran == 0 || (a.route.Kind == work.Repeatable && a.ran < a.route.Attempts)
+	return a.runs == 0 || (a.route.Kind == work.Repeatable && a.runs < a.route.Attempts)
 }
 
-// noneLeftError says that no replica is left to try.
-type noneLeftError struct{ cause error }
+// noReplicaError says that no replica is left to try.
+type noReplicaError struct{ cause error }
 
-func (e noneLeftError) Error() string { return e.cause.Error() }
-func (e noneLeftError) Unwrap() error { return e.cause }
+func (e noReplicaError) Error() string { return e.cause.Error() }
+func (e noReplicaError) Unwrap() error { return e.cause }
 
-func noneLeft(err error) bool {
-	var none noneLeftError
+// isNoReplica reports whether err is or wraps a noReplicaError.
+func isNoReplica(err error) bool {
+	var none noReplicaError
 	return errors.As(err, &none)
 }
 
-// failure is the final answer of a call that no replica answered.
+// failure returns the fault of a call that no replica answered, and logs it.
 func (a *attempts) failure(ctx context.Context) error {
 	f := fault.From(a.last)
 	kind := f.Kind
@@ -137,67 +139,67 @@
 	case ctx.Err() != nil:
 		kind = fault.TimedOut
 	}
-	a.log.Info("relay: call failed", "id", a.call.ID, "route", a.route.Name, "kind", kind, "sent", a.sent, "ran", a.ran,
+	a.log.Info("relay: call failed", "id", a.call.ID, "route", a.route.Name, "kind", kind, "sent", a.sent, "ran", a.runs,
 		"after", time.Since(a.call.Arrived), "cause", a.last)
 	a.counts.Count("relay.failed", 1)
-	if a.ran == 0 {
-		return fault.Refuse(fault.Overloaded, "no replica took the call").After(retryAfter).Because(a.last)
+	if a.runs == 0 {
+		return fault.Refuse(fault.Overloaded, "no replica accepted the call").After(retryAfter).Because(a.last)
 	}
 	return fault.Fail(kind, "no replica answered the call").Because(a.last)
 }
 
-// try offers the call to one replica.
-func (a *attempts) try(ctx context.Context) (whole, error) {
+// try sends the call to one replica.
+func (a *attempts) try(ctx context.Context) (answer, error) {
 	lease, err := a.targets.Take(target.Ask{Work: a.route.Name, Services: a.route.Splits, Regions: a.call.Regions, Avoid: a.avoid})
 	if err != nil {
-		return whole{}, noneLeftError{cause: err}
+		return answer{}, noReplicaError{cause: err}
 	}
 	a.sent++
 	a.avoid = append(a.avoid, lease.Replica.ID)
 	limit := time.Until(a.call.Deadline)
-	guarded, leave := lease.Guard(ctx)
-	tryCtx, cancel := context.WithTimeout(guarded, a.patience(limit))
+	replicaCtx, stopGuard := lease.Guard(ctx)
+	tryCtx, cancel := context.WithTimeout(replicaCtx, a.attemptTimeout(limit))
 	stop := func() {
 		cancel()
-		leave()
+		stopGuard()
 	}
 	start := time.Now()
 	reply, err := a.sender.Send(tryCtx, lease, a.call, limit)
 	if err != nil {
 		stop()
-		return whole{}, a.broken(ctx, lease, start, err)
+		return answer{}, a.endFailed(ctx, lease, start, err)
 	}
 	if reply.NotRun {
 		reply.Body.Close()
 		stop()
 		lease.Done(target.Refused, 0)
 		a.counts.Count("relay.replica_refused", 1)
-		return whole{}, fault.Refuse(fault.Overloaded, "the replica did not run the call")
+		return answer{}, fault.Refuse(fault.Overloaded, "the replica did not run the call")
 	}
-	a.ran++
+	a.runs++
 	if a.route.Kind == work.Stream {
-		return a.flow(lease, reply, stop), nil
+		return a.streamed(lease, reply, stop), nil
 	}
 	return a.read(ctx, lease, reply, stop, start)
 }
 
-// patience is how long one replica may take. A call that may not be repeated waits for its
-// replica as long as its caller does.
-func (a *attempts) patience(left time.Duration) time.Duration {
-	if a.route.Kind != work.Repeatable || a.ran+1 >= a.route.Attempts {
+// attemptTimeout returns how long one attempt may take. A call that cannot be sent to another replica gets all of
+// the remaining time.
+func (a *attempts) attemptTimeout(left time.Duration) time.Duration {
+	if a.route.Kind != work.Repeatable || a.runs+1 >= a.route.Attempts {
 		return left
 	}
-	return min(left, max(leastPatience, a.route.Objective, left/patience))
+	return min(left, max(minAttemptTimeout, a.route.Objective, left/attemptDivisor))
 }
 
-// broken ends an attempt without an answer.
-func (a *attempts) broken(ctx context.Context, lease *target.Lease, start time.Time, err error) error {
+// endFailed ends an attempt that got no answer or an incomplete one, and returns err.
+func (a *attempts) endFailed(ctx context.Context, lease *target.Lease, start time.Time, err error) error {
 	if fault.From(err).NotRun {
 		lease.Done(target.Unreached, 0)
 		return err
 	}
-	a.ran++
-	if ctx.Err() != nil && time.Since(start) < hangsAfter {
+	a.runs++
+	if ctx.Err() != nil && time.Since(start) < silenceThreshold {
 		lease.Done(target.Dropped, 0)
 		return err
 	}
@@ -206,66 +208,66 @@
 	return err
 }
 
-// read reads a short answer to its end, so that a broken one never looks whole, and the
-// beginning of a long one.
-func (a *attempts) read(ctx context.Context, lease *target.Lease, reply work.Reply, stop func(), start time.Time) (whole, error) {
-	body, err := io.ReadAll(io.LimitReader(reply.Body, maxWhole))
+// read reads a short answer to its end, so that an incomplete one is never forwarded, and the beginning of a long
+// one.
+func (a *attempts) read(ctx context.Context, lease *target.Lease, reply work.Reply, stop func(), start time.Time) (answer, error) {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBuffered))
 	end := func(out target.Outcome) {
 		reply.Body.Close()
 		stop()
 		lease.Done(out, time.Since(start))
 	}
-	if err == nil && len(body) == maxWhole {
-		return whole{head: reply.Head, body: body, rest: reply.Body, end: end}, nil
+	if err == nil && len(body) == maxBuffered {
+		return answer{head: reply.Head, body: body, rest: reply.Body, end: end}, nil
 	}
 	if err != nil {
 		reply.Body.Close()
 		stop()
-		a.ran--
-		return whole{}, a.broken(ctx, lease, start, fault.Fail(fault.TargetFailed, "the answer broke off").Because(err))
+		a.runs--
+		return answer{}, a.endFailed(ctx, lease, start, fault.Fail(fault.TargetFailed, "the answer broke off").Because(err))
 	}
 	if reply.Head.Status < http.StatusMultipleChoices && !reply.Sound {
 		end(target.Broken)
-		return whole{}, fault.Fail(fault.Protocol, "the answer lacks the replica's proof of origin")
+		return answer{}, fault.Fail(fault.Protocol, "the answer lacks the replica's proof of origin")
 	}
-	end(verdict(reply))
+	end(replyOutcome(reply))
 	a.log.Info("relay: call answered", "id", a.call.ID, "route", a.route.Name, "replica", lease.Replica.ID, "status", reply.Head.Status,
 		"score", lease.Score, "among", lease.Among, "sent", a.sent, "took", time.Since(a.call.Arrived))
-	if a.failed(reply) {
-		return whole{}, fault.Fail(fault.TargetFailed, "the replica failed the call")
+	if a.retriesFailure(reply) {
+		return answer{}, fault.Fail(fault.TargetFailed, "the replica failed the call")
 	}
 	reply.Head.Length = int64(len(body))
-	return whole{head: reply.Head, body: body}, nil
+	return answer{head: reply.Head, body: body}, nil
 }
 
-// flow is an answer that is passed on as it comes.
-func (a *attempts) flow(lease *target.Lease, reply work.Reply, stop func()) whole {
+// streamed returns an answer that is forwarded as it arrives.
+func (a *attempts) streamed(lease *target.Lease, reply work.Reply, stop func()) answer {
 	end := func(out target.Outcome) {
 		reply.Body.Close()
 		stop()
 		lease.Done(out, 0)
 	}
-	return whole{head: reply.Head, rest: reply.Body, end: end}
+	return answer{head: reply.Head, rest: reply.Body, end: end}
 }
 
-// verdict tells a replica's own failure from its other answers.
-func verdict(reply work.Reply) target.Outcome {
+// replyOutcome returns Failed for a status of 500 or above, and Answered for others.
+func replyOutcome(reply work.Reply) target.Outcome {
 	if reply.Head.Status >= http.StatusInternalServerError {
 		return target.Failed
 	}
 	return target.Answered
 }
 
-// failed reports whether a replica's own failure is worth another try.
-func (a *attempts) failed(reply work.Reply) bool {
+// retriesFailure reports whether the reply is a failure of the replica after which another replica may be tried.
+func (a *attempts) retriesFailure(reply work.Reply) bool {
 	if reply.Head.Status < http.StatusInternalServerError || a.route.Kind != work.Repeatable {
 		return false
 	}
-	return a.ran < a.route.Attempts && time.Until(a.call.Deadline) > worthTrying && a.sent < maxSends
+	return a.runs < a.route.Attempts && time.Until(a.call.Deadline) > minRetryTime && a.sent < maxSends
 }
 
-// pass hands an answer to the caller.
-func (a *attempts) pass(got whole, out work.Answer) error {
+// forward sends an answer to the caller.
+func (a *attempts) forward(got answer, out work.Answer) error {
 	a.counts.Time("relay.time{class="+a.route.Name+"}", time.Since(a.call.Arrived))
 	if err := out.Begin(got.head); err != nil {
 		got.close(target.Dropped)
@@ -289,8 +291,9 @@
 	return nil
 }
 
-func (w whole) close(out target.Outcome) {
-	if w.end != nil {
-		w.end(out)
+// close calls end if the answer has one.
+func (a answer) close(out target.Outcome) {
+	if a.end != nil {
+		a.end(out)
 	}
 }
