--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -49,7 +49,8 @@
 	return &statelessLedger{t}
 }
 
-// statefulLedger is the ledger for stateful routes: the log stores every turn, and later turns continue from it.
+// statefulLedger is the ledger for stateful routes: the log stores every turn, and later turns continue from
+// it.
 type statefulLedger struct{ *turn }
 
 func (t *statefulLedger) enter(state *chain.State) error {
@@ -154,8 +155,8 @@
 	})
 }
 
-// statelessLedger is the ledger for turns that carry their own history. The log holds a token grant for several
-// turns of a program, written in advance, so that most turns neither wait for the log nor need it.
+// statelessLedger is the ledger for turns that carry their own history. The log holds a token grant for
+// several turns of a program, written in advance, so that most turns neither wait for the log nor need it.
 type statelessLedger struct{ *turn }
 
 func (t *statelessLedger) enter(state *chain.State) error {
@@ -207,8 +208,8 @@
 	}
 }
 
-// awaitSettlement waits until the log holds what the turn has spent, if need be by way of the slot's next owner,
-// which otherwise counts the turn's maximum.
+// awaitSettlement waits until the log holds what the turn has spent, if need be by way of the slot's next
+// owner, which otherwise counts the turn's maximum.
 func (t *statelessLedger) awaitSettlement(pending *shard.Pending) {
 	ctx, stop := context.WithTimeout(context.Background(), settleTimeout)
 	defer stop()
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -288,7 +288,8 @@
 	return reply, nil
 }
 
-// resumeHeader returns a copy of header that asks the replica to resume after the last event sent to the caller.
+// resumeHeader returns a copy of header that asks the replica to resume after the last event sent to the
+// caller.
 func (t *turn) resumeHeader(header http.Header) http.Header {
 	out := http.Header{}
 	maps.Copy(out, header)
--- a/gate/turns/turns_test.go
+++ b/gate/turns/turns_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestErrorOutcome checks that a caller that left does not count against a replica, unless the replica was silent.
+// TestErrorOutcome checks that a caller that left does not count against a replica, unless the replica was
+// silent.
 func TestErrorOutcome(t *testing.T) {
 	left, stop := context.WithCancel(context.Background())
 	stop()
