--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// Handle serves one call. left is how long the caller waits, zero if it is not known. Handle returns nil after a
-// complete answer. A fault with NotRun means that no replica has run the call or will; after any other fault, a
-// replica may have run it.
+// Handle serves one call. left is how long the caller waits, zero if it is not known. Handle returns nil
+// after a complete answer. A fault with NotRun means that no replica has run the call or will; after any
+// other fault, a replica may have run it.
 func (e *Entry) Handle(ctx context.Context, call *work.Call, left time.Duration, out work.Answer) error {
 	known := e.feed.Known()
 	path, _, _ := strings.Cut(call.Target, "?")
@@ -168,8 +168,8 @@
 	return nil, e.refuseNoRegion(call, route, "", "the route and the workspace allow no region in common")
 }
 
-// refuseNoRegion returns the refusal of a call that may not be served in any region, or not where its owner is.
-// owner is the name of that owner, empty if there is none.
+// refuseNoRegion returns the refusal of a call that may not be served in any region, or not where its owner
+// is. owner is the name of that owner, empty if there is none.
 func (e *Entry) refuseNoRegion(call *work.Call, route *work.Route, owner, detail string) error {
 	e.counts.Count("entry.no_region", 1)
 	e.log.Info("entry: no region is allowed", "id", call.ID, "route", route.Name, "workspace", call.Workspace, "owner", owner)
@@ -182,8 +182,8 @@
 	return !e.regions.Allow(call.Regions, box.Zone) && e.regions[box.Zone] != e.regions[e.self.Zone]
 }
 
-// runWithinQuota counts the call against its workspace's quota and runs it. The count is returned if the call has
-// not run.
+// runWithinQuota counts the call against its workspace's quota and runs it. The count is returned if the call
+// has not run.
 func (e *Entry) runWithinQuota(ctx context.Context, space work.Workspace, call *work.Call, route *work.Route, out work.Answer) error {
 	pass, err := e.quotas.Take(ctx, space, mayStartProgram(call, route))
 	if err != nil {
@@ -198,8 +198,8 @@
 	return err
 }
 
-// mayStartProgram reports whether a program may start with the call. On routes that are not stateful, turns carry
-// their own history and do not tell whether they are the first.
+// mayStartProgram reports whether a program may start with the call. On routes that are not stateful, turns
+// carry their own history and do not tell whether they are the first.
 func mayStartProgram(call *work.Call, route *work.Route) bool {
 	return route.Stateful && call.Turn != nil && call.Turn.Previous == ""
 }
--- a/gate/entry/entry_test.go
+++ b/gate/entry/entry_test.go
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestTurnSearchAsksOwnersOnly checks that a search asks only the owners if these hold all slots, and never more
-// than the candidate owners.
+// TestTurnSearchAsksOwnersOnly checks that a search asks only the owners if these hold all slots, and never
+// more than the candidate owners.
 func TestTurnSearchAsksOwnersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeBox()
@@ -261,8 +261,8 @@
 	}
 }
 
-// TestWorkspaces checks that a call is assigned to the workspace of its key, counts against its quota, and that the
-// priorities of the workspace and the route add up.
+// TestWorkspaces checks that a call is assigned to the workspace of its key, counts against its quota, and
+// that the priorities of the workspace and the route add up.
 func TestWorkspaces(t *testing.T) {
 	key := ident.KeyDigest("secret")
 	w := newFakeBox()
