--- a/gate/quota/counter.go
+++ b/gate/quota/counter.go
@@ -21,7 +21,7 @@
 	Back bool `json:"back,omitempty"`
 }
 
-// Answer is a counter's answer to an Ask.
+// Answer is a counter's answer to a request.
 type Answer struct {
 	// Counts says that the box is a counter of the workspace.
 	Counts bool `json:"counts"`
@@ -52,8 +52,8 @@
 	lastActive time.Time
 	conf       *work.Config
 	parts      map[string]*part
-	// countingSince tells since when this box counts a workspace. It is the zero time for a workspace that was not
-	// in the previous configuration, for which no other box can have granted calls.
+	// countingSince tells since when this box counts a workspace. It is the zero time for a workspace that
+	// was not in the previous configuration, for which no other box can have granted calls.
 	countingSince map[string]time.Time
 }
 
@@ -98,8 +98,8 @@
 	c.resetAfterFreeze(now)
 }
 
-// resetAfterFreeze makes all parts start empty after a freeze, since another box may have counted in the meantime and
-// may still do so. c.mu must be held.
+// resetAfterFreeze makes all parts start empty after a freeze, since another box may have counted in the
+// meantime and may still do so. c.mu must be held.
 func (c *Counter) resetAfterFreeze(now time.Time) {
 	if c.lastActive.IsZero() {
 		return
@@ -113,7 +113,8 @@
 	c.lastActive = now
 }
 
-// Update applies a configuration and determines which workspaces this box counts, given the boxes that are alive.
+// Update applies a configuration and determines which workspaces this box counts, given the boxes that are
+// alive.
 func (c *Counter) Update(now time.Time, conf *work.Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +138,8 @@
 	}
 }
 
-// countingStart returns the time from which no other box grants calls of a workspace that this box begins to count.
+// countingStart returns the time from which no other box grants calls of a workspace that this box begins to
+// count.
 func (c *Counter) countingStart(now time.Time, before *work.Config, name string) time.Time {
 	if before == nil {
 		return now.Add(handoverOverlap) // the box has just started
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -9,7 +9,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// singleBox is a CounterLocator for a fleet of one box.
+// singleBox implements Winners for a fleet of one box.
 type singleBox struct{ box work.Box }
 
 func (c singleBox) Counter(string, string) (work.Box, bool) { return c.box, true }
@@ -34,8 +34,8 @@
 	return c.Grant(time.Now(), Ask{Workspace: "w", Want: 1000}).Granted
 }
 
-// TestStartsEmpty checks that a counter that just took over or was frozen starts with an empty part, since another box
-// may have granted all calls before.
+// TestStartsEmpty checks that a counter that just took over or was frozen starts with an empty part, since
+// another box may have granted all calls before.
 func TestStartsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFullCounter(t)
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -120,8 +120,8 @@
 // tally counts the outcomes of a workspace's calls and programs.
 type tally struct {
 	mu sync.Mutex
-	// ran holds when calls ran, and refused counts refusals. ended, interrupted and rejected count the programs that
-	// ended, began but did not end, and did not begin.
+	// ran holds when calls ran, and refused counts refusals. ended, interrupted and rejected count the
+	// programs that ended, began but did not end, and did not begin.
 	ran                []time.Time
 	refused            int
 	ended, interrupted int
@@ -151,8 +151,8 @@
 	return max(1, int(14*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// generateLoad begins programs of a workspace's clients at random times, until ctx ends. calls returns the mean number
-// of calls per second at a time since the start.
+// generateLoad begins programs of a workspace's clients at random times, until ctx ends. calls returns the
+// mean number of calls per second at a time since the start.
 func (f *fleet) generateLoad(ctx context.Context, space work.Workspace, calls func(at time.Duration) float64, seed uint64, into *tally, take func(box int, begins bool) error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Now()
@@ -168,7 +168,8 @@
 	all.Wait()
 }
 
-// runProgram makes the calls of a program one after another, some through another box. A refused call is retried once.
+// runProgram makes the calls of a program one after another, some through another box. A refused call is
+// retried once.
 func runProgram(calls, box, boxes int, rng *rand.Rand, into *tally, take func(box int, begins bool) error) {
 	for i := range calls {
 		if i > 0 {
@@ -247,8 +248,8 @@
 	return fmt.Sprintf("%d programs ended, %d interrupted, %d rejected, peak window at %.2f of the limit, %v mean wait, %v longest wait", r.ended, r.interrupted, r.rejected, r.peak, r.mean, r.longest)
 }
 
-// simulate lets all workspaces call a fleet for 20 s. overload multiplies the usual load of a workspace for some of that
-// time, and disrupt, if not nil, injects failures.
+// simulate lets all workspaces call a fleet for 20 s. overload multiplies the usual load of a workspace for
+// some of that time, and disrupt, if not nil, injects failures.
 func simulate(t *testing.T, n int, method string, seed uint64, overload map[string]float64, disrupt func(f *fleet)) (large, small result) {
 	t.Helper()
 	spaces := workspaces()
@@ -314,9 +315,9 @@
 	return large, small
 }
 
-// TestCountingMethods checks that with a counter in each zone no window exceeds its limit, few programs are interrupted
-// and most of the small workspaces' programs end, also in a partition and when counters are lost. It logs the results of
-// a single counter and of an even split for comparison.
+// TestCountingMethods checks that with a counter in each zone no window exceeds its limit, few programs are
+// interrupted and most of the small workspaces' programs end, also in a partition and when counters are lost.
+// It logs the results of a single counter and of an even split for comparison.
 func TestCountingMethods(t *testing.T) {
 	partition := func(f *fleet) {
 		time.Sleep(6 * time.Second)
--- a/gate/quota/part.go
+++ b/gate/quota/part.go
@@ -11,7 +11,8 @@
 type Bounds struct {
 	// Window is the length of the sliding window in which calls are counted.
 	Window time.Duration
-	// Overshoot is the fraction of a quota, and Slack the number of calls, by which a window may exceed the quota.
+	// Overshoot is the fraction of a quota, and Slack the number of calls, by which a window may exceed the
+	// quota.
 	Overshoot, Slack float64
 }
 
@@ -19,8 +20,8 @@
 	// usedOvershoot is the part of the allowed excess that counters use. The rest covers moments in which two
 	// boxes act as the counter of one part.
 	usedOvershoot = 0.9
-	// minPartCalls is the least number of calls in a window for a part of a quota. With smaller parts, most calls
-	// would have to ask several zones.
+	// minPartCalls is the least number of calls in a window for a part of a quota. With smaller parts, most
+	// calls would have to ask several zones.
 	minPartCalls = 20
 	// planBurst is the part of a window's calls that may be planned at once for programs that begin together.
 	planBurst = 0.07
@@ -34,10 +35,11 @@
 	// initialWeight is the number of observed programs that this assumption counts for.
 	initialProgramCalls = 12
 	initialWeight       = 4
-	// programDecay is the weight kept by earlier observations at each new program: about the last hundred count.
+	// programDecay is the weight kept by earlier observations at each new program: about the last hundred
+	// count.
 	programDecay = 0.99
-	// steadyBurst is the part of a quota's burst that is granted evenly over the window, on top of its rate, so that
-	// a workspace that is always at its limit also gets it. The rest may be used at once.
+	// steadyBurst is the part of a quota's burst that is granted evenly over the window, on top of its rate,
+	// so that a workspace that is always at its limit also gets it. The rest may be used at once.
 	steadyBurst = 0.5
 )
 
@@ -49,8 +51,8 @@
 	return limit + max(0, usedOvershoot*excess-prefetched)
 }
 
-// countingZones returns the availability zones that count parts of the workspace's quota: all zones, or fewer if the
-// parts would be too small.
+// countingZones returns the availability zones that count parts of the workspace's quota: all zones, or fewer
+// if the parts would be too small.
 func (b Bounds) countingZones(space work.Workspace, zones []string) []string {
 	n := min(len(zones), max(1, int(b.windowLimit(space)/minPartCalls)))
 	var counting []string
@@ -80,8 +82,8 @@
 	return time.Duration((tokens - b.tokens) / perSecond * float64(time.Second))
 }
 
-// partLimits is what one part of a quota may grant: rate calls per second and burst calls beyond that, which is
-// windowLimit calls in any window.
+// partLimits is what one part of a quota may grant: rate calls per second and burst calls beyond that, which
+// is windowLimit calls in any window.
 type partLimits struct {
 	rate, burst, windowLimit float64
 }
@@ -96,14 +98,15 @@
 
 // part is the counter's state of a part of a workspace's quota.
 type part struct {
-	// calls holds the calls that may still be granted, plan those that are not yet planned for running programs.
+	// calls holds the calls that may still be granted, plan those that are not yet planned for running
+	// programs.
 	calls, plan tokenBucket
 	// recentCalls and recentPrograms are decaying counts of granted calls and of programs that began.
 	recentCalls, recentPrograms float64
 }
 
-// newPart returns a part that has been counted since the given time. It starts empty at that time, so that no window
-// exceeds its limit whatever another counter granted before.
+// newPart returns a part that has been counted since the given time. It starts empty at that time, so that no
+// window exceeds its limit whatever another counter granted before.
 func newPart(since time.Time) *part {
 	return &part{calls: tokenBucket{at: since}, plan: tokenBucket{at: since}}
 }
@@ -113,8 +116,9 @@
 	return (p.recentCalls + initialWeight*initialProgramCalls) / (p.recentPrograms + initialWeight)
 }
 
-// grant grants up to want calls, or none and the delay after which to ask again. A program may begin only if the plan
-// has room for it beside the running programs, so that their calls are not refused because of a new program.
+// grant grants up to want calls, or none and the delay after which to ask again. A program may begin only if
+// the plan has room for it beside the running programs, so that their calls are not refused because of a new
+// program.
 func (p *part) grant(now time.Time, limits partLimits, want int, begins bool) (granted int, after time.Duration) {
 	p.calls.refill(now, limits.rate, limits.burst)
 	p.plan.refill(now, planShare*limits.rate, planBurst*limits.windowLimit)
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -16,8 +16,9 @@
 	askTimeout = 120 * time.Millisecond
 	// lostPause is how long a counter that did not answer is not asked again.
 	lostPause = 400 * time.Millisecond
-	// prefetchLifetime is how long prefetched calls are valid, and prefetchShare is the part of the last second's
-	// calls that is prefetched. Prefetching saves requests, and covers the time in which a counter is lost.
+	// prefetchLifetime is how long prefetched calls are valid, and prefetchShare is the part of the last
+	// second's calls that is prefetched. Prefetching saves requests, and covers the time in which a counter
+	// is lost.
 	prefetchLifetime = time.Second
 	prefetchShare    = 0.25
 	// retryCountersLost is the Retry-After delay while counters are lost, about the time to choose others.
@@ -90,8 +91,8 @@
 	plannedBy work.Box
 }
 
-// Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its fault says that
-// the call has not run and when to retry. A call that begins no program may wait briefly instead of
+// Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its fault
+// says that the call has not run and when to retry. A call that begins no program may wait briefly instead of
 // being refused.
 func (q *Quotas) Take(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
 	if space.Rate <= 0 {
@@ -151,8 +152,8 @@
 	}
 }
 
-// cancelProgram tells a counter that a program has not begun. If the request fails, the counter keeps the plan for
-// one program too many.
+// cancelProgram tells a counter that a program has not begun. If the request fails, the counter keeps the
+// plan for one program too many.
 func (q *Quotas) cancelProgram(box work.Box, workspace string) {
 	ctx, stop := context.WithTimeout(context.Background(), askTimeout)
 	defer stop()
@@ -226,8 +227,8 @@
 	return int(prefetchShare * float64(max(p.previous, p.recent)))
 }
 
-// askZone asks the counter of a zone, unless it is known to be exhausted or lost. asked is false if there is no
-// answer.
+// askZone asks the counter of a zone, unless it is known to be exhausted or lost. asked is false if there is
+// no answer.
 func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer Answer, box work.Box, asked bool) {
 	box, ok := q.locator.Counter(space.Name, zone)
 	if !ok {
