--- a/gate/access/access.go
+++ b/gate/access/access.go
@@ -9,8 +9,8 @@
 
 // Bounds limits how long an old configuration may be used, as set by operators.
 type Bounds struct {
-	// Revocation is the longest time for which a key may still be accepted after it was revoked. If it is zero,
-	// known keys are accepted however old the configuration is.
+	// Revocation is the longest time for which a key may still be accepted after it was revoked. If it is
+	// zero, known keys are accepted however old the configuration is.
 	Revocation time.Duration
 	// Apply is the time within which a new configuration is in force on all boxes.
 	Apply time.Duration
@@ -20,8 +20,8 @@
 type Known struct {
 	// Config is nil until the box has a configuration.
 	Config *work.Config
-	// Proven is the send time of the latest request whose answer confirmed Config as the newest; zero before the
-	// first. It is a reading of the monotonic clock.
+	// Proven is the send time of the latest request whose answer confirmed Config as the newest; zero before
+	// the first. It is a reading of the monotonic clock.
 	Proven time.Time
 }
 
@@ -39,13 +39,14 @@
 	// retryUnconfirmed is the Retry-After delay of a box without a configuration, or with one that was never
 	// confirmed. A short outage of the store is over by then.
 	retryUnconfirmed = 1200 * time.Millisecond
-	// maxStaleRetry bounds the Retry-After delay of a box whose configuration may be out of date. The delay is the
-	// time since the last confirmation, since callers that retry earlier may use up their tries in one outage.
+	// maxStaleRetry bounds the Retry-After delay of a box whose configuration may be out of date. The delay
+	// is the time since the last confirmation, since callers that retry earlier may use up their tries in one
+	// outage.
 	maxStaleRetry = 3 * time.Second
 )
 
-// Route returns the route of a call. It returns a NoRoute fault only if the configuration is recent enough, and
-// otherwise a fault with which the caller may retry.
+// Route returns the route of a call. It returns a NoRoute fault only if the configuration is recent enough,
+// and otherwise a fault with which the caller may retry.
 func (r Rules) Route(known Known, call *work.Call, path string) (*work.Route, error) {
 	if known.Config == nil {
 		return nil, fault.Refuse(fault.NoConfig, "no configuration is known yet").After(retryUnconfirmed)
@@ -57,8 +58,8 @@
 }
 
 // Caller returns the workspace that a call belongs to, without a name if anyone may call the route. If
-// Bounds.Revocation is set, every box refuses a revoked key within that time: it accepts keys only by a configuration
-// that was confirmed as the newest within that time before the call arrived.
+// Bounds.Revocation is set, every box refuses a revoked key within that time: it accepts keys only by a
+// configuration that was confirmed as the newest within that time before the call arrived.
 func (r Rules) Caller(known Known, call *work.Call, route *work.Route) (work.Workspace, error) {
 	if known.Config.Callers == nil || route.Public {
 		return work.Workspace{}, nil
@@ -73,8 +74,8 @@
 	return space, nil
 }
 
-// finalRefusal returns the refusal if the configuration is recent enough, and otherwise a fault to retry after. A
-// newer configuration may allow the call, and callers do not retry after a final refusal.
+// finalRefusal returns the refusal if the configuration is recent enough, and otherwise a fault to retry
+// after. A newer configuration may allow the call, and callers do not retry after a final refusal.
 func (r Rules) finalRefusal(known Known, call *work.Call, refusal *fault.Fault) error {
 	if r.older(known, call, r.bounds.Apply) {
 		return staleConfig(known, call)
@@ -82,7 +83,8 @@
 	return refusal
 }
 
-// older reports whether the configuration was not confirmed as the newest within bound before the call arrived.
+// older reports whether the configuration was not confirmed as the newest within bound before the call
+// arrived.
 func (Rules) older(known Known, call *work.Call, bound time.Duration) bool {
 	return known.Proven.IsZero() || call.Arrived.Sub(known.Proven) > bound
 }
--- a/gate/access/access_test.go
+++ b/gate/access/access_test.go
@@ -37,7 +37,8 @@
 	return c
 }
 
-// TestCaller checks which callers are allowed, by the time since the configuration was confirmed as the newest.
+// TestCaller checks which callers are allowed, by the time since the configuration was confirmed as the
+// newest.
 func TestCaller(t *testing.T) {
 	failClosed := Bounds{Revocation: 5 * time.Second, Apply: 3 * time.Second}
 	failOpen := Bounds{Apply: 3 * time.Second}
@@ -99,8 +100,8 @@
 	}
 }
 
-// checkFault checks the kind of a refusal, that it says the call has not run, and that it has a retry delay unless it
-// is final.
+// checkFault checks the kind of a refusal, that it says the call has not run, and that it has a retry delay
+// unless it is final.
 func checkFault(t *testing.T, err error, kind fault.Kind) {
 	t.Helper()
 	if kind == "" {
