--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -88,8 +88,8 @@
 	end func(out target.Outcome)
 }
 
-// Carry runs the call. It returns nil after a complete answer; a fault with NotRun if no replica has run the call or
-// will; and any other fault if one may have run it.
+// Carry runs the call. It returns nil after a complete answer; a fault with NotRun if no replica has run the
+// call or will; and any other fault if one may have run it.
 func (r *Relay) Carry(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
@@ -183,8 +183,8 @@
 	return a.read(ctx, lease, reply, stop, start)
 }
 
-// attemptTimeout returns how long one attempt may take. A call that cannot be sent to another replica gets all of
-// the remaining time.
+// attemptTimeout returns how long one attempt may take. A call that cannot be sent to another replica gets
+// all of the remaining time.
 func (a *attempts) attemptTimeout(left time.Duration) time.Duration {
 	if a.route.Kind != work.Repeatable || a.runs+1 >= a.route.Attempts {
 		return left
@@ -208,8 +208,8 @@
 	return err
 }
 
-// read reads a short answer to its end, so that an incomplete one is never forwarded, and the beginning of a long
-// one.
+// read reads a short answer to its end, so that an incomplete one is never forwarded, and the beginning of a
+// long one.
 func (a *attempts) read(ctx context.Context, lease *target.Lease, reply work.Reply, stop func(), start time.Time) (answer, error) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBuffered))
 	end := func(out target.Outcome) {
@@ -258,7 +258,8 @@
 	return target.Answered
 }
 
-// retriesFailure reports whether the reply is a failure of the replica after which another replica may be tried.
+// retriesFailure reports whether the reply is a failure of the replica after which another replica may be
+// tried.
 func (a *attempts) retriesFailure(reply work.Reply) bool {
 	if reply.Head.Status < http.StatusInternalServerError || a.route.Kind != work.Repeatable {
 		return false
