--- a/gate/shard/claim.go
+++ b/gate/shard/claim.go
@@ -14,65 +14,65 @@
 // ownerKey is the key of the record that names the owner of a slot.
 const ownerKey = "owner"
 
-// owner is the value of that record.
-type owner struct {
+// ownerRecord is the value of that record.
+type ownerRecord struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
 }
 
-// An epoch is a rising count with a mark of the claimant below it, so that two boxes that
-// claim side by side never write under the same epoch.
+// An epoch is a counter whose low claimantBits bits are a hash of the claimant, so that two boxes that
+// claim a slot concurrently do not share an epoch.
 const (
-	markBits  = 20
-	maxFences = 12
+	claimantBits     = 20
+	maxFenceAttempts = 12
 )
 
-func (s *Shards) epoch(count int64) int64 {
-	mark := int64(xxhash.Sum64String(s.self.Name+s.self.Incarnation) & (1<<markBits - 1))
-	return count<<markBits | mark
+func (s *Shards) newEpoch(count int64) int64 {
+	claimant := int64(xxhash.Sum64String(s.self.Name+s.self.Incarnation) & (1<<claimantBits - 1))
+	return count<<claimantBits | claimant
 }
 
-// acquire makes this box the owner: it asks the owner before to finish, fences it off, and
-// only then reads what it may have written last.
+// acquire makes this box the owner of a slot. It asks the previous owner to release the slot, fences it
+// off, and only then reads the records that the previous owner wrote last.
 func (s *Shards) acquire(number int) (*Slot, error) {
 	shard := work.Shard{Topic: work.Turns, Number: number}
-	load := &loading{state: chain.New(), log: s}
-	// Only each answer is bounded, not all: a box that can't read a large slot within some time would
-	// begin again and again, and the slot's programs would have no owner.
-	next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, load.take)
+	loader := &slotLoader{state: chain.New(), shards: s}
+	// Only single reads have a timeout: with a limit on the whole load, a slot too large to load in
+	// time could never be claimed.
+	next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(s.ctx, callTimeout+handoverWait)
+	ctx, stop := context.WithTimeout(s.ctx, callTimeout+handoverTimeout)
 	defer stop()
-	if s.ask(ctx, number, load.owner) {
-		// The owner before may have written many records since they were read.
-		s.logger.Info("shard: slot handed over", "slot", number, "from", load.owner.Box)
+	if s.requestHandover(ctx, number, loader.owner) {
+		// The previous owner may have written many records after the load; catchUp reads them.
+		s.logger.Info("shard: slot handed over", "slot", number, "from", loader.owner.Box)
 	}
-	epoch, err := s.fence(ctx, shard, load.owner.Epoch>>markBits)
+	epoch, err := s.fence(ctx, shard, loader.owner.Epoch>>claimantBits)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.catchUp(ctx, shard, next, load); err != nil {
+	if err := s.catchUp(ctx, shard, next, loader); err != nil {
 		return nil, err
 	}
-	slot := newSlot(s, number, epoch, load.state)
-	raw, err := json.Marshal(owner{Box: s.self.Name, Incarnation: s.self.Incarnation, Epoch: epoch})
+	slot := newSlot(s, number, epoch, loader.state)
+	raw, err := json.Marshal(ownerRecord{Box: s.self.Name, Incarnation: s.self.Incarnation, Epoch: epoch})
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "owner does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode the owner record").Because(err)
 	}
 	return slot, slot.Write(ctx, []work.Record{{Key: ownerKey, Value: raw}})
 }
 
-// ask asks the owner before for the slot, if it lives. Without an answer the claim goes on:
-// the fence keeps it safe.
-func (s *Shards) ask(ctx context.Context, number int, before owner) bool {
-	box, ok := s.boxes.Find(before.Box, before.Incarnation)
+// requestHandover asks the previous owner to release the slot, if it is alive. The claim continues
+// without an answer, since the fence prevents further writes by the previous owner.
+func (s *Shards) requestHandover(ctx context.Context, number int, previous ownerRecord) bool {
+	box, ok := s.boxes.Find(previous.Box, previous.Incarnation)
 	if !ok || box.Name == s.self.Name {
 		return false
 	}
-	ctx, stop := context.WithTimeout(ctx, handoverWait)
+	ctx, stop := context.WithTimeout(ctx, handoverTimeout)
 	defer stop()
 	if err := s.peers.Handover(ctx, box, number); err != nil {
 		s.logger.Warn("shard: slot not handed over", "slot", number, "from", box.Name, "cause", err)
@@ -81,13 +81,14 @@
 	return true
 }
 
-// fence takes an epoch above count.
+// fence opens an epoch above count in the log and returns it. While the log holds a newer epoch, it
+// retries with larger counts, maxFenceAttempts times at most.
 func (s *Shards) fence(ctx context.Context, shard work.Shard, count int64) (int64, error) {
 	var err error
 	step := int64(1)
-	for range maxFences {
+	for range maxFenceAttempts {
 		count += step
-		epoch := s.epoch(count)
+		epoch := s.newEpoch(count)
 		err = s.log.Append(ctx, shard, work.Writer{Epoch: epoch}, nil)
 		if err == nil {
 			return epoch, nil
@@ -100,13 +101,14 @@
 	return 0, err
 }
 
-// catchUp folds what was written since offset next.
-func (s *Shards) catchUp(ctx context.Context, shard work.Shard, next int64, load *loading) error {
+// catchUp applies the records written since offset next. If the log no longer keeps them, it loads the
+// slot anew.
+func (s *Shards) catchUp(ctx context.Context, shard work.Shard, next int64, loader *slotLoader) error {
 	for {
 		page, err := s.log.Read(ctx, shard, next, 0)
 		if fault.Is(err, fault.HistoryGone) {
-			*load = loading{state: chain.New(), log: s}
-			_, err = work.AllNewest(s.ctx, s.log, shard, callTimeout, load.take)
+			*loader = slotLoader{state: chain.New(), shards: s}
+			_, err = work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)
 			return err
 		}
 		if err != nil {
@@ -116,27 +118,27 @@
 			return nil
 		}
 		for _, rec := range page.Records {
-			load.take(rec)
+			loader.apply(rec)
 		}
 		next = page.Next
 	}
 }
 
-// loading folds the records of a slot.
-type loading struct {
-	state *chain.State
-	owner owner
-	log   *Shards
+// slotLoader rebuilds the state of a slot from its records.
+type slotLoader struct {
+	state  *chain.State
+	owner  ownerRecord
+	shards *Shards
 }
 
-func (l *loading) take(rec work.Record) {
+func (l *slotLoader) apply(rec work.Record) {
 	if rec.Key == ownerKey {
 		if err := json.Unmarshal(rec.Value, &l.owner); err != nil {
-			l.log.logger.Error("shard: malformed owner in the log", "cause", err)
+			l.shards.logger.Error("shard: malformed owner record in the log", "cause", err)
 		}
 		return
 	}
 	if err := l.state.Apply(rec); err != nil {
-		l.log.logger.Error("shard: malformed record in the log", "key", rec.Key, "cause", err)
+		l.shards.logger.Error("shard: malformed record in the log", "key", rec.Key, "cause", err)
 	}
 }
--- a/gate/shard/claim_test.go
+++ b/gate/shard/claim_test.go
@@ -10,29 +10,29 @@
 	"mulleingate.dev/gate/chain"
 )
 
-// TestClaimOfALargeSlot checks that a slot which takes a box much longer to read than one call may is claimed: each
-// claim used to be given up after 4 s and begun anew, so that its programs had no owner for good.
-func TestClaimOfALargeSlot(t *testing.T) {
+// TestClaimSlowToLoad checks that a slot that takes many times callTimeout to read can still be
+// claimed.
+func TestClaimSlowToLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := newLog()
 		f := newFleet(log, "a", "b")
 		defer f.stop()
-		f.believe("a", "a")
-		f.believe("b", "a")
+		f.setOwner("a", "a")
+		f.setOwner("b", "a")
 		last := ""
 		for n := range 20 {
 			id := strconv.Itoa(n)
-			if err := play(ctx, f.shards["a"], open(id, last), 1000, time.Millisecond, nobody); err != nil {
+			if err := runTurn(ctx, f.shards["a"], newTurn(id, last), 1000, time.Millisecond, ignoreTokens); err != nil {
 				t.Fatal(err)
 			}
 			last = id
 		}
-		log.readBy(1, callTimeout/2)
+		log.pageNewest(1, callTimeout/2)
 		f.hang("a", true)
-		f.believe("b", "b")
+		f.setOwner("b", "b")
 		b := f.shards["b"]
-		b.claim(0)
+		b.startClaim(0)
 		time.Sleep(time.Minute)
 		slot, err := b.Get(ctx, 0)
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 		slot.Change(func(state *chain.State) {
 			if text, ok := state.Find(last); !ok || text == nil {
-				t.Errorf("the last turn is not known to the next owner")
+				t.Errorf("the next owner does not have the last turn")
 			}
 		})
 	})
--- a/gate/shard/doc.go
+++ b/gate/shard/doc.go
@@ -1,4 +1,4 @@
-// Package shard owns slots: shares of the programs whose state one box holds at a time.
-// The log fences an owner off once another has claimed its slot, so that two boxes may
-// believe that they own a slot and only one can write.
+// Package shard assigns slots to boxes. A slot is a partition of the programs, and its state is held by
+// one box at a time. When a box claims a slot, the log fences off the previous owner, so that two boxes
+// may both take themselves for the owner but only one of them can write.
 package shard
--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -13,70 +13,71 @@
 	"mulleingate.dev/gate/work"
 )
 
-// mode is how the fake log fails.
-type mode int
+// failureMode is how the fake log fails.
+type failureMode int
 
 const (
-	up mode = iota
-	// away refuses all calls.
-	away
-	// lossy does appends and loses their answers.
-	lossy
-	// late does appends a while after it has lost their answers.
-	late
+	modeUp failureMode = iota
+	// modeUnavailable rejects all calls.
+	modeUnavailable
+	// modeLostAnswers performs appends but reports them as failed.
+	modeLostAnswers
+	// modeLateAppends reports appends as failed and performs them later.
+	modeLateAppends
 )
 
-type shardLog struct {
-	recs        []work.Record
-	fence, sent int64
-	first       int64
+type fakeShard struct {
+	recs              []work.Record
+	fence, lastNumber int64
+	first             int64
 }
 
-// pages is how long the newest records take to be read after the first of them.
-const pages = 80 * time.Millisecond
+// newestDelay is the time that Newest takes after its snapshot, while other calls may append.
+const newestDelay = 80 * time.Millisecond
 
 // memLog is a log in memory.
 type memLog struct {
 	mu     sync.Mutex
-	mode   mode
-	shards map[int]*shardLog
-	// fences can be switched off, to see that the tests need them.
-	open bool
-	// lag is added to each append; appends counts those done.
-	lag     time.Duration
-	appends int
-	// batch is the number of newest records in one answer, all if it is 0, and batchTakes how long one takes.
-	batch      int
-	batchTakes time.Duration
+	mode   failureMode
+	shards map[int]*fakeShard
+	// unfenced turns fencing off, to verify that the tests depend on it.
+	unfenced bool
+	// appendDelay is added to each append; appends counts the calls of Append.
+	appendDelay time.Duration
+	appends     int
+	// batchSize is the number of records that Newest returns at once, 0 for all, and batchDelay the
+	// time that each call takes.
+	batchSize  int
+	batchDelay time.Duration
 }
 
-// readBy has the newest records read a few at a time.
-func (l *memLog) readBy(batch int, takes time.Duration) {
+// pageNewest makes Newest return at most batch records per call, each call taking the given time.
+func (l *memLog) pageNewest(batch int, takes time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.batch, l.batchTakes = batch, takes
+	l.batchSize, l.batchDelay = batch, takes
 }
 
-func (l *memLog) slow(lag time.Duration) {
+func (l *memLog) delayAppends(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag = lag
+	l.appendDelay = delay
 }
 
 func newLog() *memLog {
-	return &memLog{shards: map[int]*shardLog{}}
+	return &memLog{shards: map[int]*fakeShard{}}
 }
 
-func (l *memLog) set(m mode) {
+func (l *memLog) setMode(m failureMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode = m
 }
 
-func (l *memLog) shard(number int) *shardLog {
+func (l *memLog) shard(number int) *fakeShard {
 	s, ok := l.shards[number]
 	if !ok {
-		s = &shardLog{}
+		s = &fakeShard{}
 		l.shards[number] = s
 	}
 	return s
@@ -84,25 +85,25 @@
 
 func (l *memLog) Append(_ context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
 	l.mu.Lock()
-	lag := l.lag
+	delay := l.appendDelay
 	l.mu.Unlock()
-	time.Sleep(4*time.Millisecond + lag)
+	time.Sleep(4*time.Millisecond + delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
 	switch l.mode {
-	case away:
-		return fault.Refuse(fault.LogUnavailable, "away")
-	case late:
+	case modeUnavailable:
+		return fault.Refuse(fault.LogUnavailable, "unavailable")
+	case modeLateAppends:
 		time.AfterFunc(700*time.Millisecond, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			_ = l.append(shard.Number, writer, recs) // nobody hears of it
+			_ = l.append(shard.Number, writer, recs) // its result is lost
 		})
 		return fault.Fail(fault.LogUnavailable, "answer lost")
 	}
 	err := l.append(shard.Number, writer, recs)
-	if l.mode == lossy {
+	if l.mode == modeLostAnswers {
 		return fault.Fail(fault.LogUnavailable, "answer lost")
 	}
 	return err
@@ -110,16 +111,16 @@
 
 func (l *memLog) append(number int, writer work.Writer, recs []work.Record) error {
 	s := l.shard(number)
-	if !l.open {
+	if !l.unfenced {
 		switch {
 		case writer.Epoch < s.fence:
 			return fault.Refuse(fault.NotOwner, "fenced")
-		case writer.Epoch == s.fence && writer.Number <= s.sent:
+		case writer.Epoch == s.fence && writer.Number <= s.lastNumber:
 			return nil
-		case writer.Epoch == s.fence && writer.Number != s.sent+1:
+		case writer.Epoch == s.fence && writer.Number != s.lastNumber+1:
 			return fault.Refuse(fault.NotOwner, "sequence")
 		}
-		s.fence, s.sent = writer.Epoch, writer.Number
+		s.fence, s.lastNumber = writer.Epoch, writer.Number
 	}
 	s.recs = append(s.recs, recs...)
 	return nil
@@ -128,15 +129,15 @@
 func (l *memLog) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
 	time.Sleep(4 * time.Millisecond)
 	l.mu.Lock()
-	if l.mode == away {
+	if l.mode == modeUnavailable {
 		l.mu.Unlock()
-		return work.Batch{}, fault.Refuse(fault.LogUnavailable, "away")
+		return work.Batch{}, fault.Refuse(fault.LogUnavailable, "unavailable")
 	}
 	recs := append([]work.Record(nil), l.shard(shard.Number).recs...)
-	size, takes := l.batch, l.batchTakes
+	size, takes := l.batchSize, l.batchDelay
 	l.mu.Unlock()
 	if size == 0 {
-		time.Sleep(pages) // further pages take their time, while others write
+		time.Sleep(newestDelay) // other calls may append during this delay
 		size = len(recs)
 	} else {
 		time.Sleep(takes)
@@ -168,8 +169,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shard(shard.Number)
-	if l.mode == away {
-		return work.Page{}, fault.Refuse(fault.LogUnavailable, "away")
+	if l.mode == modeUnavailable {
+		return work.Page{}, fault.Refuse(fault.LogUnavailable, "unavailable")
 	}
 	if from < s.first {
 		return work.Page{}, fault.Refuse(fault.HistoryGone, "gone")
@@ -178,14 +179,15 @@
 	return work.Page{Records: recs, Next: int64(len(s.recs)), First: s.first}, nil
 }
 
-// fleet is boxes whose views may be wrong.
+// fleet is a set of boxes whose views of the slot's owner may be wrong.
 type fleet struct {
 	mu sync.Mutex
-	// believes is which box each box takes for the owner of all slots.
-	believes map[string]string
-	shards   map[string]*Shards
-	// cut holds boxes that others don't reach, hung those that never answer.
-	cut, hung map[string]bool
+	// ownerByBox is the box that each box considers the owner of all slots.
+	ownerByBox map[string]string
+	shards     map[string]*Shards
+	// unreachable holds boxes that can't be contacted and can't contact others, hung those that never
+	// answer a delivery.
+	unreachable, hung map[string]bool
 }
 
 func (f *fleet) hang(box string, hung bool) {
@@ -194,31 +196,31 @@
 	f.hung[box] = hung
 }
 
-func (f *fleet) owner(box string) string {
+func (f *fleet) ownerSeenBy(box string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.believes[box]
+	return f.ownerByBox[box]
 }
 
-func (f *fleet) believe(box, owner string) {
+func (f *fleet) setOwner(box, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.believes[box] = owner
+	f.ownerByBox[box] = owner
 }
 
-// eyes is the view of one box.
-type eyes struct {
+// boxView is what one box sees of the fleet, and its connection to the other boxes.
+type boxView struct {
 	fleet *fleet
 	self  string
 }
 
-func (e eyes) Owner(string) (work.Box, bool) {
-	return work.Box{Name: e.fleet.owner(e.self)}, true
+func (e boxView) Owner(string) (work.Box, bool) {
+	return work.Box{Name: e.fleet.ownerSeenBy(e.self)}, true
 }
 
-// Owners names the others after the one that the box believes in.
-func (e eyes) Owners(_ string, n int) []work.Box {
-	first := e.fleet.owner(e.self)
+// Owners returns the box that this one considers the owner, then the others.
+func (e boxView) Owners(_ string, n int) []work.Box {
+	first := e.fleet.ownerSeenBy(e.self)
 	boxes := []work.Box{{Name: first}}
 	for _, name := range slices.Sorted(maps.Keys(e.fleet.shards)) {
 		if name != first && len(boxes) < n {
@@ -227,20 +229,20 @@
 	}
 	return boxes
 }
-func (e eyes) Find(name, _ string) (work.Box, bool) { return work.Box{Name: name}, true }
-func (e eyes) Settled() bool                        { return true }
-func (e eyes) Fresh() bool                          { return true }
+func (e boxView) Find(name, _ string) (work.Box, bool) { return work.Box{Name: name}, true }
+func (e boxView) Settled() bool                        { return true }
+func (e boxView) Fresh() bool                          { return true }
 
-func (e eyes) Handover(ctx context.Context, box work.Box, slot int) error {
-	to, err := e.reach(box)
+func (e boxView) Handover(ctx context.Context, box work.Box, slot int) error {
+	to, err := e.connect(box)
 	if err != nil {
 		return err
 	}
 	return to.Yield(ctx, slot)
 }
 
-func (e eyes) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
-	to, err := e.reach(box)
+func (e boxView) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
+	to, err := e.connect(box)
 	if err != nil {
 		return err
 	}
@@ -254,11 +256,11 @@
 	return to.Deliver(ctx, slot, recs)
 }
 
-func (e eyes) reach(box work.Box) (*Shards, error) {
+func (e boxView) connect(box work.Box) (*Shards, error) {
 	time.Sleep(time.Millisecond)
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	if e.fleet.cut[box.Name] || e.fleet.cut[e.self] || e.fleet.shards[box.Name] == nil {
+	if e.fleet.unreachable[box.Name] || e.fleet.unreachable[e.self] || e.fleet.shards[box.Name] == nil {
 		return nil, fault.Refuse(fault.PeerLost, "cut")
 	}
 	return e.fleet.shards[box.Name], nil
@@ -270,13 +272,13 @@
 func (noCounts) Time(string, time.Duration) {}
 
 func newFleet(log Log, names ...string) *fleet {
-	f := &fleet{believes: map[string]string{}, shards: map[string]*Shards{}, cut: map[string]bool{}, hung: map[string]bool{}}
+	f := &fleet{ownerByBox: map[string]string{}, shards: map[string]*Shards{}, unreachable: map[string]bool{}, hung: map[string]bool{}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, name := range names {
-		f.believes[name] = names[0]
-		eye := eyes{fleet: f, self: name}
+		f.ownerByBox[name] = names[0]
+		view := boxView{fleet: f, self: name}
 		self := work.Box{Name: name, Incarnation: name + "-1"}
-		f.shards[name] = New(self, NewLayout(1), log, eye, eye, noCounts{}, quiet)
+		f.shards[name] = New(self, NewLayout(1), log, view, view, noCounts{}, quiet)
 	}
 	return f
 }
@@ -284,6 +286,6 @@
 func (f *fleet) stop() {
 	for _, s := range f.shards {
 		s.cancel()
-		s.done.Wait()
+		s.background.Wait()
 	}
 }
--- a/gate/shard/forward.go
+++ b/gate/shard/forward.go
@@ -9,87 +9,87 @@
 )
 
 const (
-	// deliverWait is how long a box may take to write the records of a turn before the next is
-	// asked beside it: a claim under way and a call to the log. A box that hangs must not keep
-	// records from the one that holds the slot, nor may a slow write be given up: sent again, it
-	// would queue behind itself.
-	deliverWait = 700 * time.Millisecond
-	// deliverMost bounds one question: the same with the longest call to the log.
-	deliverMost = claimWait + callTimeout
-	// ownerRanks is how many boxes are asked: the one that should own the slot, and those that
-	// would without it, one of which holds the slot while another comes or goes.
-	ownerRanks = 4
-	// forwardPause is the time between two tries to give records to the next owner.
-	forwardPause = 100 * time.Millisecond
+	// hedgeDelay is how long one box may take to write the records before the next candidate is asked
+	// as well. It covers a claim in progress and a call to the log. A box that hangs must not delay
+	// delivery to the actual owner, and a slow write is left to run: a repeat would queue behind it.
+	hedgeDelay = 700 * time.Millisecond
+	// deliverTimeout bounds one delivery: a claim in progress and the longest call to the log.
+	deliverTimeout = claimTimeout + callTimeout
+	// maxCandidates is the number of boxes that are asked: the designated owner and the next in rank,
+	// one of which holds the slot while boxes join or leave.
+	maxCandidates = 4
+	// forwardRetryDelay is the time between two attempts to deliver to the candidates.
+	forwardRetryDelay = 100 * time.Millisecond
 )
 
-// forward gives records to whoever owns the slot now, until ctx ends.
+// forward delivers records to the current owner of the slot, retrying until ctx ends.
 func (s *Shards) forward(ctx context.Context, number int, recs []work.Record) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	f := &forwarding{shards: s, number: number, recs: recs, answers: make(chan reply), asked: map[string]bool{}}
+	f := &forwarder{shards: s, number: number, recs: recs, results: make(chan deliverResult), pending: map[string]bool{}}
 	for {
-		if f.round(ctx) {
+		if f.tryCandidates(ctx) {
 			s.counts.Count("shard.forwarded", 1)
 			return nil
 		}
 		if ctx.Err() != nil {
-			return fault.Fail(fault.LogUnavailable, "no owner took the records").Because(f.last)
+			return fault.Fail(fault.LogUnavailable, "no owner accepted the records").Because(f.lastErr)
 		}
-		s.logger.Info("shard: records not given to the next owner", "slot", number, "cause", f.last)
+		s.logger.Info("shard: failed to forward records to the slot's owner", "slot", number, "cause", f.lastErr)
 	}
 }
 
-// reply is what a box has said to records.
-type reply struct {
+// deliverResult is the outcome of a delivery to one box.
+type deliverResult struct {
 	box string
 	err error
 }
 
-// forwarding is records on their way to the owner of a slot.
-type forwarding struct {
+// forwarder delivers the records of one turn to the owner of a slot.
+type forwarder struct {
 	shards *Shards
 	number int
 	recs   []work.Record
-	// answers takes the replies until the end of the context that the boxes were asked with.
-	answers chan reply
-	// asked holds the boxes that have not answered yet.
-	asked map[string]bool
-	last  error
+	// results receives the outcomes; a delivery gives up sending its outcome once its context ends.
+	results chan deliverResult
+	// pending holds the names of the boxes that have not answered yet.
+	pending map[string]bool
+	lastErr error
 }
 
-// round asks the boxes that may hold the slot, the likeliest first, and reports whether one has
-// written the records. It ends with a pause.
-func (f *forwarding) round(ctx context.Context) bool {
-	boxes := f.shards.boxes.Owners(f.shards.layout.Name(f.number), ownerRanks)
+// tryCandidates asks the boxes that may hold the slot, the most likely first, and reports whether one
+// has written the records. A failed attempt ends with a delay of forwardRetryDelay.
+func (f *forwarder) tryCandidates(ctx context.Context) bool {
+	boxes := f.shards.boxes.Owners(f.shards.layout.Name(f.number), maxCandidates)
 	if len(boxes) == 0 {
-		f.last = fault.Refuse(fault.OwnerUnknown, "no box owns the slot")
+		f.lastErr = fault.Refuse(fault.OwnerUnknown, "no box owns the slot")
 	}
 	for _, box := range boxes {
-		if f.asked[box.Name] {
+		if f.pending[box.Name] {
 			continue
 		}
-		f.asked[box.Name] = true
-		go f.ask(ctx, box)
-		if f.await(ctx, box.Name, deliverWait) {
+		f.pending[box.Name] = true
+		go f.deliver(ctx, box)
+		if f.waitForResult(ctx, box.Name, hedgeDelay) {
 			return true
 		}
 	}
-	return f.await(ctx, "", forwardPause)
+	return f.waitForResult(ctx, "", forwardRetryDelay)
 }
 
-// await waits for the box's answer, and returns true as soon as any box has written the records.
-func (f *forwarding) await(ctx context.Context, box string, limit time.Duration) bool {
+// waitForResult waits at most limit for the outcome at the given box. It returns true as soon as any
+// box has written the records.
+func (f *forwarder) waitForResult(ctx context.Context, box string, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
 		select {
-		case got := <-f.answers:
-			delete(f.asked, got.box)
+		case got := <-f.results:
+			delete(f.pending, got.box)
 			if got.err == nil {
 				return true
 			}
-			f.last = got.err
+			f.lastErr = got.err
 			if got.box == box {
 				return false
 			}
@@ -101,17 +101,17 @@
 	}
 }
 
-// ask has one box write the records.
-func (f *forwarding) ask(ctx context.Context, box work.Box) {
-	got := reply{box: box.Name, err: f.shards.deliverTo(ctx, box, f.number, f.recs)}
+// deliver sends the records to one box and reports the outcome.
+func (f *forwarder) deliver(ctx context.Context, box work.Box) {
+	got := deliverResult{box: box.Name, err: f.shards.deliverTo(ctx, box, f.number, f.recs)}
 	select {
-	case f.answers <- got:
+	case f.results <- got:
 	case <-ctx.Done():
 	}
 }
 
 func (s *Shards) deliverTo(ctx context.Context, box work.Box, number int, recs []work.Record) error {
-	ctx, stop := context.WithTimeout(ctx, deliverMost)
+	ctx, stop := context.WithTimeout(ctx, deliverTimeout)
 	defer stop()
 	if box.Name == s.self.Name {
 		return s.Deliver(ctx, number, recs)
--- a/gate/shard/layout.go
+++ b/gate/shard/layout.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Layout deals programs to slots. All boxes must be given the same number of slots.
+// Layout maps programs to slots. All boxes must use the same number of slots.
 type Layout struct {
 	slots int
 }
 
-// NewLayout makes the layout.
+// NewLayout returns a layout of at least one slot.
 func NewLayout(slots int) Layout {
 	return Layout{slots: max(slots, 1)}
 }
 
-// Slots is the number of slots.
+// Slots returns the number of slots.
 func (l Layout) Slots() int {
 	return l.slots
 }
 
-// Names are the names of all slots.
+// Names returns the names of all slots.
 func (l Layout) Names() []string {
 	names := make([]string, 0, l.slots)
 	for slot := range l.slots {
@@ -30,12 +30,13 @@
 	return names
 }
 
-// Name is the name of a slot in rendezvous and logs.
+// Name returns the name of a slot in rendezvous hashing and in log messages.
 func (l Layout) Name(slot int) string {
 	return "slot-" + strconv.Itoa(slot)
 }
 
-// Home is the slot of a program. It has one for good: two would count its budget apart.
+// Home returns the slot of a program. It never changes, since two slots would count the program's
+// budget separately.
 func (l Layout) Home(program string) int {
 	return int(xxhash.Sum64String(program) % uint64(l.slots))
 }
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -12,123 +12,123 @@
 )
 
 const (
-	// callTimeout bounds one call to the log. The store's own queue may take 2 s.
+	// callTimeout bounds one call to the log. It exceeds the 2 s for which the store may queue a call.
 	callTimeout = 2500 * time.Millisecond
-	// claimPause is the time between two tries to claim a slot.
-	claimPause = 250 * time.Millisecond
-	// claimWait is how long a call waits for a claim under way.
-	claimWait = 500 * time.Millisecond
-	// drainWait is how long a hand-over waits for records on their way to the log.
-	drainWait = time.Second
-	// handoverWait bounds the question to the owner before; it covers drainWait.
-	handoverWait = 1500 * time.Millisecond
-	// yieldFor is how long a slot that was handed over is not claimed back: the time in which
-	// the views of two boxes come to agree.
-	yieldFor = 1500 * time.Millisecond
-	// sweepEvery is the time between two looks for programs whose time is over, and
-	// sweepLimit the number of records that one look drops.
-	sweepEvery = 5 * time.Second
-	sweepLimit = 500
-	// retryAfter is the advice given while a slot has no owner: about the length of a claim.
+	// claimRetryDelay is the time between two attempts to claim a slot.
+	claimRetryDelay = 250 * time.Millisecond
+	// claimTimeout is how long Get waits for a claim in progress.
+	claimTimeout = 500 * time.Millisecond
+	// drainTimeout is how long a release waits for queued records to be written.
+	drainTimeout = time.Second
+	// handoverTimeout bounds the handover request to the previous owner; it exceeds drainTimeout.
+	handoverTimeout = 1500 * time.Millisecond
+	// reclaimDelay is how long a box does not claim a slot again after handing it over, so that the
+	// views of both boxes can converge.
+	reclaimDelay = 1500 * time.Millisecond
+	// expireInterval is the time between two searches for expired programs, and expireLimit the number
+	// of records that one search drops from a slot.
+	expireInterval = 5 * time.Second
+	expireLimit    = 500
+	// retryAfter is the Retry-After hint while a slot has no owner: about the duration of a claim.
 	retryAfter = 400 * time.Millisecond
 )
 
-// Log is the part of the log that owners use.
+// Log is the part of the log that slot owners use.
 type Log interface {
-	// Append adds the records in one call, all or none. A fault NotOwner means that another
-	// writer has fenced this one off; NotRun means that nothing was added; after any other
-	// fault the records may have been added. The same number may be sent again.
+	// Append adds all of the records or none. NotOwner means that another writer has fenced this one
+	// off, and NotRun that nothing was added; after any other fault the records may have been added. An
+	// append may be retried with the same number.
 	Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error
-	// Newest returns the newest records of the keys behind after.
+	// Newest returns the newest record of each key that sorts after the given key.
 	Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error)
 	Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error)
 }
 
-// Boxes tells who lives.
+// Boxes is this box's view of the live boxes.
 type Boxes interface {
 	Owner(slot string) (work.Box, bool)
-	// Owners returns the box that should own a slot and, in order, those that should if the
-	// ones before were gone: n at most.
+	// Owners returns at most n boxes: the one that should own the slot, then those that would own it if
+	// the preceding ones were gone.
 	Owners(slot string, n int) []work.Box
 	Find(name, incarnation string) (work.Box, bool)
 	Settled() bool
-	// Fresh reports that no other box can count this one as dead.
+	// Fresh reports that no other box can consider this one dead.
 	Fresh() bool
 }
 
-// Peers asks other boxes.
+// Peers sends requests to other boxes.
 type Peers interface {
-	// Handover returns once the box has given the slot up.
+	// Handover returns once the box has released the slot.
 	Handover(ctx context.Context, box work.Box, slot int) error
-	// Deliver returns once the box, as owner of the slot, has written the records.
+	// Deliver returns once the box, as the owner of the slot, has written the records.
 	Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error
 }
 
-// Counts takes figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// Shards is the service.
+// Shards claims, holds and releases the slots of this box.
 type Shards struct {
-	self   work.Box
-	layout Layout
-	log    Log
-	boxes  Boxes
-	peers  Peers
-	counts Counts
-	logger *slog.Logger
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	self       work.Box
+	layout     Layout
+	log        Log
+	boxes      Boxes
+	peers      Peers
+	counts     Counts
+	logger     *slog.Logger
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
 	mu    sync.Mutex
 	slots []*Slot
-	// claiming holds a channel for each claim under way, closed at its end.
+	// claiming holds a channel for each claim in progress, which is closed when the claim ends.
 	claiming map[int]chan struct{}
-	// yielded is when a slot was given up to a box that asked for it.
-	yielded map[int]time.Time
-	leaving bool
+	// yieldedAt holds the time at which each slot was handed over to a box that asked for it.
+	yieldedAt map[int]time.Time
+	stopping  bool
 }
 
-// New makes shards that own nothing.
+// New returns a Shards that owns no slots.
 func New(self work.Box, layout Layout, log Log, boxes Boxes, peers Peers, counts Counts, logger *slog.Logger) *Shards {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Shards{
 		self: self, layout: layout, log: log, boxes: boxes, peers: peers, counts: counts, logger: logger,
-		ctx: ctx, cancel: cancel, slots: make([]*Slot, layout.Slots()), claiming: map[int]chan struct{}{}, yielded: map[int]time.Time{},
+		ctx: ctx, cancel: cancel, slots: make([]*Slot, layout.Slots()), claiming: map[int]chan struct{}{}, yieldedAt: map[int]time.Time{},
 	}
 }
 
-// Start implements a service.
+// Start starts the periodic removal of expired programs.
 func (s *Shards) Start(context.Context) error {
-	s.done.Go(func() { kernel.Every(s.ctx, sweepEvery, s.sweep) })
+	s.background.Go(func() { kernel.Every(s.ctx, expireInterval, s.expire) })
 	return nil
 }
 
-// Stop gives all slots up, each once its records are written.
+// Stop releases all slots and waits for the background work to end.
 func (s *Shards) Stop(ctx context.Context) error {
 	s.mu.Lock()
-	s.leaving = true
+	s.stopping = true
 	s.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for number := range s.slots {
-		all.Go(func() { s.Release(ctx, number) })
+		wg.Go(func() { s.Release(ctx, number) })
 	}
-	all.Wait()
+	wg.Wait()
 	s.cancel()
-	s.done.Wait()
+	s.background.Wait()
 	return nil
 }
 
 // Holds reports whether this box holds the slot now.
 func (s *Shards) Holds(number int) bool {
-	slot, _ := s.get(number)
+	slot, _ := s.lookup(number)
 	return slot != nil
 }
 
-// All returns the slots of this box.
+// All returns the slots that this box holds.
 func (s *Shards) All() []*Slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,47 +141,48 @@
 	return held
 }
 
-// Held counts the slots of this box.
+// Held returns the number of slots that this box holds.
 func (s *Shards) Held() int {
 	return len(s.All())
 }
 
-// Rebalance claims the slots that this box should own and does not. It is called when the
-// living boxes change. Slots that another box should own are given up when it asks.
+// Rebalance claims the slots that this box should own and does not hold. It is called when the set of
+// live boxes changes. Slots that another box should own are released when that box asks.
 func (s *Shards) Rebalance() {
 	if !s.boxes.Settled() {
 		return
 	}
 	for number := range s.slots {
-		if s.mine(number) {
-			s.claim(number)
+		if s.shouldOwn(number) {
+			s.startClaim(number)
 		}
 	}
 }
 
-// mine reports whether this box should own the slot.
-func (s *Shards) mine(number int) bool {
+// shouldOwn reports whether this box should own the slot.
+func (s *Shards) shouldOwn(number int) bool {
 	box, ok := s.boxes.Owner(s.layout.Name(number))
 	return ok && box.Name == s.self.Name
 }
 
-// Get returns the slot if this box owns it, waiting a little for a claim under way.
+// Get returns the slot if this box holds it, waiting up to claimTimeout for a claim in progress.
 func (s *Shards) Get(ctx context.Context, number int) (*Slot, error) {
 	if number < 0 || number >= len(s.slots) {
 		return nil, fault.Refuse(fault.BadRequest, "no such slot")
 	}
-	slot, wait := s.get(number)
-	if slot == nil && wait == nil && s.mine(number) && s.boxes.Settled() {
-		wait = s.claim(number)
+	slot, wait := s.lookup(number)
+	if slot == nil && wait == nil && s.shouldOwn(number) && s.boxes.Settled() {
+		wait = s.startClaim(number)
 	}
-	// Without touch to the log a claim can't end soon; the caller is better off elsewhere.
+	// While the view is not settled a claim is unlikely to end soon, so the caller should try another
+	// box.
 	if slot == nil && wait != nil && s.boxes.Settled() {
 		select {
 		case <-wait:
-		case <-time.After(claimWait):
+		case <-time.After(claimTimeout):
 		case <-ctx.Done():
 		}
-		slot, _ = s.get(number)
+		slot, _ = s.lookup(number)
 	}
 	if slot == nil {
 		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").After(retryAfter)
@@ -189,33 +190,35 @@
 	return slot, nil
 }
 
-func (s *Shards) get(number int) (*Slot, chan struct{}) {
+func (s *Shards) lookup(number int) (*Slot, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slots[number], s.claiming[number]
 }
 
-// claim starts a claim unless the slot is held or one is under way.
-func (s *Shards) claim(number int) chan struct{} {
+// startClaim starts a claim unless one is in progress. It returns a channel that is closed when the
+// claim ends, or nil if the slot is held or must not be claimed now.
+func (s *Shards) startClaim(number int) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slots[number] != nil || s.leaving || s.ctx.Err() != nil || time.Since(s.yielded[number]) < yieldFor {
+	if s.slots[number] != nil || s.stopping || s.ctx.Err() != nil || time.Since(s.yieldedAt[number]) < reclaimDelay {
 		return nil
 	}
 	if wait := s.claiming[number]; wait != nil {
 		return wait
 	}
-	wait := make(chan struct{})
-	s.claiming[number] = wait
-	s.done.Go(func() { s.pursue(number, wait) })
-	return wait
+	done := make(chan struct{})
+	s.claiming[number] = done
+	s.background.Go(func() { s.claimUntilHeld(number, done) })
+	return done
 }
 
-// pursue claims the slot until it is held or another box should own it.
-func (s *Shards) pursue(number int, wait chan struct{}) {
+// claimUntilHeld retries the claim until it succeeds, another box should own the slot, or the service
+// stops.
+func (s *Shards) claimUntilHeld(number int, done chan struct{}) {
 	start := time.Now()
 	var slot *Slot
-	for s.ctx.Err() == nil && s.mine(number) {
+	for s.ctx.Err() == nil && s.shouldOwn(number) {
 		got, err := s.acquire(number)
 		if err == nil {
 			slot = got
@@ -223,44 +226,44 @@
 		}
 		s.logger.Info("shard: claim failed", "slot", number, "cause", err)
 		select {
-		case <-time.After(claimPause):
+		case <-time.After(claimRetryDelay):
 		case <-s.ctx.Done():
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.claiming, number)
-	close(wait)
-	if slot == nil || s.leaving {
+	close(done)
+	if slot == nil || s.stopping {
 		return
 	}
 	s.slots[number] = slot
 	s.counts.Time("shard.claim_time", time.Since(start))
-	s.logger.Info("shard: claimed", "slot", number, "epoch", slot.epoch, "programs", slot.state.Programs(), "took", time.Since(start))
+	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.Programs(), "took", time.Since(start))
 }
 
-// Yield gives the slot up to a box that asks for it.
+// Yield releases the slot to a box that asks for it.
 func (s *Shards) Yield(ctx context.Context, number int) error {
 	if number < 0 || number >= len(s.slots) {
 		return fault.Refuse(fault.BadRequest, "no such slot")
 	}
 	s.mu.Lock()
-	s.yielded[number] = time.Now()
+	s.yieldedAt[number] = time.Now()
 	s.mu.Unlock()
 	s.Release(ctx, number)
 	return nil
 }
 
-// Deliver writes records of a turn that began at an owner before, if this box owns the slot.
+// Deliver writes the records of a turn that began at a previous owner, if this box owns the slot.
 func (s *Shards) Deliver(ctx context.Context, number int, recs []work.Record) error {
 	slot, err := s.Get(ctx, number)
 	if err != nil {
 		return err
 	}
-	return slot.take(ctx, recs)
+	return slot.applyAndWrite(ctx, recs)
 }
 
-// Release gives the slot up once its records are written, or after a bounded time.
+// Release releases the slot once its queued records are written, or after drainTimeout.
 func (s *Shards) Release(ctx context.Context, number int) {
 	s.mu.Lock()
 	slot := s.slots[number]
@@ -269,13 +272,13 @@
 		return
 	}
 	start := time.Now()
-	whole := slot.drain(ctx)
-	s.forget(slot)
-	s.logger.Info("shard: gave slot up", "slot", number, "whole", whole, "took", time.Since(start))
+	drained := slot.drain(ctx)
+	s.remove(slot)
+	s.logger.Info("shard: released slot", "slot", number, "whole", drained, "took", time.Since(start))
 }
 
-// forget takes the slot off, if it is still the one held.
-func (s *Shards) forget(slot *Slot) {
+// remove closes the slot and removes it from the held slots, unless it has been claimed anew since.
+func (s *Shards) remove(slot *Slot) {
 	slot.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,11 +287,11 @@
 	}
 }
 
-// sweep drops programs whose time is over.
-func (s *Shards) sweep() {
+// expire drops programs that have outlived their retention.
+func (s *Shards) expire() {
 	for number := range s.slots {
-		if slot, _ := s.get(number); slot != nil {
-			slot.sweep(time.Now())
+		if slot, _ := s.lookup(number); slot != nil {
+			slot.expire(time.Now())
 		}
 	}
 }
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -21,9 +21,9 @@
 	os.Exit(fixed.Main(m, "1500"))
 }
 
-// play takes one turn on the slot as an owner does, and returns nil once the log holds it. It
-// calls handed when the caller gets its tokens.
-func play(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, handed func(int)) error {
+// runTurn runs one stateful turn on the slot and returns nil once the log holds it. It calls onTokens
+// when the caller receives tokens.
+func runTurn(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, onTokens func(int)) error {
 	slot, err := s.Get(ctx, 0)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		return nil
 	})
 	if fault.Is(err, fault.NoTurn) && slot.Confirm(ctx) == nil {
-		return fault.Fail(fault.HistoryGone, "the owner, confirmed by the log, does not know "+o.Previous)
+		return fault.Fail(fault.HistoryGone, "the confirmed owner does not have turn "+o.Previous)
 	}
 	if err != nil {
 		return err
@@ -52,16 +52,16 @@
 	if started != nil {
 		if err := started.Wait(ctx); err != nil {
 			slot.Change(func(state *chain.State) { state.Break(o) })
-			return fault.Fail(fault.LogUnavailable, "no start").Because(err)
+			return fault.Fail(fault.LogUnavailable, "start not written").Because(err)
 		}
 	}
-	handed(o.Most)
+	onTokens(o.Most)
 	slot.Change(func(state *chain.State) {
 		_, recs := state.Finish(time.Now(), o, o.Most, []byte(o.ID))
 		ended = slot.QueueLocked(recs)
 	})
 	if err := slot.Await(ctx, ended); err != nil {
-		return fault.Fail(fault.LogUnavailable, "no end").Because(err)
+		return fault.Fail(fault.LogUnavailable, "end not written").Because(err)
 	}
 	if ended.Wait(ctx) == nil {
 		slot.Change(func(state *chain.State) { state.Free(o) })
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// draw takes one turn on the slot whose answer is not kept; its caller gets so many tokens.
-func draw(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, tokens int, handed func(int)) error {
+// runStatelessTurn runs one turn whose answer is not stored; its caller receives the given number of
+// tokens.
+func runStatelessTurn(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, tokens int, onTokens func(int)) error {
 	slot, err := s.Get(ctx, 0)
 	if err != nil {
 		return err
@@ -87,73 +88,72 @@
 	if err != nil {
 		return err
 	}
-	back := func(tokens int) {
-		var late *Pending
+	finish := func(tokens int) {
+		var pending *Pending
 		slot.Change(func(state *chain.State) {
 			if recs := state.Return(o, tokens); len(recs) > 0 {
-				late = slot.QueueLocked(recs)
+				pending = slot.QueueLocked(recs)
 			}
 		})
-		if late != nil {
-			_ = slot.Await(ctx, late) // otherwise it counts at its most
+		if pending != nil {
+			_ = slot.Await(ctx, pending) // on failure the turn counts at its maximum
 		}
 	}
 	time.Sleep(takes)
 	if started != nil {
 		if err := started.Wait(ctx); err != nil {
-			back(0)
-			return fault.Fail(fault.LogUnavailable, "no grant").Because(err)
+			finish(0)
+			return fault.Fail(fault.LogUnavailable, "grant not written").Because(err)
 		}
 		slot.Change(func(state *chain.State) { state.Confirm(o.Program, o.Granted) })
 	}
-	handed(tokens)
-	back(tokens)
+	onTokens(tokens)
+	finish(tokens)
 	return nil
 }
 
-// nobody is for turns whose tokens need not be counted.
-func nobody(int) {}
+// ignoreTokens is for turns whose tokens need not be counted.
+func ignoreTokens(int) {}
 
-func open(id, previous string) chain.Open {
+func newTurn(id, previous string) chain.Open {
 	return chain.Open{ID: id, Program: "p", Previous: previous, Most: 10, Retention: time.Minute}
 }
 
-// TestTurnOutlivesItsOwner checks that a turn under way at a hand-over ends at the next
-// owner, and that the hand-over does not wait for it.
-func TestTurnOutlivesItsOwner(t *testing.T) {
+// TestTurnCompletesAfterHandover checks that a turn in progress at a handover completes at the next
+// owner, and that the handover does not wait for it.
+func TestTurnCompletesAfterHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(newLog(), "a", "b")
 		defer f.stop()
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		if err := play(ctx, f.shards["a"], open("one", ""), -1, 0, nobody); err != nil {
+		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		ended := make(chan error)
-		go func() { ended <- play(ctx, f.shards["a"], open("two", "one"), -1, 3*time.Second, nobody) }()
+		go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("two", "one"), -1, 3*time.Second, ignoreTokens) }()
 		time.Sleep(100 * time.Millisecond)
-		f.believe("a", "b")
-		f.believe("b", "b")
+		f.setOwner("a", "b")
+		f.setOwner("b", "b")
 		start := time.Now()
-		if err := play(ctx, f.shards["b"], open("three", "one"), -1, 0, nobody); err != nil {
+		if err := runTurn(ctx, f.shards["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 200*time.Millisecond {
-			t.Errorf("the hand-over took %v", took)
+			t.Errorf("the handover took %v", took)
 		}
 		if err := <-ended; err != nil {
 			t.Fatal(err)
 		}
-		if err := play(ctx, f.shards["b"], open("four", "two"), -1, 0, nobody); err != nil {
-			t.Errorf("the turn that began at the owner before: %v", err)
+		if err := runTurn(ctx, f.shards["b"], newTurn("four", "two"), -1, 0, ignoreTokens); err != nil {
+			t.Errorf("a turn that continues the one begun at the previous owner: %v", err)
 		}
 	})
 }
 
-// TestTurnEndsWhereItsSlotIs checks that a turn under way at a hand-over ends at the box that
-// holds the slot by then, also while this box takes another for its owner: one that has just
-// come and left again, or that has not claimed it yet.
-func TestTurnEndsWhereItsSlotIs(t *testing.T) {
+// TestTurnCompletesAtActualOwner checks that a turn in progress at a handover completes at the box that
+// holds the slot, even while its own box takes another, which does not hold the slot, for the owner.
+func TestTurnCompletesAtActualOwner(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprintf("the other hangs: %v", hangs), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -162,30 +162,30 @@
 				ctx, stop := context.WithTimeout(context.Background(), 6*time.Second)
 				defer stop()
 				ended := make(chan error)
-				go func() { ended <- play(ctx, f.shards["a"], open("one", ""), -1, 2*time.Second, nobody) }()
+				go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
 				time.Sleep(100 * time.Millisecond)
 				for _, box := range []string{"a", "b", "c"} {
-					f.believe(box, "b")
+					f.setOwner(box, "b")
 				}
-				if err := play(ctx, f.shards["b"], open("two", ""), -1, 0, nobody); err != nil {
+				if err := runTurn(ctx, f.shards["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
 					t.Fatal(err)
 				}
-				f.believe("a", "c")
+				f.setOwner("a", "c")
 				f.hang("c", hangs)
 				if err := <-ended; err != nil {
 					t.Fatal(err)
 				}
-				if err := play(ctx, f.shards["b"], open("three", "one"), -1, 0, nobody); err != nil {
-					t.Errorf("the turn that began at the owner before: %v", err)
+				if err := runTurn(ctx, f.shards["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
+					t.Errorf("a turn that continues the one begun at the previous owner: %v", err)
 				}
 			})
 		})
 	}
 }
 
-// TestTurnEndsAtASlowOwner checks that a turn under way at a hand-over ends where the next owner
-// takes long to write its records, and that these are not written again and again.
-func TestTurnEndsAtASlowOwner(t *testing.T) {
+// TestTurnCompletesAtSlowOwner checks that a turn in progress at a handover completes although the next
+// owner writes slowly, and that its records are not written repeatedly.
+func TestTurnCompletesAtSlowOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
 		f := newFleet(log, "a", "b")
@@ -193,14 +193,14 @@
 		ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 		defer stop()
 		ended := make(chan error)
-		go func() { ended <- play(ctx, f.shards["a"], open("one", ""), -1, 2*time.Second, nobody) }()
+		go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
 		time.Sleep(100 * time.Millisecond)
-		f.believe("a", "b")
-		f.believe("b", "b")
-		if err := play(ctx, f.shards["b"], open("two", ""), -1, 0, nobody); err != nil {
+		f.setOwner("a", "b")
+		f.setOwner("b", "b")
+		if err := runTurn(ctx, f.shards["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
-		log.slow(1200 * time.Millisecond)
+		log.delayAppends(1200 * time.Millisecond)
 		log.mu.Lock()
 		before := log.appends
 		log.mu.Unlock()
@@ -210,22 +210,22 @@
 		log.mu.Lock()
 		n := log.appends - before
 		log.mu.Unlock()
-		time.Sleep(5 * time.Second) // whatever is under way ends
+		time.Sleep(5 * time.Second) // all calls in progress end
 		if n > 2 {
 			t.Errorf("%d appends for the end of one turn", n)
 		}
 	})
 }
 
-// TestOwnerThatWasFencedOff checks that a box which does not know that it lost its slot
-// writes nothing, and that a box can tell.
-func TestOwnerThatWasFencedOff(t *testing.T) {
+// TestFencedOwnerCannotConfirm checks that Confirm succeeds while a box owns its slot and fails once
+// another box has claimed it unnoticed.
+func TestFencedOwnerCannotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(newLog(), "a", "b")
 		defer f.stop()
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
-		if err := play(ctx, f.shards["a"], open("one", ""), -1, 0, nobody); err != nil {
+		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		slot, err := f.shards["a"].Get(ctx, 0)
@@ -235,9 +235,9 @@
 		if err := slot.Confirm(ctx); err != nil {
 			t.Errorf("before the loss: %v", err)
 		}
-		f.cut["a"] = true
-		f.believe("b", "b")
-		if err := play(ctx, f.shards["b"], open("two", "one"), -1, 0, nobody); err != nil {
+		f.unreachable["a"] = true
+		f.setOwner("b", "b")
+		if err := runTurn(ctx, f.shards["b"], newTurn("two", "one"), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		if err := slot.Confirm(ctx); !fault.Is(err, fault.NotOwner) {
@@ -246,9 +246,9 @@
 	})
 }
 
-// TestStaleOwnerSpendsItsReservationOnce checks that an owner which was fenced off and can't
-// find out hands out what it has reserved, which the next owner counts, and no more.
-func TestStaleOwnerSpendsItsReservationOnce(t *testing.T) {
+// TestFencedOwnerSpendsOnlyItsReservation checks that a fenced-off owner that can't notice it hands out
+// only what it had reserved, which the next owner counts as spent.
+func TestFencedOwnerSpendsOnlyItsReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
 		f := newFleet(log, "a", "b")
@@ -256,34 +256,34 @@
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
 		const budget = 30
-		var sum atomic.Int64
-		handed := func(n int) { sum.Add(int64(n)) }
-		if err := play(ctx, f.shards["a"], open("one", ""), budget, 0, handed); err != nil {
+		var delivered atomic.Int64
+		addTokens := func(n int) { delivered.Add(int64(n)) }
+		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, addTokens); err != nil {
 			t.Fatal(err)
 		}
-		f.cut["a"] = true
-		f.believe("b", "b")
-		if err := play(ctx, f.shards["b"], open("two", "one"), budget, 0, handed); err != nil {
+		f.unreachable["a"] = true
+		f.setOwner("b", "b")
+		if err := runTurn(ctx, f.shards["b"], newTurn("two", "one"), budget, 0, addTokens); err != nil {
 			t.Fatal(err)
 		}
-		log.set(away)
-		var all sync.WaitGroup
+		log.setMode(modeUnavailable)
+		var wg sync.WaitGroup
 		for _, id := range []string{"three", "four", "five"} {
-			all.Go(func() { _ = play(ctx, f.shards["a"], open(id, "one"), budget, 0, handed) })
+			wg.Go(func() { _ = runTurn(ctx, f.shards["a"], newTurn(id, "one"), budget, 0, addTokens) })
 			time.Sleep(100 * time.Millisecond)
 		}
-		all.Wait()
-		log.set(up)
-		time.Sleep(3 * time.Second) // writers under way end
-		if got := sum.Load(); got != budget {
+		wg.Wait()
+		log.setMode(modeUp)
+		time.Sleep(3 * time.Second) // writers in progress end
+		if got := delivered.Load(); got != budget {
 			t.Errorf("%d of %d tokens handed out", got, budget)
 		}
 	})
 }
 
-// TestStaleOwnerSpendsNoMoreThanItsGrant checks that an owner which was fenced off and can't find
-// out hands out at most what the log holds as granted, which the next owner counts as spent.
-func TestStaleOwnerSpendsNoMoreThanItsGrant(t *testing.T) {
+// TestFencedOwnerSpendsOnlyItsGrant checks that a fenced-off owner that can't notice it hands out at
+// most the grant in the log, which the next owner counts as spent.
+func TestFencedOwnerSpendsOnlyItsGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
 		f := newFleet(log, "a", "b")
@@ -291,110 +291,112 @@
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
 		const budget = 60
-		var sum atomic.Int64
-		handed := func(n int) { sum.Add(int64(n)) }
-		if err := draw(ctx, f.shards["a"], open("one", ""), budget, 0, 5, handed); err != nil {
+		var delivered atomic.Int64
+		addTokens := func(n int) { delivered.Add(int64(n)) }
+		if err := runStatelessTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, 5, addTokens); err != nil {
 			t.Fatal(err)
 		}
-		f.cut["a"] = true
-		f.believe("b", "b")
+		f.unreachable["a"] = true
+		f.setOwner("b", "b")
 		for n := range 9 {
-			_ = draw(ctx, f.shards["b"], open(fmt.Sprintf("b-%d", n), ""), budget, 0, 10, handed)
-			_ = draw(ctx, f.shards["a"], open(fmt.Sprintf("a-%d", n), ""), budget, 0, 10, handed)
+			_ = runStatelessTurn(ctx, f.shards["b"], newTurn(fmt.Sprintf("b-%d", n), ""), budget, 0, 10, addTokens)
+			_ = runStatelessTurn(ctx, f.shards["a"], newTurn(fmt.Sprintf("a-%d", n), ""), budget, 0, 10, addTokens)
 		}
-		if got := sum.Load(); got > budget || got < budget/2 {
+		if got := delivered.Load(); got > budget || got < budget/2 {
 			t.Errorf("%d of %d tokens handed out", got, budget)
 		}
 	})
 }
 
-// TestHandOverCountsWhatWasHandedOut checks that a planned hand-over costs a program nothing of
-// its budget, neither by what was granted ahead nor by a turn under way.
-func TestHandOverCountsWhatWasHandedOut(t *testing.T) {
+// TestHandoverPreservesBudget checks that a planned handover costs a program none of its budget,
+// neither by unused grants nor by a turn in progress.
+func TestHandoverPreservesBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(newLog(), "a", "b")
 		defer f.stop()
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
 		const budget = 30
-		if err := draw(ctx, f.shards["a"], open("one", ""), budget, 0, 5, nobody); err != nil {
+		if err := runStatelessTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, 5, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
-		var under sync.WaitGroup
-		under.Go(func() { _ = draw(ctx, f.shards["a"], open("two", ""), budget, 4*time.Second, 5, nobody) })
+		var running sync.WaitGroup
+		running.Go(func() {
+			_ = runStatelessTurn(ctx, f.shards["a"], newTurn("two", ""), budget, 4*time.Second, 5, ignoreTokens)
+		})
 		time.Sleep(100 * time.Millisecond)
 		for name := range f.shards {
-			f.believe(name, "b")
+			f.setOwner(name, "b")
 		}
 		time.Sleep(3 * time.Second)
-		if err := draw(ctx, f.shards["b"], open("three", ""), budget, 0, 5, nobody); err != nil {
-			t.Errorf("with a turn under way at the owner before: %v", err)
+		if err := runStatelessTurn(ctx, f.shards["b"], newTurn("three", ""), budget, 0, 5, ignoreTokens); err != nil {
+			t.Errorf("with a turn in progress at the previous owner: %v", err)
 		}
-		under.Wait()
+		running.Wait()
 		time.Sleep(time.Second)
 		for _, id := range []string{"four", "five"} {
-			if err := draw(ctx, f.shards["b"], open(id, ""), budget, 0, 5, nobody); err != nil {
+			if err := runStatelessTurn(ctx, f.shards["b"], newTurn(id, ""), budget, 0, 5, ignoreTokens); err != nil {
 				t.Errorf("turn %s: %v", id, err)
 			}
 		}
-		if err := draw(ctx, f.shards["b"], open("six", ""), budget, 0, 5, nobody); !fault.Is(err, fault.BudgetSpent) {
-			t.Errorf("a turn that the budget does not hold: %v", err)
+		if err := runStatelessTurn(ctx, f.shards["b"], newTurn("six", ""), budget, 0, 5, ignoreTokens); !fault.Is(err, fault.BudgetSpent) {
+			t.Errorf("a turn beyond the budget: %v", err)
 		}
 	})
 }
 
-// TestClaimThatFailedHoldsNothing checks that a slot whose owner record was not confirmed is not
-// held once another box should own it: a slot that another has fenced off was, and was then
-// never claimed again.
-func TestClaimThatFailedHoldsNothing(t *testing.T) {
+// TestFailedClaimHoldsNoSlot checks that a box does not hold a slot whose owner record was not
+// confirmed before another box became the designated owner. Otherwise it would keep a fenced-off slot
+// and never claim it again.
+func TestFailedClaimHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
 		f := newFleet(log, "a", "b")
 		defer f.stop()
 		b := f.shards["b"]
-		f.believe("b", "b")
-		b.claim(0)
-		time.Sleep(pages + 14*time.Millisecond) // fenced and read; the owner record is on its way
-		log.set(away)
+		f.setOwner("b", "b")
+		b.startClaim(0)
+		time.Sleep(newestDelay + 14*time.Millisecond) // fenced and read; the owner record is being written
+		log.setMode(modeUnavailable)
 		time.Sleep(time.Second)
-		f.believe("b", "a")
+		f.setOwner("b", "a")
 		time.Sleep(6 * time.Second)
 		if b.Holds(0) {
-			t.Error("b holds a slot that it could not claim")
+			t.Error("b holds a slot that it failed to claim")
 		}
-		log.set(up)
+		log.setMode(modeUp)
 		time.Sleep(3 * time.Second)
 	})
 }
 
-// TestEpochsOfBoxesDiffer checks that boxes which claim side by side never share an epoch.
-func TestEpochsOfBoxesDiffer(t *testing.T) {
+// TestEpochsAreUniquePerBox checks that boxes that claim a slot concurrently never share an epoch.
+func TestEpochsAreUniquePerBox(t *testing.T) {
 	f := newFleet(newLog(), "a", "b", "c")
 	seen := map[int64]string{}
 	for name, s := range f.shards {
 		for count := range int64(50) {
-			epoch := s.epoch(count)
+			epoch := s.newEpoch(count)
 			if other, ok := seen[epoch]; ok {
 				t.Fatalf("%s and %s share epoch %d", name, other, epoch)
 			}
 			seen[epoch] = name
-			if epoch>>markBits != count {
+			if epoch>>claimantBits != count {
 				t.Errorf("epoch %d does not hold its count %d", epoch, count)
 			}
 		}
 	}
 }
 
-// TestWhatWasConfirmedIsKept plays turns through boxes whose views lie, while the log is
-// away, loses answers or does appends late, and boxes are cut off from each other. Every
-// turn that was confirmed must be known to a later owner, and the budget must hold.
-func TestWhatWasConfirmedIsKept(t *testing.T) {
+// TestConfirmedTurnsSurviveFaults runs random turns on boxes with wrong views, while the log is
+// unavailable, loses answers or appends late, and boxes are partitioned. A later owner must have every
+// confirmed turn, and the budget must hold.
+func TestConfirmedTurnsSurviveFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		plan := drawPlan(rt)
-		var broken []string
-		synctest.Test(t, func(*testing.T) { broken = playPlan(plan) })
-		if len(broken) > 0 {
-			rt.Fatalf("%v", broken)
+		plan := generatePlan(rt)
+		var violations []string
+		synctest.Test(t, func(*testing.T) { violations = runPlan(plan) })
+		if len(violations) > 0 {
+			rt.Fatalf("%v", violations)
 		}
 	})
 }
@@ -404,34 +406,34 @@
 	planSteps  = 40
 )
 
-// step is one step of a plan. Only the fields of its kind count.
+// step is one step of a plan. Each kind uses only some of the fields.
 type step struct {
 	kind       int
 	box, other string
-	mode       mode
-	// previous chooses among the confirmed turns.
+	mode       failureMode
+	// previous selects one of the confirmed turns.
 	previous    int
 	takes, wait time.Duration
 }
 
-// The kinds of steps; all others take a turn that is kept.
+// The kinds of steps; all other values run a stateful turn.
 const (
-	stepBelieve = iota
+	stepSetOwner = iota
 	stepMode
-	stepCut
-	stepDraw
-	stepDrawPart
+	stepToggleReachable
+	stepStatelessTurn
+	stepPartialStatelessTurn
 	stepKinds = 8
 )
 
 var planBoxes = []string{"a", "b", "c"}
 
-func drawPlan(rt *rapid.T) []step {
+func generatePlan(rt *rapid.T) []step {
 	plan := make([]step, rapid.IntRange(1, planSteps).Draw(rt, "steps"))
 	for i := range plan {
 		plan[i] = step{
 			kind: rapid.IntRange(0, stepKinds).Draw(rt, "kind"), box: rapid.SampledFrom(planBoxes).Draw(rt, "box"),
-			other: rapid.SampledFrom(planBoxes).Draw(rt, "other"), mode: mode(rapid.IntRange(0, 3).Draw(rt, "mode")),
+			other: rapid.SampledFrom(planBoxes).Draw(rt, "other"), mode: failureMode(rapid.IntRange(0, 3).Draw(rt, "mode")),
 			previous: rapid.IntRange(0, planSteps).Draw(rt, "previous"),
 			takes:    time.Duration(rapid.IntRange(0, 1500).Draw(rt, "takes")) * time.Millisecond,
 			wait:     time.Duration(rapid.IntRange(1, 300).Draw(rt, "wait")) * time.Millisecond,
@@ -440,75 +442,75 @@
 	return plan
 }
 
-// playPlan plays the plan and returns what was broken.
-func playPlan(plan []step) []string {
+// runPlan executes the plan and returns the violations that it found.
+func runPlan(plan []step) []string {
 	log := newLog()
 	f := newFleet(log, planBoxes...)
 	defer f.stop()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	confirmed := []string{""}
-	var broken []string
-	var handed atomic.Int64
-	count := func(n int) { handed.Add(int64(n)) }
+	var violations []string
+	var delivered atomic.Int64
+	addTokens := func(n int) { delivered.Add(int64(n)) }
 	for n, s := range plan {
 		switch s.kind {
-		case stepDraw, stepDrawPart:
-			all.Go(func() {
+		case stepStatelessTurn, stepPartialStatelessTurn:
+			wg.Go(func() {
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 				defer stop()
-				o := open(fmt.Sprintf("turn-%d", n), "")
+				o := newTurn(fmt.Sprintf("turn-%d", n), "")
 				tokens := o.Most
-				if s.kind == stepDrawPart {
+				if s.kind == stepPartialStatelessTurn {
 					tokens /= 5
 				}
-				_ = draw(ctx, f.shards[s.box], o, planBudget, s.takes, tokens, count) // what counts is handed
+				_ = runStatelessTurn(ctx, f.shards[s.box], o, planBudget, s.takes, tokens, addTokens) // only delivered tokens count
 			})
-		case stepBelieve:
-			f.believe(s.box, s.other)
+		case stepSetOwner:
+			f.setOwner(s.box, s.other)
 		case stepMode:
-			log.set(s.mode)
-		case stepCut:
+			log.setMode(s.mode)
+		case stepToggleReachable:
 			f.mu.Lock()
-			f.cut[s.box] = !f.cut[s.box]
+			f.unreachable[s.box] = !f.unreachable[s.box]
 			f.mu.Unlock()
 		default:
 			mu.Lock()
 			previous := confirmed[s.previous%len(confirmed)]
 			mu.Unlock()
-			all.Go(func() {
+			wg.Go(func() {
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 				defer stop()
 				id := fmt.Sprintf("turn-%d", n)
-				err := play(ctx, f.shards[s.box], open(id, previous), planBudget, s.takes, count)
+				err := runTurn(ctx, f.shards[s.box], newTurn(id, previous), planBudget, s.takes, addTokens)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err == nil:
 					confirmed = append(confirmed, id)
 				case fault.Is(err, fault.HistoryGone):
-					broken = append(broken, err.Error())
+					violations = append(violations, err.Error())
 				}
 			})
 		}
 		time.Sleep(s.wait)
 	}
-	all.Wait()
-	log.set(up)
+	wg.Wait()
+	log.setMode(modeUp)
 	time.Sleep(3 * time.Second)
-	if got := handed.Load(); got > planBudget {
-		broken = append(broken, fmt.Sprintf("%d of %d tokens handed out", got, planBudget))
+	if got := delivered.Load(); got > planBudget {
+		violations = append(violations, fmt.Sprintf("%d of %d tokens handed out", got, planBudget))
 	}
-	return append(broken, judge(f, confirmed[1:], int(handed.Load()))...)
+	return append(violations, verify(f, confirmed[1:], int(delivered.Load()))...)
 }
 
-// judge has a box read the slot back from the log and holds it against what was confirmed and
-// what was handed out.
-func judge(f *fleet, confirmed []string, handed int) []string {
+// verify has a box load the slot from the log and compares it with the confirmed turns and the tokens
+// handed out.
+func verify(f *fleet, confirmed []string, delivered int) []string {
 	for name := range f.shards {
-		f.believe(name, "c")
+		f.setOwner(name, "c")
 		f.mu.Lock()
-		f.cut[name] = false
+		f.unreachable[name] = false
 		f.mu.Unlock()
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
@@ -516,21 +518,21 @@
 	if err := f.shards["c"].Yield(ctx, 0); err != nil {
 		return []string{err.Error()}
 	}
-	time.Sleep(2 * yieldFor)
+	time.Sleep(2 * reclaimDelay)
 	slot, err := f.shards["c"].Get(ctx, 0)
 	if err != nil {
 		return []string{"no owner at the end: " + err.Error()}
 	}
-	var broken []string
+	var violations []string
 	slot.Change(func(state *chain.State) {
 		for _, id := range confirmed {
 			if !state.Has("p", id) {
-				broken = append(broken, id+" was confirmed and is lost")
+				violations = append(violations, id+" was confirmed but is lost")
 			}
 		}
-		if got := state.Spent("p"); got < handed {
-			broken = append(broken, fmt.Sprintf("%d tokens were handed out and %d are counted", handed, got))
+		if got := state.Spent("p"); got < delivered {
+			violations = append(violations, fmt.Sprintf("%d tokens were handed out but %d are counted", delivered, got))
 		}
 	})
-	return broken
+	return violations
 }
--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// maxBatch bounds the records of one append, in bytes: half of what the smallest store
-	// takes in a call.
-	maxBatch = 1 << 20
-	// retryFirst and retryMost bound the pause before an append is sent again.
-	retryFirst = 25 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// awayRetry is the advice given while the log can't be asked: a third of the shortest
-	// time that callers have.
-	awayRetry = 900 * time.Millisecond
-	// confirmWait bounds the wait for the log's word on who owns a slot.
-	confirmWait = 400 * time.Millisecond
+	// maxAppendBytes is the size in bytes from which an append takes no further batches: half of the
+	// smallest store's limit for one call.
+	maxAppendBytes = 1 << 20
+	// minRetryDelay and maxRetryDelay bound the delay before an append is retried.
+	minRetryDelay = 25 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// logRetryAfter is the Retry-After hint while the log is unavailable, short enough for several
+	// retries within a caller's deadline.
+	logRetryAfter = 900 * time.Millisecond
+	// confirmTimeout bounds the append by which Confirm verifies ownership.
+	confirmTimeout = 400 * time.Millisecond
 )
 
-// batch is what waits for one append.
+// batch is a group of records that is appended as a whole.
 type batch struct {
 	recs []work.Record
 	done chan struct{}
 	err  error
 }
 
-// Slot is a slot that this box owns, or did own.
+// Slot is a slot that this box owns or has owned.
 type Slot struct {
 	shards *Shards
 	number int
@@ -39,104 +39,108 @@
 
 	mu    sync.Mutex
 	state *chain.State
-	// closing says that new turns go to another box.
+	// closing is set once the slot is being released: it accepts no new turns.
 	closing bool
-	// lost says that another box has claimed the slot: nothing can be written any more.
+	// lost is set once this box can't write any more, since it has released the slot or another box has
+	// claimed it.
 	lost bool
-	// queue is written in its order; the writer runs while it is not empty.
+	// queue holds the batches to append, in order. writing reports whether the writer goroutine runs.
 	queue   []*batch
 	writing bool
-	// sent is the number of the last append of the epoch, since when that went out; zero while none
-	// is under way.
-	sent  int64
-	since time.Time
+	// appendNumber is the number of the newest append of this epoch. appendStarted is the time at which
+	// the append in progress started; zero if there is none.
+	appendNumber  int64
+	appendStarted time.Time
 }
 
 func newSlot(s *Shards, number int, epoch int64, state *chain.State) *Slot {
 	return &Slot{shards: s, number: number, epoch: epoch, state: state}
 }
 
-// Number is the slot's.
+// Number returns the number of the slot.
 func (s *Slot) Number() int {
 	return s.number
 }
 
-// Enter begins a turn: do looks at the state and may change it.
+// Enter begins a turn: it calls do, which may read and change the state, while the slot is locked. It
+// returns NotOwner if this box is releasing the slot or has lost it.
 func (s *Slot) Enter(do func(state *chain.State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || s.lost {
-		return fault.Refuse(fault.NotOwner, "this box gives the slot up").After(retryAfter)
+		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").After(retryAfter)
 	}
 	return do(s.state)
 }
 
-// confirmKey is the key of a record that says nothing: it is dropped as it is written.
+// confirmKey is the key of an empty record that is written only to verify ownership. Having no value,
+// it leaves nothing in the log.
 const confirmKey = "confirm"
 
-// Fresh reports that no other box can have claimed the slot by what it has heard.
+// Fresh reports whether this box's view of the other boxes is current, so that none of them can have
+// claimed the slot.
 func (s *Slot) Fresh() bool {
 	return s.shards.boxes.Fresh() && s.shards.boxes.Settled()
 }
 
-// Confirm returns nil once the log has shown that this box still owns the slot. An owner
-// that was cut off for a while may have missed what another has written since.
+// Confirm returns nil once an append has shown that this box still owns the slot. An owner that was
+// partitioned may have missed that another box claimed the slot and wrote to it.
 func (s *Slot) Confirm(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, confirmWait)
+	ctx, stop := context.WithTimeout(ctx, confirmTimeout)
 	defer stop()
 	if err := s.Write(ctx, []work.Record{{Key: confirmKey}}); err != nil {
-		return fault.Refuse(fault.NotOwner, "the log does not confirm the owner").After(awayRetry).Because(err)
+		return fault.Refuse(fault.NotOwner, "the log did not confirm ownership of the slot").After(logRetryAfter).Because(err)
 	}
 	return nil
 }
 
-// Behind is how long the log has not taken the slot's newest append; zero if none is under way.
+// Behind returns how long the append in progress has been running; zero if there is none.
 func (s *Slot) Behind() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.since.IsZero() {
+	if s.appendStarted.IsZero() {
 		return 0
 	}
-	return time.Since(s.since)
+	return time.Since(s.appendStarted)
 }
 
-// Change changes the state in the course of a turn.
+// Change calls do, which may change the state, while the slot is locked. Unlike Enter, it also works on
+// a slot that is released or lost.
 func (s *Slot) Change(do func(state *chain.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do(s.state)
 }
 
-// Queue hands records to the writer. The channel is closed once they are written or can't
-// be; Err then tells which.
+// Queue hands records to the writer. Wait on the result reports whether they were written.
 func (s *Slot) Queue(recs []work.Record) *Pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.QueueLocked(recs)
 }
 
-// QueueLocked is Queue within Enter or Change, so that records go to the log in the order
-// in which the state was changed.
+// QueueLocked is Queue for callers within Enter or Change, so that records are written in the order in
+// which the state changed.
 func (s *Slot) QueueLocked(recs []work.Record) *Pending {
 	b := &batch{recs: recs, done: make(chan struct{})}
 	if s.lost {
-		b.err = lostSlot()
+		b.err = slotLostFault()
 		close(b.done)
 		return &Pending{b}
 	}
 	s.queue = append(s.queue, b)
 	if !s.writing {
 		s.writing = true
-		go s.write()
+		go s.runWriter()
 	}
 	return &Pending{b}
 }
 
-// Pending is records on their way to the log.
+// Pending is a write of records that is queued or in progress.
 type Pending struct{ batch *batch }
 
-// Wait returns once the records are written, or with a fault if they can't be or ctx ends
-// before. They may still be written after ctx has ended.
+// Wait returns nil once the records are written, or a fault if they can't be written or ctx ends first.
+// After ctx has ended they may still be written.
 func (p *Pending) Wait(ctx context.Context) error {
 	select {
 	case <-p.batch.done:
@@ -147,12 +151,12 @@
 	case <-p.batch.done:
 		return p.batch.err
 	case <-ctx.Done():
-		return fault.Fail(fault.LogUnavailable, "the log has not confirmed in time")
+		return fault.Fail(fault.LogUnavailable, "the log did not confirm the write in time")
 	}
 }
 
-// Await returns once the records are in the log. Where another box owns the slot by now,
-// it is given the records: a turn that began here may end after the slot has moved.
+// Await returns once the records are written. If another box owns the slot by now, it forwards them to
+// that box: a turn that began here may end after the slot has moved.
 func (s *Slot) Await(ctx context.Context, p *Pending) error {
 	err := p.Wait(ctx)
 	if !fault.Is(err, fault.NotOwner) {
@@ -161,12 +165,12 @@
 	return s.shards.forward(ctx, s.number, p.batch.recs)
 }
 
-// take adds records of a turn that began at an owner before.
-func (s *Slot) take(ctx context.Context, recs []work.Record) error {
+// applyAndWrite applies and writes the records of a turn that began at a previous owner.
+func (s *Slot) applyAndWrite(ctx context.Context, recs []work.Record) error {
 	s.mu.Lock()
 	if s.closing || s.lost {
 		s.mu.Unlock()
-		return fault.Refuse(fault.NotOwner, "this box gives the slot up").After(retryAfter)
+		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").After(retryAfter)
 	}
 	for _, rec := range recs {
 		if err := s.state.Apply(rec); err != nil {
@@ -179,15 +183,15 @@
 	return pending.Wait(ctx)
 }
 
-// Write queues records and waits for them.
+// Write queues records and waits until they are written.
 func (s *Slot) Write(ctx context.Context, recs []work.Record) error {
 	return s.Queue(recs).Wait(ctx)
 }
 
-// write appends what is queued, one call at a time, until nothing is left.
-func (s *Slot) write() {
+// runWriter appends the queued batches, one call at a time, until the queue is empty.
+func (s *Slot) runWriter() {
 	for {
-		batches := s.next()
+		batches := s.nextAppend()
 		if len(batches) == 0 {
 			return
 		}
@@ -195,26 +199,26 @@
 		for _, b := range batches {
 			recs = append(recs, b.recs...)
 		}
-		err := s.append(recs)
+		err := s.appendWithRetry(recs)
 		if err != nil {
-			err = lostSlot().Because(err)
+			err = slotLostFault().Because(err)
 		}
 		for _, b := range batches {
 			b.err = err
 			close(b.done)
 		}
 		if err != nil {
-			s.fail(err)
+			s.markLost(err)
 		}
 	}
 }
 
-// next takes the batches of the next append off the queue.
-func (s *Slot) next() []*batch {
+// nextAppend removes the batches of the next append from the queue.
+func (s *Slot) nextAppend() []*batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size, n := 0, 0
-	for n < len(s.queue) && (n == 0 || size < maxBatch) {
+	for n < len(s.queue) && (n == 0 || size < maxAppendBytes) {
 		for _, rec := range s.queue[n].recs {
 			size += len(rec.Key) + len(rec.Value)
 		}
@@ -223,25 +227,26 @@
 	batches := s.queue[:n:n]
 	s.queue = s.queue[n:]
 	s.writing = n > 0
-	s.since = time.Time{}
+	s.appendStarted = time.Time{}
 	if s.writing {
-		s.since = time.Now()
+		s.appendStarted = time.Now()
 	}
 	if size > 0 {
-		s.sent++
+		s.appendNumber++
 	}
 	return batches
 }
 
-// append sends one append until it is done or another box is found to own the slot. The
-// log knows a repeated number and answers it as the first time.
-func (s *Slot) append(recs []work.Record) error {
+// appendWithRetry retries one append until it succeeds, another box turns out to own the slot, or the
+// service stops. The log answers a repeated append number as it did the first time, so retries add
+// nothing twice.
+func (s *Slot) appendWithRetry(recs []work.Record) error {
 	if len(recs) == 0 {
 		return nil
 	}
 	shard := work.Shard{Topic: work.Turns, Number: s.number}
-	writer := work.Writer{Epoch: s.epoch, Number: s.sent}
-	pause := retryFirst
+	writer := work.Writer{Epoch: s.epoch, Number: s.appendNumber}
+	pause := minRetryDelay
 	for {
 		start := time.Now()
 		ctx, stop := context.WithTimeout(s.shards.ctx, callTimeout)
@@ -260,12 +265,12 @@
 		case <-time.After(pause):
 		case <-s.shards.ctx.Done():
 		}
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// fail gives the slot up after an append that can never be done.
-func (s *Slot) fail(err error) {
+// markLost drops the slot after an append that can't succeed, and fails all queued batches.
+func (s *Slot) markLost(err error) {
 	s.shards.logger.Warn("shard: lost slot", "slot", s.number, "epoch", s.epoch, "cause", err)
 	s.shards.counts.Count("shard.lost", 1)
 	s.mu.Lock()
@@ -274,17 +279,18 @@
 	s.queue = nil
 	s.mu.Unlock()
 	for _, b := range queue {
-		b.err = lostSlot()
+		b.err = slotLostFault()
 		close(b.done)
 	}
-	s.shards.forget(s)
+	s.shards.remove(s)
 }
 
-func lostSlot() *fault.Fault {
+func slotLostFault() *fault.Fault {
 	return fault.Fail(fault.NotOwner, "another box owns the slot")
 }
 
-// close ends the ownership: records that are queued from now on go to the next owner.
+// close ends the ownership: QueueLocked rejects records from now on, and Await forwards them to the
+// next owner.
 func (s *Slot) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -292,10 +298,11 @@
 	s.lost = true
 }
 
-// drain keeps new turns out and waits until all records are written that are queued by
-// then. Turns under way go on: what they write later goes to the next owner.
+// drain rejects new turns and waits until the records queued so far are written, for drainTimeout at
+// most. It reports whether they were. Turns in progress continue: records that they queue after the
+// release go to the next owner.
 func (s *Slot) drain(ctx context.Context) bool {
-	ctx, stop := context.WithTimeout(ctx, drainWait)
+	ctx, stop := context.WithTimeout(ctx, drainTimeout)
 	defer stop()
 	s.mu.Lock()
 	s.closing = true
@@ -304,10 +311,10 @@
 	return last.Wait(ctx) == nil
 }
 
-// sweep drops programs whose time is over.
-func (s *Slot) sweep(now time.Time) {
+// expire drops programs that have outlived their retention.
+func (s *Slot) expire(now time.Time) {
 	s.mu.Lock()
-	drops := s.state.Expire(now, sweepLimit)
+	drops := s.state.Expire(now, expireLimit)
 	s.mu.Unlock()
 	if len(drops) > 0 {
 		s.Queue(drops)
