--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -199,7 +199,7 @@
 		for _, b := range batches {
 			recs = append(recs, b.recs...)
 		}
-		err := s.appendWithRetry(recs)
+		err := s.append(recs)
 		if err != nil {
 			err = slotLostFault().Because(err)
 		}
@@ -237,10 +237,10 @@
 	return batches
 }
 
-// appendWithRetry retries one append until it succeeds, another box turns out to own the slot, or the
+// append retries one append until it succeeds, another box turns out to own the slot, or the
 // service stops. The log answers a repeated append number as it did the first time, so retries add
 // nothing twice.
-func (s *Slot) appendWithRetry(recs []work.Record) error {
+func (s *Slot) append(recs []work.Record) error {
 	if len(recs) == 0 {
 		return nil
 	}
