--- a/gate/chain/chain.go
+++ b/gate/chain/chain.go
@@ -9,97 +9,101 @@
 	"mulleingate.dev/gate/work"
 )
 
-// clockSlack is how much longer than promised a program is kept, since the clocks of
-// boxes differ by seconds.
+// clockSlack is how much longer than its retention a program is kept, since the clocks of boxes differ.
 const clockSlack = 5 * time.Second
 
 // Turn is an answered turn.
 type Turn struct {
 	id, program string
-	// previous is empty at the start of a line.
+	// previous is the id of the turn that this one continues; empty for a first turn.
 	previous string
-	keep     time.Time
+	expires  time.Time
 	tokens   int
-	// copied says that another program took the turn.
+	// copied marks a copy of a turn of another program.
 	copied bool
-	// Text is what later turns go on from: the input, then the data of each event with a
-	// line feed behind.
+	// Text is the part of the prompt of later turns that this turn adds: its input, then the data of
+	// each event of its answer, each followed by a line feed.
 	Text []byte
 
-	// Ran names the start of the replica that ran the turn; empty if this owner did not see it run.
+	// Ran identifies the run of the replica that answered the turn (see work.Replica.Life); empty if
+	// another owner saw it.
 	Ran string
-	// Cached is the number of tokens that the replica then held of the chain.
+	// Cached is the number of tokens of the chain that the replica held after the turn.
 	Cached int
 }
 
-// reservation is the most tokens that one turn may spend.
+// reservation is the number of tokens that one turn may spend.
 type reservation struct {
-	most  int
-	phase phase
+	maxTokens int
+	phase     phase
 }
 
-// phase is what this owner knows of the turn that has a reservation.
+// phase is the state of the turn that holds a reservation.
 type phase int
 
 const (
-	// taken means that a turn may have spent it which has no whole answer.
-	taken phase = iota
-	// ended means that its turn is counted by itself, but the log may not hold the turn yet.
-	ended
-	// free means that the next turn may take it: the log holds it, and the turn before.
-	free
+	// phaseInUse means that a turn without a complete answer may have spent the reservation.
+	phaseInUse phase = iota
+	// phaseFinished means that the turn's own tokens are counted, but the log may not hold the turn
+	// yet.
+	phaseFinished
+	// phaseFree means that another turn may use the reservation: the log holds the turn that used it, or
+	// that turn was not run.
+	phaseFree
 )
 
-// program is what is kept of one program.
+// program is the state of one program.
 type program struct {
 	turns map[string]*Turn
-	// spent is the tokens of the answered turns.
+	// spent is the number of tokens of the answered turns.
 	spent int
-	// open holds the reservations by the turn that they were made for. The log holds all of
-	// them or is about to; another owner counts them as spent, since it can't know whether a
-	// turn has begun on them.
-	open map[string]*reservation
-	// uses names the reservation of each turn that has begun and is not counted by itself.
-	uses map[string]string
-	// grant is what turns spend whose answers are not kept.
+	// reservations holds the reservations by the id of the turn that created them. The log holds all of
+	// them or is about to. Another owner counts them as spent, since it can't know whether a turn has
+	// begun on them.
+	reservations map[string]*reservation
+	// reservationOf maps each turn that has begun to the turn whose reservation it uses, until that
+	// reservation is free or dropped.
+	reservationOf map[string]string
+	// grant is the budget of turns whose answers are not stored.
 	grant grant
-	// running counts the open turns that this owner has under way.
+	// running counts the turns in progress at this owner.
 	running int
-	// failures counts the tries of a turn that failed one after the other, by the turn that it goes
-	// on from.
+	// failures counts the consecutive failed attempts of a turn, by the id of the turn that it
+	// continues.
 	failures map[string]int
-	keep     time.Time
+	expires  time.Time
 }
 
-// State is what an owner knows of one slot. It is not safe for use by many goroutines.
+// State holds the programs of one slot. It is not safe for concurrent use.
 type State struct {
 	programs map[string]*program
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{programs: map[string]*program{}}
 }
 
-// Programs counts the programs that are kept.
+// Programs returns the number of programs in the state.
 func (s *State) Programs() int {
 	return len(s.programs)
 }
 
-// Apply folds a record of the log. Records of one key must come in their order.
+// Apply applies a record of the log. Records with the same key must be applied in their order in the
+// log.
 func (s *State) Apply(rec work.Record) error {
 	if len(rec.Key) < 2 {
 		return fault.Fail(fault.Protocol, "record without a key in the log")
 	}
 	id := rec.Key[1:]
 	switch rec.Key[0] {
-	case turnKey:
+	case turnKeyPrefix:
 		return s.applyTurn(id, rec.Value)
-	case copyKey:
+	case copyKeyPrefix:
 		return s.applyCopy(id, rec.Value)
-	case startKey:
+	case startKeyPrefix:
 		return s.applyStart(id, rec.Value)
-	case grantKey:
+	case grantKeyPrefix:
 		return s.applyGrant(id, rec.Value)
 	}
 	return nil
@@ -114,20 +118,21 @@
 	if err != nil {
 		return err
 	}
-	s.keepTurn(t)
+	s.storeTurn(t)
 	return nil
 }
 
-// applyCopy folds the record of a copy. Other records that begin alike have no split.
+// applyCopy applies the record of a copy. Other keys with the same first byte have no separator and are
+// ignored.
 func (s *State) applyCopy(name string, raw []byte) error {
-	program, id, ok := strings.Cut(name, copySplit)
+	program, id, ok := strings.Cut(name, copyKeySeparator)
 	if !ok {
 		return nil
 	}
 	if len(raw) == 0 {
 		if prog, have := s.programs[program]; have {
 			delete(prog.turns, id)
-			s.forget(program, prog)
+			s.removeIfEmpty(program, prog)
 		}
 		return nil
 	}
@@ -136,7 +141,7 @@
 		return err
 	}
 	t.copied = true
-	s.keepTurn(t)
+	s.storeTurn(t)
 	return nil
 }
 
@@ -145,43 +150,43 @@
 		s.dropStart(id)
 		return nil
 	}
-	name, keep, most, err := decodeStart(raw)
+	name, expires, maxTokens, err := decodeStart(raw)
 	if err != nil {
 		return err
 	}
-	prog := s.program(name)
-	prog.open[id] = &reservation{most: most}
-	prog.keep = later(prog.keep, keep)
+	prog := s.ensureProgram(name)
+	prog.reservations[id] = &reservation{maxTokens: maxTokens}
+	prog.expires = latest(prog.expires, expires)
 	return nil
 }
 
-func (s *State) program(name string) *program {
+func (s *State) ensureProgram(name string) *program {
 	prog, ok := s.programs[name]
 	if !ok {
-		prog = &program{turns: map[string]*Turn{}, open: map[string]*reservation{}, uses: map[string]string{}, failures: map[string]int{}, grant: grant{drawn: map[string]int{}}}
+		prog = &program{turns: map[string]*Turn{}, reservations: map[string]*reservation{}, reservationOf: map[string]string{}, failures: map[string]int{}, grant: grant{active: map[string]int{}}}
 		s.programs[name] = prog
 	}
 	return prog
 }
 
-func (s *State) keepTurn(t *Turn) {
-	prog := s.program(t.program)
+func (s *State) storeTurn(t *Turn) {
+	prog := s.ensureProgram(t.program)
 	if have, ok := prog.turns[t.id]; ok {
 		prog.spent -= have.tokens
 	}
 	prog.turns[t.id] = t
 	prog.spent += t.tokens
-	prog.keep = later(prog.keep, t.keep)
+	prog.expires = latest(prog.expires, t.expires)
 }
 
-// dropTurn and dropStart look through all programs: drops of others' records are only met
-// while a slot is read back.
+// dropTurn and dropStart search all programs, since the records don't name the program. Such records
+// are only read while a slot is loaded or records are forwarded to it.
 func (s *State) dropTurn(id string) {
 	for name, prog := range s.programs {
 		if t, ok := prog.turns[id]; ok && !t.copied {
 			prog.spent -= t.tokens
 			delete(prog.turns, id)
-			s.forget(name, prog)
+			s.removeIfEmpty(name, prog)
 			return
 		}
 	}
@@ -189,85 +194,85 @@
 
 func (s *State) dropStart(id string) {
 	for name, prog := range s.programs {
-		if _, ok := prog.open[id]; ok {
-			prog.drop(id)
-			s.forget(name, prog)
+		if _, ok := prog.reservations[id]; ok {
+			prog.dropReservation(id)
+			s.removeIfEmpty(name, prog)
 			return
 		}
 	}
 }
 
-// drop takes a reservation back and returns the record that says so.
-func (p *program) drop(id string) work.Record {
-	delete(p.open, id)
-	return work.Record{Key: string(startKey) + id}
+// dropReservation removes a reservation and returns the record that drops it from the log.
+func (p *program) dropReservation(id string) work.Record {
+	delete(p.reservations, id)
+	return work.Record{Key: string(startKeyPrefix) + id}
 }
 
-// spare returns the smallest free reservation that holds most.
-func (p *program) spare(most int) (id string, ok bool) {
-	least := 0
-	for name, res := range p.open {
-		if res.phase != free || res.most < most || (ok && res.most >= least) {
+// smallestFree returns the smallest free reservation of at least maxTokens.
+func (p *program) smallestFree(maxTokens int) (id string, ok bool) {
+	smallest := 0
+	for name, res := range p.reservations {
+		if res.phase != phaseFree || res.maxTokens < maxTokens || (ok && res.maxTokens >= smallest) {
 			continue
 		}
-		id, ok, least = name, true, res.most
+		id, ok, smallest = name, true, res.maxTokens
 	}
 	return id, ok
 }
 
-// bound is what the program has spent and what its turns without an end may have.
-func (p *program) bound() int {
-	sum := p.spent + p.grant.used()
-	for _, res := range p.open {
-		if res.phase == taken {
-			sum += res.most
+// committedTokens returns the tokens that the program has spent or that its unfinished turns may have
+// spent.
+func (p *program) committedTokens() int {
+	sum := p.spent + p.grant.committedTokens()
+	for _, res := range p.reservations {
+		if res.phase == phaseInUse {
+			sum += res.maxTokens
 		}
 	}
 	return sum
 }
 
-// forget removes a program of which nothing is left.
-func (s *State) forget(name string, prog *program) {
-	if len(prog.turns) == 0 && len(prog.open) == 0 && prog.grant.empty() {
+// removeIfEmpty removes a program that has no turns, reservations or grant.
+func (s *State) removeIfEmpty(name string, prog *program) {
+	if len(prog.turns) == 0 && len(prog.reservations) == 0 && prog.grant.empty() {
 		delete(s.programs, name)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// Has reports whether the program's turn is kept.
+// Has reports whether the program has the turn.
 func (s *State) Has(name, id string) bool {
 	prog, ok := s.programs[name]
 	return ok && prog.turns[id] != nil
 }
 
-// Begun reports whether a turn of the program has run or is under way.
+// Begun reports whether a turn of the program has run or is in progress.
 func (s *State) Begun(name string) bool {
 	prog, ok := s.programs[name]
-	return ok && (prog.running > 0 || prog.bound() > 0 || len(prog.turns) > 0)
+	return ok && (prog.running > 0 || prog.committedTokens() > 0 || len(prog.turns) > 0)
 }
 
-// Fail notes that a try of a turn has failed after a replica may have run it.
+// Fail counts a failed attempt of a turn that a replica may have run.
 func (s *State) Fail(o Open) {
 	if prog, ok := s.programs[o.Program]; ok {
 		prog.failures[o.Previous]++
 	}
 }
 
-// Pass notes that a turn was answered whole.
+// Pass resets the failed attempts of a turn, which was answered completely.
 func (s *State) Pass(o Open) {
 	if prog, ok := s.programs[o.Program]; ok {
 		delete(prog.failures, o.Previous)
 	}
 }
 
-// Failures is the number of tries of a turn that failed one after the other, as far as this owner
-// has seen them.
+// Failures returns the number of consecutive failed attempts of a turn that this owner has seen.
 func (s *State) Failures(o Open) int {
 	prog, ok := s.programs[o.Program]
 	if !ok {
@@ -276,40 +281,40 @@
 	return prog.failures[o.Previous]
 }
 
-// Spent is what the program has spent, and what its turns under way and turns that were lost with
-// another owner may have.
+// Spent returns the tokens that the program has spent, including what turns in progress, and turns lost
+// with a previous owner, may have spent.
 func (s *State) Spent(name string) int {
 	prog, ok := s.programs[name]
 	if !ok {
 		return 0
 	}
-	return prog.bound()
+	return prog.committedTokens()
 }
 
-// Line returns the turns from the oldest to the one named. An empty id is the start of a
-// line and has none.
+// Line returns the turns that lead to the given one, oldest first, including it. An empty id yields
+// none.
 func (s *State) Line(name, id string) ([]*Turn, error) {
 	if id == "" {
 		return nil, nil
 	}
 	prog, ok := s.programs[name]
 	if !ok {
-		return nil, fault.Refuse(fault.NoTurn, "the turn to go on from is not kept")
+		return nil, fault.Refuse(fault.NoTurn, "the previous turn is not stored")
 	}
-	var back []*Turn
+	var turns []*Turn
 	for at := id; at != ""; {
 		t, ok := prog.turns[at]
-		if !ok || len(back) > len(prog.turns) {
-			return nil, fault.Refuse(fault.NoTurn, "the turn to go on from is not kept")
+		if !ok || len(turns) > len(prog.turns) {
+			return nil, fault.Refuse(fault.NoTurn, "the previous turn is not stored")
 		}
-		back = append(back, t)
+		turns = append(turns, t)
 		at = t.previous
 	}
-	slices.Reverse(back)
-	return back, nil
+	slices.Reverse(turns)
+	return turns, nil
 }
 
-// Find returns the text of the chain that ends with the turn, whatever program it is of.
+// Find returns the text of the chain that ends with the turn, in whichever program has it.
 func (s *State) Find(id string) ([]byte, bool) {
 	for name, prog := range s.programs {
 		if prog.turns[id] == nil {
@@ -328,149 +333,149 @@
 	return nil, false
 }
 
-// Import keeps a copy of a turn of another program, with all before it, for a program that
-// goes on from there. Its tokens are the other program's.
+// Import stores a copy of another program's turn, whose text covers the whole chain up to it, for a
+// program that continues from there. The copy's tokens are not counted again.
 func (s *State) Import(now time.Time, name, id string, text []byte, retention time.Duration) work.Record {
-	t := &Turn{id: id, program: name, keep: now.Add(retention), copied: true, Text: text}
-	s.keepTurn(t)
+	t := &Turn{id: id, program: name, expires: now.Add(retention), copied: true, Text: text}
+	s.storeTurn(t)
 	return turnRecord(t)
 }
 
-// Open is a turn under way.
+// Open describes a turn that begins or is in progress.
 type Open struct {
 	ID, Program, Previous string
-	// Most is the tokens that its answer may hold.
+	// Most is the maximum number of tokens of the answer.
 	Most int
-	// Retention is how long it is kept after its end.
+	// Retention is how long the turn is kept after its end.
 	Retention time.Duration
-	// Granted is what the log is to hold of the program's grant once the turn's record is
-	// written; zero for turns without such a record.
+	// Granted is the size of the program's grant once the log holds the turn's record, for Confirm;
+	// zero for a turn without such a record.
 	Granted int
 }
 
-// Start reserves what the turn may spend. It returns the record that says so, which the log
-// must hold before anything is handed out, or none if the turn takes over a reservation that
-// the log holds already. A negative budget has no bound.
+// Start begins a turn and reserves its tokens. It returns the record of the reservation, which must be
+// in the log before any output is delivered, or none if the turn reuses a reservation that is in the
+// log. A negative budget means no limit.
 func (s *State) Start(now time.Time, o Open, budget int) ([]work.Record, error) {
-	prog := s.program(o.Program)
-	if budget >= 0 && prog.bound()+o.Most > budget {
-		s.forget(o.Program, prog)
-		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not hold another turn")
+	prog := s.ensureProgram(o.Program)
+	if budget >= 0 && prog.committedTokens()+o.Most > budget {
+		s.removeIfEmpty(o.Program, prog)
+		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not allow another turn")
 	}
 	prog.running++
-	prog.keep = later(prog.keep, now.Add(o.Retention))
-	if id, ok := prog.spare(o.Most); ok {
-		prog.open[id].phase = taken
-		prog.uses[o.ID] = id
+	prog.expires = latest(prog.expires, now.Add(o.Retention))
+	if id, ok := prog.smallestFree(o.Most); ok {
+		prog.reservations[id].phase = phaseInUse
+		prog.reservationOf[o.ID] = id
 		return nil, nil
 	}
-	prog.open[o.ID] = &reservation{most: o.Most}
-	prog.uses[o.ID] = o.ID
+	prog.reservations[o.ID] = &reservation{maxTokens: o.Most}
+	prog.reservationOf[o.ID] = o.ID
 	return []work.Record{startRecord(o.ID, o.Program, o.Most, now.Add(o.Retention))}, nil
 }
 
-// Cancel ends a turn that ran nowhere and returns the records that say so.
+// Cancel ends a turn that no replica has run and returns the records to write.
 func (s *State) Cancel(o Open) []work.Record {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return nil
 	}
 	prog.running--
-	id := prog.uses[o.ID]
-	delete(prog.uses, o.ID)
-	if res, ok := prog.open[id]; ok && id != o.ID {
-		res.phase = free
+	id := prog.reservationOf[o.ID]
+	delete(prog.reservationOf, o.ID)
+	if res, ok := prog.reservations[id]; ok && id != o.ID {
+		res.phase = phaseFree
 		return nil
 	}
-	drop := prog.drop(o.ID)
-	s.forget(o.Program, prog)
+	drop := prog.dropReservation(o.ID)
+	s.removeIfEmpty(o.Program, prog)
 	return []work.Record{drop}
 }
 
-// Break ends a turn without a whole answer. What it may have spent stays counted.
+// Break ends a turn without a complete answer. Its reservation stays counted as spent.
 func (s *State) Break(o Open) {
 	if prog, ok := s.programs[o.Program]; ok {
 		prog.running--
 	}
 }
 
-// Finish ends a turn with a whole answer and returns the records that say so. Its reservation
-// is kept for the next turn unless another is free; Free must be called for that.
+// Finish ends a turn with a complete answer and returns the records to write. The reservation is kept
+// for a later turn unless another of its size or more is free; Free makes it available.
 func (s *State) Finish(now time.Time, o Open, tokens int, text []byte) (*Turn, []work.Record) {
 	t := &Turn{
 		id: o.ID, program: o.Program, previous: o.Previous,
-		keep: now.Add(o.Retention), tokens: tokens, Text: text,
+		expires: now.Add(o.Retention), tokens: tokens, Text: text,
 	}
-	prog := s.program(o.Program)
+	prog := s.ensureProgram(o.Program)
 	prog.running--
-	s.keepTurn(t)
+	s.storeTurn(t)
 	recs := []work.Record{turnRecord(t)}
-	id := prog.uses[o.ID]
-	res, ok := prog.open[id]
+	id := prog.reservationOf[o.ID]
+	res, ok := prog.reservations[id]
 	if !ok {
 		return t, recs
 	}
-	res.phase = ended
-	if _, other := prog.spare(res.most); other {
-		delete(prog.uses, o.ID)
-		recs = append(recs, prog.drop(id))
+	res.phase = phaseFinished
+	if _, other := prog.smallestFree(res.maxTokens); other {
+		delete(prog.reservationOf, o.ID)
+		recs = append(recs, prog.dropReservation(id))
 	}
 	return t, recs
 }
 
-// Free lets the next turn of the program use the reservation of a turn that has finished. It
-// must be called only once the log holds the turn's end, as written by this owner: until then
-// another owner may count the reservation alone for what the turn has spent.
+// Free makes the reservation of a finished turn available to the program's next turn. It must only be
+// called once this owner has written the turn's end to the log: until then another owner may count the
+// reservation instead of the tokens that the turn has spent.
 func (s *State) Free(o Open) {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return
 	}
-	id, ok := prog.uses[o.ID]
+	id, ok := prog.reservationOf[o.ID]
 	if !ok {
 		return
 	}
-	delete(prog.uses, o.ID)
-	if res, ok := prog.open[id]; ok {
-		res.phase = free
+	delete(prog.reservationOf, o.ID)
+	if res, ok := prog.reservations[id]; ok {
+		res.phase = phaseFree
 	}
 }
 
-// Settle takes back all reservations and grants that no turn uses and returns the records that say so,
-// for an owner that gives the slot up: the next one would count them as spent.
+// Settle releases all reservations and grants that no turn uses and returns the records to write, for
+// an owner that releases the slot: the next owner would count them as spent.
 func (s *State) Settle() []work.Record {
 	var drops []work.Record
 	for name, prog := range s.programs {
-		for id, res := range prog.open {
-			if res.phase == free {
-				drops = append(drops, prog.drop(id))
+		for id, res := range prog.reservations {
+			if res.phase == phaseFree {
+				drops = append(drops, prog.dropReservation(id))
 			}
 		}
-		drops = append(drops, prog.settleGrant(name)...)
-		s.forget(name, prog)
+		drops = append(drops, prog.releaseGrant(name)...)
+		s.removeIfEmpty(name, prog)
 	}
 	return drops
 }
 
-// Expire forgets programs whose time is over and returns the records that drop them, at
-// most limit.
+// Expire removes expired programs and returns the records that drop them, about limit at most: a
+// program is dropped as a whole, and grants do not count.
 func (s *State) Expire(now time.Time, limit int) []work.Record {
 	var drops []work.Record
 	for name, prog := range s.programs {
-		if prog.running > 0 || now.Before(prog.keep.Add(clockSlack)) {
+		if prog.running > 0 || now.Before(prog.expires.Add(clockSlack)) {
 			continue
 		}
-		if len(drops)+len(prog.turns)+len(prog.open) > limit && len(drops) > 0 {
+		if len(drops)+len(prog.turns)+len(prog.reservations) > limit && len(drops) > 0 {
 			continue
 		}
 		for _, t := range prog.turns {
 			drops = append(drops, work.Record{Key: t.key()})
 		}
-		for id := range prog.open {
-			drops = append(drops, work.Record{Key: string(startKey) + id})
+		for id := range prog.reservations {
+			drops = append(drops, work.Record{Key: string(startKeyPrefix) + id})
 		}
 		if prog.grant.logged > 0 {
-			drops = append(drops, work.Record{Key: string(grantKey) + name})
+			drops = append(drops, work.Record{Key: string(grantKeyPrefix) + name})
 		}
 		delete(s.programs, name)
 	}
--- a/gate/chain/chain_test.go
+++ b/gate/chain/chain_test.go
@@ -18,7 +18,7 @@
 	return Open{ID: id, Program: "p", Previous: previous, Most: most, Retention: time.Minute}
 }
 
-func text(turns []*Turn) string {
+func joinText(turns []*Turn) string {
 	var b strings.Builder
 	for _, t := range turns {
 		b.Write(t.Text)
@@ -26,29 +26,30 @@
 	return b.String()
 }
 
-func answer(t *testing.T, s *State, o Open, said string) []work.Record {
+func answerTurn(t *testing.T, s *State, o Open, answerText string) []work.Record {
 	t.Helper()
-	begun, err := s.Start(start, o, -1)
+	startRecs, err := s.Start(start, o, -1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, recs := s.Finish(start, o, 3, []byte(said))
+	_, recs := s.Finish(start, o, 3, []byte(answerText))
 	s.Free(o)
-	return append(begun, recs...)
+	return append(startRecs, recs...)
 }
 
-// logged is what the program p has spent and reserved by what its owner has written.
-func logged(s *State) int {
-	sum := s.program("p").spent
-	for _, res := range s.program("p").open {
-		sum += res.most
+// loggedTokens returns the tokens that program p has spent or reserved according to the log.
+func loggedTokens(s *State) int {
+	sum := s.ensureProgram("p").spent
+	for _, res := range s.ensureProgram("p").reservations {
+		sum += res.maxTokens
 	}
 	return sum
 }
 
-// TestReservationServesTheNextTurn checks that a program under way writes no start for its next
-// turn, that side by side turns do, and that a turn without an end keeps its reservation.
-func TestReservationServesTheNextTurn(t *testing.T) {
+// TestNextTurnReusesReservation checks that a program's next turn reuses a free reservation without a
+// log record, that concurrent turns write their own, and that a turn without a complete answer keeps
+// its reservation.
+func TestNextTurnReusesReservation(t *testing.T) {
 	s := New()
 	starts := func(o Open) int {
 		recs, err := s.Start(start, o, 400)
@@ -60,7 +61,7 @@
 	a, b, c, d := open("a", "", 60), open("b", "a", 60), open("c", "a", 60), open("d", "b", 60)
 	got := []int{starts(a)}
 	s.Finish(start, a, 10, nil)
-	got = append(got, starts(c)) // the log may not hold the end of a yet
+	got = append(got, starts(c)) // the log may not hold the end of turn a yet
 	s.Free(a)
 	got = append(got, starts(b))
 	s.Finish(start, b, 10, nil)
@@ -70,31 +71,31 @@
 	if diff := cmp.Diff([]int{1, 1, 0, 0, 1}, got); diff != "" {
 		t.Errorf("start records (-want +got):\n%s", diff)
 	}
-	if got := s.program("p").bound(); got != 10+10+60+60+60 {
-		t.Errorf("counts %d", got)
+	if got := s.ensureProgram("p").committedTokens(); got != 10+10+60+60+60 {
+		t.Errorf("committed tokens: %d", got)
 	}
 	s.Cancel(d)
 	if got := starts(open("f", "b", 50)); got != 0 {
-		t.Errorf("the reservation of a turn that ran nowhere is not used again: %d records", got)
+		t.Errorf("the reservation of a turn that was not run is not reused: %d records", got)
 	}
 }
 
-// TestSettledReservationsAreNotCounted checks that a planned hand-over costs a program nothing.
-func TestSettledReservationsAreNotCounted(t *testing.T) {
-	s, after := New(), New()
-	recs := answer(t, s, open("a", "", 60), "one")
+// TestSettleDropsFreeReservations checks that a planned handover costs a program none of its budget.
+func TestSettleDropsFreeReservations(t *testing.T) {
+	s, nextOwner := New(), New()
+	recs := answerTurn(t, s, open("a", "", 60), "one")
 	for _, rec := range append(recs, s.Settle()...) {
-		if err := after.Apply(rec); err != nil {
+		if err := nextOwner.Apply(rec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := after.program("p").bound(); got != 3 {
-		t.Errorf("the next owner counts %d", got)
+	if got := nextOwner.ensureProgram("p").committedTokens(); got != 3 {
+		t.Errorf("the next owner counts %d tokens", got)
 	}
 }
 
-// newest folds the records as the log keeps them: the newest of each key.
-func newest(t *testing.T, recs []work.Record) *State {
+// rebuild applies the newest record of each key, which is what the log keeps.
+func rebuild(t *testing.T, recs []work.Record) *State {
 	t.Helper()
 	last := map[string]int{}
 	for i, rec := range recs {
@@ -112,48 +113,48 @@
 	return s
 }
 
-// TestCopyLeavesTheTurnItWasMadeFrom checks that a program of the same slot which goes on from
-// another's turn takes nothing away from it once a new owner has read the log. It did, and a
-// program was told that its history is not kept.
-func TestCopyLeavesTheTurnItWasMadeFrom(t *testing.T) {
+// TestCopyKeepsOriginalTurn checks that a new owner still has a turn that another program of the same
+// slot has copied.
+func TestCopyKeepsOriginalTurn(t *testing.T) {
 	s := New()
-	recs := answer(t, s, open("a", "", 9), "one ")
-	recs = append(recs, answer(t, s, open("b", "a", 9), "two ")...)
+	recs := answerTurn(t, s, open("a", "", 9), "one ")
+	recs = append(recs, answerTurn(t, s, open("b", "a", 9), "two ")...)
 	text1, _ := s.Find("a")
 	recs = append(recs, s.Import(start, "q", "a", text1, time.Minute))
-	after := newest(t, recs)
+	nextOwner := rebuild(t, recs)
 	for _, c := range []struct{ program, id, want string }{{"p", "b", "one two "}, {"q", "a", "one "}} {
-		turns, err := after.Line(c.program, c.id)
-		if err != nil || text(turns) != c.want {
-			t.Errorf("line of %s to %s: %q, %v", c.program, c.id, text(turns), err)
+		turns, err := nextOwner.Line(c.program, c.id)
+		if err != nil || joinText(turns) != c.want {
+			t.Errorf("history of %s up to %s: %q, %v", c.program, c.id, joinText(turns), err)
 		}
 	}
-	if got, ok := after.Find("b"); !ok || string(got) != "one two " {
+	if got, ok := nextOwner.Find("b"); !ok || string(got) != "one two " {
 		t.Errorf("b is found as %q, %v", got, ok)
 	}
 	for _, drop := range s.Expire(start.Add(time.Hour), 100) {
-		if err := after.Apply(drop); err != nil {
+		if err := nextOwner.Apply(drop); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if after.Programs() != 0 {
-		t.Errorf("%d programs are kept", after.Programs())
+	if nextOwner.Programs() != 0 {
+		t.Errorf("%d programs are kept", nextOwner.Programs())
 	}
 }
 
-// TestSeveralLinesGoOnFromOneTurn checks that sub-agents share what came before them.
-func TestSeveralLinesGoOnFromOneTurn(t *testing.T) {
+// TestTurnsBranchFromOneTurn checks that several turns can continue the same turn and share its
+// history.
+func TestTurnsBranchFromOneTurn(t *testing.T) {
 	s := New()
-	answer(t, s, open("a", "", 9), "one ")
-	answer(t, s, open("b", "a", 9), "two ")
-	answer(t, s, open("c", "a", 9), "other ")
+	answerTurn(t, s, open("a", "", 9), "one ")
+	answerTurn(t, s, open("b", "a", 9), "two ")
+	answerTurn(t, s, open("c", "a", 9), "other ")
 	for _, c := range []struct{ id, want string }{{"b", "one two "}, {"c", "one other "}, {"", ""}} {
 		turns, err := s.Line("p", c.id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(c.want, text(turns)); diff != "" {
-			t.Errorf("line to %q (-want +got):\n%s", c.id, diff)
+		if diff := cmp.Diff(c.want, joinText(turns)); diff != "" {
+			t.Errorf("history up to %q (-want +got):\n%s", c.id, diff)
 		}
 	}
 	if _, err := s.Line("p", "x"); !fault.Is(err, fault.NoTurn) {
@@ -164,8 +165,8 @@
 	}
 }
 
-// TestBudgetHoldsForAllOpenTurns checks that turns side by side cannot overspend together.
-func TestBudgetHoldsForAllOpenTurns(t *testing.T) {
+// TestBudgetLimitsConcurrentTurns checks that concurrent turns can't exceed the budget together.
+func TestBudgetLimitsConcurrentTurns(t *testing.T) {
 	s := New()
 	if _, err := s.Start(start, open("a", "", 60), 100); err != nil {
 		t.Fatal(err)
@@ -179,31 +180,31 @@
 	}
 	s.Break(open("c", "", 60))
 	if _, err := s.Start(start, open("d", "", 60), 100); !fault.Is(err, fault.BudgetSpent) {
-		t.Errorf("a broken turn must count at its most: %v", err)
+		t.Errorf("an aborted turn must count at its maximum: %v", err)
 	}
 	s.Cancel(open("c", "", 60))
 	if _, err := s.Start(start, open("e", "", 60), 100); err != nil {
-		t.Errorf("a turn that ran nowhere must not count: %v", err)
+		t.Errorf("a turn that was not run must not count: %v", err)
 	}
 }
 
-// TestRebuildCountsWhatAnOwnerLeftOpen checks that a new owner counts turns without an end.
-func TestRebuildCountsWhatAnOwnerLeftOpen(t *testing.T) {
-	s, after := New(), New()
-	recs := answer(t, s, open("a", "", 60), "one")
-	begun, err := s.Start(start, open("b", "a", 60), 200)
+// TestRebuildCountsUnfinishedTurns checks that a new owner counts turns without an end.
+func TestRebuildCountsUnfinishedTurns(t *testing.T) {
+	s, nextOwner := New(), New()
+	recs := answerTurn(t, s, open("a", "", 60), "one")
+	startRecs, err := s.Start(start, open("b", "a", 60), 200)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, rec := range append(recs, begun...) {
-		if err := after.Apply(rec); err != nil {
+	for _, rec := range append(recs, startRecs...) {
+		if err := nextOwner.Apply(rec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := after.Start(start, open("c", "a", 60), 120); !fault.Is(err, fault.BudgetSpent) {
-		t.Errorf("with the open turn counted at its most: %v", err)
+	if _, err := nextOwner.Start(start, open("c", "a", 60), 120); !fault.Is(err, fault.BudgetSpent) {
+		t.Errorf("with the unfinished turn counted at its maximum: %v", err)
 	}
-	if _, err := after.Start(start, open("c", "a", 60), 123); err != nil {
+	if _, err := nextOwner.Start(start, open("c", "a", 60), 123); err != nil {
 		t.Errorf("3 + 60 + 60 of 123: %v", err)
 	}
 }
@@ -218,12 +219,12 @@
 	}
 }
 
-// TestExpireDropsOnlyWhatIsOver checks that a program under way outlives its retention.
-func TestExpireDropsOnlyWhatIsOver(t *testing.T) {
+// TestExpireKeepsRunningPrograms checks that a program with a turn in progress outlives its retention.
+func TestExpireKeepsRunningPrograms(t *testing.T) {
 	s := New()
-	answer(t, s, open("a", "", 9), "one")
+	answerTurn(t, s, open("a", "", 9), "one")
 	if drops := s.Expire(start.Add(time.Minute), 100); len(drops) != 0 {
-		t.Errorf("dropped within its time: %v", drops)
+		t.Errorf("dropped within its retention: %v", drops)
 	}
 	late := start.Add(2 * time.Minute)
 	if _, err := s.Start(late, open("b", "a", 9), -1); err != nil {
@@ -242,14 +243,14 @@
 	}
 }
 
-// TestLogRebuildsState plays random turns and checks that a state folded from the records
-// has the same lines and the same budget.
+// TestLogRebuildsState runs random turns and checks that a state rebuilt from their records has the
+// same history and budget.
 func TestLogRebuildsState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s, copied := New(), New()
+		s, rebuilt := New(), New()
 		apply := func(recs ...work.Record) {
 			for _, rec := range recs {
-				if err := copied.Apply(rec); err != nil {
+				if err := rebuilt.Apply(rec); err != nil {
 					rt.Fatal(err)
 				}
 			}
@@ -257,11 +258,11 @@
 		done := []string{""}
 		for n := range rapid.IntRange(1, 30).Draw(rt, "turns") {
 			o := open(string(rune('A'+n)), rapid.SampledFrom(done).Draw(rt, "previous"), rapid.IntRange(1, 20).Draw(rt, "most"))
-			begun, err := s.Start(start, o, 200)
+			startRecs, err := s.Start(start, o, 200)
 			if err != nil {
 				continue
 			}
-			apply(begun...)
+			apply(startRecs...)
 			switch rapid.IntRange(0, 2).Draw(rt, "end") {
 			case 0:
 				_, recs := s.Finish(start, o, o.Most/2, []byte(o.ID+o.Previous))
@@ -278,16 +279,16 @@
 		}
 		for _, id := range done {
 			want, _ := s.Line("p", id)
-			got, err := copied.Line("p", id)
-			if err != nil || text(want) != text(got) {
-				rt.Fatalf("line to %q: %q, want %q (%v)", id, text(got), text(want), err)
+			got, err := rebuilt.Line("p", id)
+			if err != nil || joinText(want) != joinText(got) {
+				rt.Fatalf("history up to %q: %q, want %q (%v)", id, joinText(got), joinText(want), err)
 			}
 		}
-		if logged(s) != copied.program("p").bound() {
-			rt.Fatalf("an owner that reads the log counts %d, and %d are logged", copied.program("p").bound(), logged(s))
+		if loggedTokens(s) != rebuilt.ensureProgram("p").committedTokens() {
+			rt.Fatalf("an owner that reads the log counts %d tokens, but %d are logged", rebuilt.ensureProgram("p").committedTokens(), loggedTokens(s))
 		}
-		if own := s.program("p").bound(); own > logged(s) {
-			rt.Fatalf("the owner counts %d, more than the %d that are logged", own, logged(s))
+		if own := s.ensureProgram("p").committedTokens(); own > loggedTokens(s) {
+			rt.Fatalf("the owner counts %d tokens, more than the %d that are logged", own, loggedTokens(s))
 		}
 	})
 }
--- a/gate/chain/codec.go
+++ b/gate/chain/codec.go
@@ -8,12 +8,12 @@
 	"mulleingate.dev/gate/work"
 )
 
-// The first byte of a key says what the record holds.
+// The first byte of a key is the type of the record.
 const (
-	turnKey  = 't'
-	copyKey  = 'c'
-	startKey = 's'
-	grantKey = 'g'
+	turnKeyPrefix  = 't'
+	copyKeyPrefix  = 'c'
+	startKeyPrefix = 's'
+	grantKeyPrefix = 'g'
 )
 
 // turnRecord encodes an answered turn.
@@ -21,31 +21,31 @@
 	raw := make([]byte, 0, len(t.Text)+len(t.program)+len(t.previous)+32)
 	raw = appendText(raw, t.program)
 	raw = appendText(raw, t.previous)
-	raw = binary.AppendUvarint(raw, uint64(t.keep.UnixMilli()))
+	raw = binary.AppendUvarint(raw, uint64(t.expires.UnixMilli()))
 	raw = binary.AppendUvarint(raw, uint64(t.tokens))
 	raw = append(raw, t.Text...)
 	return work.Record{Key: t.key(), Value: raw}
 }
 
-// copySplit stands between the names of a program and of a turn in the key of a copy; no name
-// that callers may send holds it.
-const copySplit = "\x00"
+// copyKeySeparator separates the program and the turn in the key of a copy. Names that callers send
+// can't contain it.
+const copyKeySeparator = "\x00"
 
-// key is the turn's key in the log. A copy has one of its own: the slot may also hold the turn
-// that it was made from.
+// key returns the turn's key in the log. A copy's key includes its program, since the slot may also
+// hold the original.
 func (t *Turn) key() string {
 	if t.copied {
-		return string(copyKey) + t.program + copySplit + t.id
+		return string(copyKeyPrefix) + t.program + copyKeySeparator + t.id
 	}
-	return string(turnKey) + t.id
+	return string(turnKeyPrefix) + t.id
 }
 
-// startRecord encodes a turn that may have begun to run.
-func startRecord(id, program string, most int, keep time.Time) work.Record {
+// startRecord encodes the reservation of a turn that may have begun to run.
+func startRecord(id, program string, maxTokens int, expires time.Time) work.Record {
 	raw := appendText(nil, program)
-	raw = binary.AppendUvarint(raw, uint64(keep.UnixMilli()))
-	raw = binary.AppendUvarint(raw, uint64(most))
-	return work.Record{Key: string(startKey) + id, Value: raw}
+	raw = binary.AppendUvarint(raw, uint64(expires.UnixMilli()))
+	raw = binary.AppendUvarint(raw, uint64(maxTokens))
+	return work.Record{Key: string(startKeyPrefix) + id, Value: raw}
 }
 
 func appendText(raw []byte, text string) []byte {
@@ -53,16 +53,16 @@
 	return append(raw, text...)
 }
 
-// reader takes fields from a record; after the first malformed one it is bad.
+// reader decodes the fields of a record. It sets malformed at the first field that it can't decode.
 type reader struct {
-	raw []byte
-	bad bool
+	raw       []byte
+	malformed bool
 }
 
-func (r *reader) number() uint64 {
+func (r *reader) uvarint() uint64 {
 	n, size := binary.Uvarint(r.raw)
 	if size <= 0 {
-		r.bad = true
+		r.malformed = true
 		r.raw = nil
 		return 0
 	}
@@ -71,9 +71,9 @@
 }
 
 func (r *reader) text() string {
-	n := r.number()
+	n := r.uvarint()
 	if n > uint64(len(r.raw)) {
-		r.bad = true
+		r.malformed = true
 		r.raw = nil
 		return ""
 	}
@@ -82,41 +82,41 @@
 	return text
 }
 
-func (r *reader) moment() time.Time {
-	return time.UnixMilli(int64(r.number()))
+func (r *reader) timestamp() time.Time {
+	return time.UnixMilli(int64(r.uvarint()))
 }
 
 func decodeTurn(id string, raw []byte) (*Turn, error) {
 	r := &reader{raw: raw}
-	t := &Turn{id: id, program: r.text(), previous: r.text(), keep: r.moment(), tokens: int(r.number())}
-	if r.bad || t.program == "" {
+	t := &Turn{id: id, program: r.text(), previous: r.text(), expires: r.timestamp(), tokens: int(r.uvarint())}
+	if r.malformed || t.program == "" {
 		return nil, fault.Fail(fault.Protocol, "malformed turn in the log")
 	}
 	t.Text = append([]byte(nil), r.raw...)
 	return t, nil
 }
 
-func decodeStart(raw []byte) (program string, keep time.Time, most int, err error) {
+func decodeStart(raw []byte) (program string, expires time.Time, maxTokens int, err error) {
 	r := &reader{raw: raw}
-	program, keep, most = r.text(), r.moment(), int(r.number())
-	if r.bad || program == "" {
-		return "", time.Time{}, 0, fault.Fail(fault.Protocol, "malformed start of a turn in the log")
+	program, expires, maxTokens = r.text(), r.timestamp(), int(r.uvarint())
+	if r.malformed || program == "" {
+		return "", time.Time{}, 0, fault.Fail(fault.Protocol, "malformed start record in the log")
 	}
-	return program, keep, most, nil
+	return program, expires, maxTokens, nil
 }
 
-// grantRecord encodes all that a program may have handed out by turns that are not kept.
-func grantRecord(program string, tokens int, keep time.Time) work.Record {
-	raw := binary.AppendUvarint(nil, uint64(keep.UnixMilli()))
+// grantRecord encodes the total that a program's turns without stored answers may have delivered.
+func grantRecord(program string, tokens int, expires time.Time) work.Record {
+	raw := binary.AppendUvarint(nil, uint64(expires.UnixMilli()))
 	raw = binary.AppendUvarint(raw, uint64(tokens))
-	return work.Record{Key: string(grantKey) + program, Value: raw}
+	return work.Record{Key: string(grantKeyPrefix) + program, Value: raw}
 }
 
-func decodeGrant(raw []byte) (keep time.Time, tokens int, err error) {
+func decodeGrant(raw []byte) (expires time.Time, tokens int, err error) {
 	r := &reader{raw: raw}
-	keep, tokens = r.moment(), int(r.number())
-	if r.bad {
+	expires, tokens = r.timestamp(), int(r.uvarint())
+	if r.malformed {
 		return time.Time{}, 0, fault.Fail(fault.Protocol, "malformed grant in the log")
 	}
-	return keep, tokens, nil
+	return expires, tokens, nil
 }
--- a/gate/chain/doc.go
+++ b/gate/chain/doc.go
@@ -1,4 +1,4 @@
-// Package chain holds what an owner knows of the programs of one slot: their turns, the
-// text that later turns go on from, and what their budgets have spent. It is pure state:
-// it makes records for the log and is rebuilt from them.
+// Package chain holds the state of the programs of one slot: their turns, the text that later turns
+// continue from, and the tokens that count against their budgets. It does no I/O: changes return the
+// records to write to the log, and the state is rebuilt from those records.
 package chain
--- a/gate/chain/grant.go
+++ b/gate/chain/grant.go
@@ -8,96 +8,99 @@
 )
 
 const (
-	// aheadTurns is how many turns at their most are granted to a program at once, as far as its
-	// budget holds them. A turn takes about a quarter of its most, so a program of a dozen turns
-	// needs the log once, and goes on while the log is away; more would only make what a lost
-	// owner had granted, and did not spend, larger.
-	aheadTurns = 4
-	// keepAhead is how many retentions a grant is kept in the log from when it is written, so
-	// that the program's later turns need not write it anew.
-	keepAhead = 2
+	// turnsPerGrant is the number of turns at their maximum length that one grant covers, if the budget
+	// allows. A larger grant needs fewer log writes and outlasts longer outages of the log, but wastes
+	// more of the budget when an owner is lost.
+	turnsPerGrant = 4
+	// grantRetentions is the lifetime of a grant in the log, in multiples of the retention, so that
+	// later turns rarely have to renew it.
+	grantRetentions = 2
 )
 
-// grant is what a program's turns spend whose answers are not kept. Turns of that kind name no
-// turn before them, so it is all that says that the program has run before.
+// grant is the part of a program's budget for turns whose answers are not stored. Such turns name no
+// previous turn, so the grant is the only record that the program has run.
 type grant struct {
-	// logged is what the log holds or is about to: all that such turns may have handed out since
-	// the program began. Another owner counts it as spent.
+	// logged is the total that such turns may have delivered since the program began, as the log holds
+	// it or is about to. Another owner counts it as spent.
 	logged int
 	// confirmed is the part of logged that the log has confirmed to this owner.
 	confirmed int
-	// spent is what turns that are over have handed out, or may have for all that this owner
-	// knows. It is never more than logged.
+	// spent is the number of tokens that ended turns have delivered or, if this owner can't know, may
+	// have delivered. It is never more than logged.
 	spent int
-	// drawn is the most of each turn under way.
-	drawn map[string]int
-	// settled says that the slot is given up: turns that end from now on are records of their own.
-	settled bool
-	// keep is until when the log keeps it.
-	keep time.Time
+	// active maps each turn in progress to its maximum number of tokens.
+	active map[string]int
+	// released is set once the slot is being released: each turn that ends from then on is recorded
+	// separately.
+	released bool
+	// expires is when the log may drop the grant.
+	expires time.Time
 }
 
-// used is what turns have handed out and what those under way may.
-func (g *grant) used() int {
+// committedTokens returns the tokens that ended turns have delivered and that turns in progress may
+// deliver.
+func (g *grant) committedTokens() int {
 	sum := g.spent
-	for _, most := range g.drawn {
-		sum += most
+	for _, maxTokens := range g.active {
+		sum += maxTokens
 	}
 	return sum
 }
 
 func (g *grant) empty() bool {
-	return g.logged == 0 && len(g.drawn) == 0
+	return g.logged == 0 && len(g.active) == 0
 }
 
 func (s *State) applyGrant(name string, raw []byte) error {
 	if len(raw) == 0 {
 		if prog, ok := s.programs[name]; ok {
-			prog.grant = grant{drawn: map[string]int{}}
-			s.forget(name, prog)
+			prog.grant = grant{active: map[string]int{}}
+			s.removeIfEmpty(name, prog)
 		}
 		return nil
 	}
-	keep, tokens, err := decodeGrant(raw)
+	expires, tokens, err := decodeGrant(raw)
 	if err != nil {
 		return err
 	}
-	prog := s.program(name)
-	prog.grant = grant{logged: tokens, confirmed: tokens, spent: tokens, drawn: map[string]int{}, keep: keep}
-	prog.keep = later(prog.keep, keep)
+	prog := s.ensureProgram(name)
+	prog.grant = grant{logged: tokens, confirmed: tokens, spent: tokens, active: map[string]int{}, expires: expires}
+	prog.expires = latest(prog.expires, expires)
 	return nil
 }
 
-// Draw begins a turn whose answer is not kept. It returns the record that the log must hold
-// before anything is handed out, or none if the log has granted enough to the program already.
+// Draw begins a turn whose answer is not stored. It returns the record that must be in the log before
+// any output is delivered, or none if the confirmed grant covers the turn. A negative budget means no
+// limit.
 func (s *State) Draw(now time.Time, o Open, budget int) ([]work.Record, error) {
-	prog := s.program(o.Program)
-	used := prog.bound()
+	prog := s.ensureProgram(o.Program)
+	used := prog.committedTokens()
 	if budget >= 0 && used+o.Most > budget {
-		s.forget(o.Program, prog)
-		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not hold another turn")
+		s.removeIfEmpty(o.Program, prog)
+		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not allow another turn")
 	}
 	prog.running++
-	prog.keep = later(prog.keep, now.Add(o.Retention))
+	prog.expires = latest(prog.expires, now.Add(o.Retention))
 	g := &prog.grant
-	need := g.used() + o.Most
-	g.drawn[o.ID] = o.Most
-	if need <= g.confirmed && g.keep.After(now.Add(o.Retention)) {
+	need := g.committedTokens() + o.Most
+	g.active[o.ID] = o.Most
+	if need <= g.confirmed && g.expires.After(now.Add(o.Retention)) {
 		return nil, nil
 	}
 	if need > g.logged {
-		ahead := (aheadTurns - 1) * o.Most
+		ahead := (turnsPerGrant - 1) * o.Most
 		if budget >= 0 {
 			ahead = min(ahead, budget-used-o.Most)
 		}
 		g.logged = need + ahead
 	}
-	g.keep = later(g.keep, now.Add(keepAhead*o.Retention))
-	prog.keep = later(prog.keep, g.keep)
-	return []work.Record{grantRecord(o.Program, g.logged, g.keep)}, nil
+	g.expires = latest(g.expires, now.Add(grantRetentions*o.Retention))
+	prog.expires = latest(prog.expires, g.expires)
+	return []work.Record{grantRecord(o.Program, g.logged, g.expires)}, nil
 }
 
-// Granted is what the log is to hold for the program, for Confirm.
+// Granted returns the size of the program's grant in the log once the queued records are written, for
+// Confirm.
 func (s *State) Granted(name string) int {
 	if prog, ok := s.programs[name]; ok {
 		return prog.grant.logged
@@ -105,44 +108,44 @@
 	return 0
 }
 
-// Confirm notes that the log holds a grant of so many tokens, as written by this owner.
+// Confirm notes that the log holds a grant of the given size, written by this owner.
 func (s *State) Confirm(name string, tokens int) {
 	if prog, ok := s.programs[name]; ok {
 		prog.grant.confirmed = max(prog.grant.confirmed, min(tokens, prog.grant.logged))
 	}
 }
 
-// Return ends a turn that began with Draw and handed out so many tokens. The records that it
-// returns, if any, are for the slot's next owner.
+// Return ends a turn that began with Draw and delivered the given number of tokens. It returns a record
+// only if the slot is being released, for the next owner.
 func (s *State) Return(o Open, tokens int) []work.Record {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return nil
 	}
-	if _, ok := prog.grant.drawn[o.ID]; !ok {
+	if _, ok := prog.grant.active[o.ID]; !ok {
 		return nil
 	}
-	delete(prog.grant.drawn, o.ID)
+	delete(prog.grant.active, o.ID)
 	prog.running--
-	if prog.grant.settled {
-		return []work.Record{startRecord(o.ID, o.Program, tokens, prog.grant.keep)}
+	if prog.grant.released {
+		return []work.Record{startRecord(o.ID, o.Program, tokens, prog.grant.expires)}
 	}
 	prog.grant.spent += tokens
-	s.forget(o.Program, prog)
+	s.removeIfEmpty(o.Program, prog)
 	return nil
 }
 
-// settleGrant takes back what is granted and not spent, and turns each turn under way into a
-// reservation, which its end makes as small as what it handed out.
-func (p *program) settleGrant(name string) []work.Record {
+// releaseGrant reduces the grant to the tokens spent and returns the records to write. Each turn in
+// progress becomes a reservation, which Return reduces to the tokens that the turn delivered.
+func (p *program) releaseGrant(name string) []work.Record {
 	g := &p.grant
-	if g.empty() || g.settled {
+	if g.empty() || g.released {
 		return nil
 	}
-	g.settled = true
-	recs := []work.Record{grantRecord(name, g.spent, g.keep)}
-	for id, most := range g.drawn {
-		recs = append(recs, startRecord(id, name, most, g.keep))
+	g.released = true
+	recs := []work.Record{grantRecord(name, g.spent, g.expires)}
+	for id, maxTokens := range g.active {
+		recs = append(recs, startRecord(id, name, maxTokens, g.expires))
 	}
 	return recs
 }
