--- a/gate/work/call.go
+++ b/gate/work/call.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Replica is a running copy of a service.
+// Replica is a running instance of a service.
 type Replica struct {
-	// ID may be that of a replica that ran before; see Born.
+	// ID may have been used by an earlier instance; see Born.
 	ID      string
 	Service string
 	Addr    netip.AddrPort
 	Zone    string
-	// Slots is the number of calls that it works on at once.
+	// Slots is the number of calls that the replica processes concurrently.
 	Slots int
-	// Cold is how much longer it is slow, at the time when it says so.
+	// Cold is the remaining warm-up time, as of the replica's report.
 	Cold time.Duration
-	// Draining says that it takes no new work.
+	// Draining reports that the replica takes no new work.
 	Draining bool
-	// Born is when it started; zero if it does not say. A replica that starts again under its ID holds and knows
-	// nothing of before.
+	// Born is the time at which the replica started; zero if it is not known. A replica that restarts
+	// with the same ID has lost its earlier state.
 	Born time.Time
 }
 
-// Life names this start of the replica, where prompts that it has read are remembered.
+// Life returns a name for this run of the replica, by which its cached prompts are tracked.
 func (r Replica) Life() string {
 	if r.Born.IsZero() {
 		return r.ID
@@ -34,112 +34,111 @@
 	return r.ID + "@" + strconv.FormatInt(r.Born.UnixMilli(), 10)
 }
 
-// Reborn reports that the replica has started anew since it was known as before.
+// Reborn reports whether the replica has restarted since the earlier description.
 func (r Replica) Reborn(before Replica) bool {
 	return r.Born.After(before.Born) && !before.Born.IsZero()
 }
 
-// Call is one attempt of a caller.
+// Call is one attempt of a caller to have a request served.
 type Call struct {
 	// ID is the caller's name for this attempt; never empty.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as sent by the caller.
 	Target string
-	// Header holds what travels along unchanged.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// KeyDigest is ident.KeyDigest of the caller's key, empty if it showed none; it stays at the box that took
-	// the call. Workspace is the key's, empty for calls without one.
+	// KeyDigest is ident.KeyDigest of the caller's key, empty if the caller sent none; it is not passed
+	// to other boxes. Workspace is the workspace that holds the key, empty for calls without one.
 	KeyDigest string `json:"-"`
 	Workspace string `json:",omitempty"`
-	// Deadline is when the caller stops waiting or the route's timeout ends, whichever is
-	// sooner.
+	// Deadline is the earlier of the caller's deadline and the end of the route's timeout.
 	Deadline time.Time `json:"-"`
-	// Arrived is when the box had read the call.
+	// Arrived is the time at which the box had read the call.
 	Arrived time.Time `json:"-"`
-	// Regions are those in which the call may be served and kept; none bind nothing.
+	// Regions lists the regions in which the call may be served and stored; an empty list allows all.
 	Regions []string `json:",omitempty"`
-	// Priority is the route's, for replicas that serve urgent calls first.
+	// Priority is the route's priority, passed to replicas that order calls by it.
 	Priority int
-	// Prompt describes the prompt of a model call; nil for others.
+	// Prompt describes the prompt of a model call; nil for other calls.
 	Prompt *Prompt
-	// Turn places a model call in its program; nil for calls outside programs.
+	// Turn is the call's turn in a program; nil for calls outside programs.
 	Turn *Turn
 }
 
-// Prompt is what is known of a model call's prompt before it runs.
+// Prompt is what is known of a model call's prompt before the call runs.
 type Prompt struct {
-	// Tokens is the length of the whole prompt; Most bounds the answer.
+	// Tokens is the length of the whole prompt; Most is the maximum length of the answer.
 	Tokens, Most int
 	// Parts are in the order of the prompt.
 	Parts []Part
 }
 
-// Part is a piece of a prompt that several prompts may share.
+// Part is a section of a prompt that several prompts may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Turn places a call in a program.
+// Turn is one step of a program, which is a series of model calls that belong together.
 type Turn struct {
 	Program string
-	// Previous is the call whose answer this turn goes on from; empty at the start.
+	// Previous is the ID of the call that this turn continues; empty for the first turn.
 	Previous string
-	// Budget bounds the tokens of all answers of the program; negative if there is no bound.
+	// Budget limits the tokens of all answers of the program; negative means no limit.
 	Budget int
-	// Left is the time until the program should be over, at the call's arrival; negative if that has
-	// passed, zero if the caller does not say.
+	// Left is the time from the call's arrival to the program's deadline; negative if that has passed,
+	// zero if the caller sent none.
 	Left time.Duration `json:",omitempty"`
-	// Base is the text of the chain up to Previous, where that is a turn of another program.
+	// Base is the text of the chain up to Previous, if that is a turn of another program.
 	Base []byte `json:",omitempty"`
 }
 
-// Head is the status and the headers of an answer.
+// Head is the status and headers of an answer.
 type Head struct {
 	Status int
 	Header http.Header
-	// Length is the number of bytes of the body, or negative if it isn't known before.
+	// Length is the number of bytes of the body, or negative if it isn't known in advance.
 	Length int64
 }
 
-// Answer takes the answer of a call. Its methods are called from one goroutine.
+// Answer receives the answer of a call. Its methods are not called concurrently.
 type Answer interface {
 	// Begin sends the head. It is called once, before any Write.
 	Begin(head Head) error
-	// Write sends bytes of the body at once.
+	// Write sends bytes of the body without buffering.
 	Write(data []byte) error
 }
 
-// Reply is a replica's answer whose head has come.
+// Reply is a replica's answer once its head has arrived.
 type Reply struct {
 	Head Head
-	// NotRun is the replica's word that it did not run the call.
+	// NotRun reports that the replica declared that it did not run the call.
 	NotRun bool
-	// Sound says that the answer carries the replica's proof of origin.
+	// Sound reports whether the answer carries the replica's signature and has no content encoding.
 	Sound bool
-	// Body ends with io.EOF only after the whole answer.
+	// Body returns io.EOF only after the complete answer.
 	Body Body
 }
 
 // Body is the body of an answer.
 type Body interface {
 	io.Reader
-	// Close gives the connection back after a whole answer and cuts it otherwise. It must be
-	// called.
+	// Close returns the connection to its pool after a complete answer and closes it otherwise. It must
+	// be called.
 	Close()
 }
 
-// Load is how busy a model replica is by its own report.
+// Load is the load that a model replica reports.
 type Load struct {
-	// Running and Waiting are calls.
+	// Running and Waiting are numbers of calls.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Used and Total are its memory for prompts, in tokens.
+	// Used and Total are the used part and the size of the replica's memory for prompts, in tokens.
 	Used  int `json:"used"`
 	Total int `json:"total"`
-	// Born is when the replica started that tells it; zero if it does not say.
+	// Born is the time at which the reporting replica started; zero if it is not known.
 	Born time.Time `json:"born,omitzero"`
 }
--- a/gate/work/config.go
+++ b/gate/work/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind says how often a call of a route may run.
+// Kind is how often a route's calls may run and how they are answered.
 type Kind string
 
 // The kinds of routes.
@@ -18,14 +18,14 @@
 	Stream Kind = "stream"
 )
 
-// Split is a share of a route's calls that goes to a service.
+// Split is the share of a route's calls that goes to a service.
 type Split struct {
 	Service string
 	// Weight is relative to the other splits of the route; never negative.
 	Weight int
 }
 
-// Route tells where calls of a host and path prefix go.
+// Route maps calls for a host and path prefix to services.
 type Route struct {
 	Name string
 	// Host is in lower case, without a port.
@@ -35,54 +35,54 @@
 	Kind   Kind
 	// Timeout bounds a call from its arrival to the end of its answer.
 	Timeout time.Duration
-	// Objective is the time to the first byte within which an answer has its full worth.
+	// Objective is the target time to the first byte of an answer.
 	Objective time.Duration
 	// Priority is 0 for the most urgent calls.
 	Priority int
 	// Splits holds at least one service.
 	Splits []Split
-	// Public says that it takes calls without a key.
+	// Public reports whether the route accepts calls without a key.
 	Public bool
-	// Regions are those in which calls may be served and kept; none bind nothing.
+	// Regions lists the regions in which calls may be served and stored; an empty list allows all.
 	Regions []string
-	// Attempts is the largest number of replicas that one call may be sent to; at least 1.
+	// Attempts is the maximum number of replicas that one call may be sent to; at least 1.
 	Attempts int
-	// Stateful says that the system keeps the turns of programs on this route.
+	// Stateful reports whether the system stores the turns of programs on this route.
 	Stateful bool
-	// Resumable says that a replica can go on with an answer that another has begun, behind the
-	// event whose id it is given.
+	// Resumable reports whether another replica can continue a partial answer after the event with a
+	// given id.
 	Resumable bool
-	// Retention is how long an answered turn is kept after its end, and what a program has spent
-	// after its last turn.
+	// Retention is how long an answered turn is stored after its end, and a program's token count after
+	// its last turn.
 	Retention time.Duration
-	// Stride is the tokens in one event of an answer, the most of the route's services; zero
-	// for plain services. It travels with the route, since the box that owns a program may
-	// know no configuration yet.
+	// Stride is the number of tokens in one event of an answer, the maximum over the route's services;
+	// zero for plain services. It is sent along with the route, since the box that owns the program may
+	// not have loaded a configuration yet.
 	Stride int
 }
 
-// Service is a group of replicas that run the same calls.
+// Service is a group of replicas that serve the same calls.
 type Service struct {
 	Name string
-	// Connections bounds the connections that one replica takes from all callers together.
+	// Connections bounds the connections to one replica from all boxes together.
 	Connections int
-	// ColdFor is how long a replica is cold after a start, and ColdRate the calls a second that all boxes together
-	// may send it then; 0 if it bears as many as ever.
+	// ColdFor is the warm-up time of a replica after its start, and ColdRate the calls a second that
+	// all boxes together may send to it during that time; 0 means no limit.
 	ColdFor  time.Duration
 	ColdRate float64
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Engine tells what a model replica can do.
+// Engine describes the capacity of a model replica.
 type Engine struct {
-	// Slots is the largest batch.
+	// Slots is the maximum batch size.
 	Slots int
 	// Stride is the number of tokens in one event of an answer.
 	Stride int
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bounds the size of requests and how long clients may take.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -90,19 +90,19 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the operators' configuration. It is never changed once made.
+// Config is one version of the operators' configuration. It must not be modified once it is in use.
 type Config struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Callers is nil where anyone may call.
+	// Callers is nil if calls need no key.
 	Callers *Callers
 
 	byHost map[string][]*Route
 }
 
-// NewConfig makes a configuration and its index of routes.
+// NewConfig returns a configuration with an index of its routes by host.
 func NewConfig(version int64, routes []Route, services []Service, limits Limits) *Config {
 	conf := &Config{
 		Version: version, Routes: routes, Limits: limits,
@@ -119,15 +119,15 @@
 	return conf
 }
 
-// stride is the most tokens in one event of the route's services.
+// stride returns the maximum number of tokens in one event over the route's services.
 func (c *Config) stride(route *Route) int {
-	most := 0
+	maxStride := 0
 	for _, split := range route.Splits {
 		if engine := c.Services[split.Service].Engine; engine != nil {
-			most = max(most, engine.Stride)
+			maxStride = max(maxStride, engine.Stride)
 		}
 	}
-	return most
+	return maxStride
 }
 
 // Find returns the host's route with the longest prefix of the path, or nil.
@@ -141,10 +141,10 @@
 	return best
 }
 
-// hostName is the host in lower case without its port.
+// hostName returns the host in lower case without its port.
 func hostName(host string) string {
-	if cut := strings.LastIndexByte(host, ':'); cut >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:cut]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
--- a/gate/work/copy.go
+++ b/gate/work/copy.go
@@ -9,26 +9,26 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Push writes bytes to whoever asked, and sends them at once if flush is not nil. What gone
-// says is the fault's detail if they have left.
-func Push(w io.Writer, flush *http.ResponseController, data []byte, gone string) error {
+// Push writes data to the client and flushes it if flush is not nil. A write error is returned as a
+// CallerGone fault with the given detail.
+func Push(w io.Writer, flush *http.ResponseController, data []byte, detail string) error {
 	_, err := w.Write(data)
 	if err == nil && flush != nil {
 		err = flush.Flush()
 	}
 	if err != nil {
-		return fault.Fail(fault.CallerGone, gone).Because(err)
+		return fault.Fail(fault.CallerGone, detail).Because(err)
 	}
 	return nil
 }
 
-// copyBuffer is enough for some events, in bytes.
-const copyBuffer = 4 << 10
+// copyBufferSize is the size in bytes of the buffer of Copy, which fits several events.
+const copyBufferSize = 4 << 10
 
-// Copy passes a body on as it comes. A body that breaks off is a fault of the kind; what
-// fails at the answer's side is returned as it is.
-func Copy(from io.Reader, out Answer, broken fault.Kind) error {
-	buf := make([]byte, copyBuffer)
+// Copy forwards a body as it arrives. A read error is returned as a fault of kind readFault, a write
+// error unchanged.
+func Copy(from io.Reader, out Answer, readFault fault.Kind) error {
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
@@ -40,7 +40,7 @@
 			return nil
 		}
 		if err != nil {
-			return fault.Fail(broken, "the answer broke off").Because(err)
+			return fault.Fail(readFault, "the answer broke off").Because(err)
 		}
 	}
 }
--- a/gate/work/doc.go
+++ b/gate/work/doc.go
@@ -1,3 +1,3 @@
-// Package work holds the plain types of calls that a box passes through: routes, replicas,
-// boxes, calls and their answers, and the records that a box keeps in the log.
+// Package work defines the data types that boxes share: routes, services, replicas, boxes, workspaces,
+// calls and their answers, and the records that a box stores in the log.
 package work
--- a/gate/work/log.go
+++ b/gate/work/log.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Log is the platform's log as a box uses it. All its calls may be made again.
+// Log is the platform's log as a box uses it. All of its calls may be retried.
 type Log interface {
-	// Append adds the records in one call, all or none. A fault NotOwner means that another
-	// writer has fenced this one off; NotRun means that nothing was added; after any other fault
-	// the records may have been added. The same number may be sent again.
+	// Append adds all of the records or none. NotOwner means that another writer has fenced this one
+	// off, and NotRun that nothing was added; after any other fault the records may have been added. An
+	// append may be retried with the same number.
 	Append(ctx context.Context, shard Shard, writer Writer, recs []Record) error
-	// Newest returns the newest records of the keys behind after, as many as fit one answer; an empty after
-	// begins with the first key.
+	// Newest returns the newest record of each key that sorts after the given key, as many as fit into
+	// one answer. An empty key starts from the beginning.
 	Newest(ctx context.Context, shard Shard, after string) (Batch, error)
-	// Read returns as soon as there are records from the offset on, or after wait. A fault
-	// HistoryGone means that they are no longer kept.
+	// Read returns as soon as there are records at or after the offset, or once wait has passed.
+	// HistoryGone means that records at the offset are no longer stored.
 	Read(ctx context.Context, shard Shard, from int64, wait time.Duration) (Page, error)
-	// Join keeps the member in the fleet for ttl. The generation rises with each change of the
-	// fleet; the one heard last is handed back.
+	// Join adds the member to the fleet, or renews its membership, for ttl. The generation increases
+	// with each change of the fleet; the caller passes the one that it received last, and the current
+	// one is returned.
 	Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error)
-	// Leave takes the member out of the fleet.
+	// Leave removes the member from the fleet.
 	Leave(ctx context.Context, member string) error
 	// Members returns all members of the fleet.
 	Members(ctx context.Context) ([]string, error)
 }
 
-// Batch is some of the newest records of a shard, by key.
+// Batch is part of the newest records of a shard, ordered by key.
 type Batch struct {
 	Records []Record
-	// After is the key to go on behind; empty if there are no more.
+	// After is the key from which to continue with Newest; empty after the last batch.
 	After string
-	// Next is an offset from which Read tells all that was added since this batch was read.
+	// Next is an offset from which Read returns all records added since this batch was read.
 	Next int64
 }
 
-// Pages is the part of a log that AllNewest uses.
+// Pages is the part of Log that AllNewest uses.
 type Pages interface {
 	Newest(ctx context.Context, shard Shard, after string) (Batch, error)
 }
 
-// AllNewest hands out the newest record of each key and returns an offset from which Read tells all that was
-// added meanwhile. Each answer may take wait: a shard takes as long to read as it is large.
+// AllNewest calls each with the newest record of every key and returns an offset from which Read
+// returns all records added meanwhile. Each call to the log may take wait; the total is not bounded,
+// since it depends on the size of the shard.
 func AllNewest(ctx context.Context, log Pages, shard Shard, wait time.Duration, each func(Record)) (next int64, err error) {
 	next, after := int64(-1), ""
 	for {
-		batch, err := oneBatch(ctx, log, shard, wait, after)
+		batch, err := newestBatch(ctx, log, shard, wait, after)
 		if err != nil {
 			return 0, err
 		}
 		if next < 0 {
-			next = batch.Next // what is written while the others are read lies behind it
+			next = batch.Next // covers records added while later batches are read
 		}
 		for _, rec := range batch.Records {
 			each(rec)
@@ -62,7 +64,7 @@
 	}
 }
 
-func oneBatch(ctx context.Context, log Pages, shard Shard, wait time.Duration, after string) (Batch, error) {
+func newestBatch(ctx context.Context, log Pages, shard Shard, wait time.Duration, after string) (Batch, error) {
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	return log.Newest(ctx, shard, after)
--- a/gate/work/member_test.go
+++ b/gate/work/member_test.go
@@ -10,8 +10,8 @@
 	"mulleingate.dev/base/fault"
 )
 
-// TestMember checks that a box is read as it was written, and that nothing else is taken for one.
-func TestMember(t *testing.T) {
+// TestMemberRoundTrip checks that ParseMember reads what Member writes and rejects malformed members.
+func TestMemberRoundTrip(t *testing.T) {
 	box := Box{Name: "b-1", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: "i", Cores: 0.192, Link: 30}
 	got, err := ParseMember(box.Member())
 	if err != nil {
--- a/gate/work/region.go
+++ b/gate/work/region.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Regions tells the region of each availability zone.
+// Regions maps each availability zone to its region.
 type Regions map[string]string
 
-// Allow reports whether what is bound to the allowed regions may be in the availability zone. None bind nothing.
+// Allow reports whether the zone is in one of the allowed regions. An empty list allows all regions.
 func (r Regions) Allow(allowed []string, zone string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, r[zone])
 }
 
-// BothRegions returns the regions that two bounds allow together; none bind nothing. It returns false if the two
-// have no region in common.
+// BothRegions returns the intersection of two lists of allowed regions, where an empty list allows all.
+// It returns false if the two lists have no region in common.
 func BothRegions(a, b []string) ([]string, bool) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b), true
--- a/gate/work/space.go
+++ b/gate/work/space.go
@@ -2,27 +2,28 @@
 
 import "mulleingate.dev/base/ident"
 
-// Workspace is a customer whose callers hold keys.
+// Workspace is a customer whose callers use keys.
 type Workspace struct {
 	Name string
-	// KeyDigests holds ident.KeyDigest of each key of its callers.
+	// KeyDigests holds ident.KeyDigest of each key of the workspace.
 	KeyDigests []string
-	// Regions are those in which its calls may be served and kept; none bind nothing.
+	// Regions lists the regions in which its calls may be served and stored; an empty list allows all.
 	Regions []string
-	// Priority ranks its calls before those of other workspaces, 0 first; routes rank them within it.
+	// Priority ranks its calls before those of other workspaces, 0 first; within a workspace the
+	// route's priority decides.
 	Priority int
-	// Rate is the calls a second that its callers may make at all boxes together, and Burst how many more
-	// at once. A Rate of zero sets no bound.
+	// Rate is the calls a second that its callers may make at all boxes together, and Burst how many
+	// more they may make at once. A Rate of zero means no limit.
 	Rate, Burst float64
 }
 
-// Callers says who may call. It is never changed once made.
+// Callers is the index of workspaces by name and key. It must not be modified once it is in use.
 type Callers struct {
 	byName   map[string]Workspace
 	byDigest map[string]string
 }
 
-// NewCallers makes the index of workspaces by their keys.
+// NewCallers returns an index of the workspaces.
 func NewCallers(list []Workspace) *Callers {
 	callers := &Callers{byName: map[string]Workspace{}, byDigest: map[string]string{}}
 	for _, space := range list {
@@ -34,7 +35,7 @@
 	return callers
 }
 
-// Holder returns the workspace that holds the key of a digest.
+// Holder returns the workspace that holds the key with the digest.
 func (c *Callers) Holder(digest string) (Workspace, bool) {
 	name, ok := c.byDigest[digest]
 	if !ok || digest == "" {
@@ -43,35 +44,35 @@
 	return c.byName[name], true
 }
 
-// All returns the workspaces by their names.
+// All returns the workspaces by name. The map must not be modified.
 func (c *Callers) All() map[string]Workspace {
 	return c.byName
 }
 
-// Workspace returns the workspace of a name.
+// Workspace returns the workspace with the name.
 func (c *Callers) Workspace(name string) (Workspace, bool) {
 	space, ok := c.byName[name]
 	return space, ok
 }
 
 const (
-	// ownerMark stands between a workspace and a name that one of its callers gave: no caller can send it
-	// in a header.
-	ownerMark = "\x01"
-	// maxOwner bounds what stands before the mark, in bytes, since two names and their marks make a key of
-	// the log, which has 255. Of a longer workspace's name its digest stands there.
-	maxOwner = 24
+	// workspaceSeparator separates the workspace from a name given by one of its callers. Callers can't
+	// send it in a header.
+	workspaceSeparator = "\x01"
+	// maxWorkspacePrefix bounds the part before workspaceSeparator, in bytes, since two such names must
+	// fit into a log key of at most 255 bytes. A longer workspace name is replaced by its digest.
+	maxWorkspacePrefix = 24
 )
 
-// Own is a caller's name for a program or a turn as it is kept and searched for: such names prove nothing, and
-// those of two workspaces never meet. An empty name stays empty.
+// Own qualifies a caller's name for a program or a turn with the workspace, so that workspaces can't
+// reach each other's programs by guessing names. An empty name stays empty.
 func (c *Call) Own(name string) string {
 	if c.Workspace == "" || name == "" {
 		return name
 	}
-	owner := c.Workspace
-	if len(owner) > maxOwner {
-		owner = ownerMark + ident.KeyDigest(owner)[:maxOwner-len(ownerMark)]
+	prefix := c.Workspace
+	if len(prefix) > maxWorkspacePrefix {
+		prefix = workspaceSeparator + ident.KeyDigest(prefix)[:maxWorkspacePrefix-len(workspaceSeparator)]
 	}
-	return owner + ownerMark + name
+	return prefix + workspaceSeparator + name
 }
