--- a/gate/view/doc.go
+++ b/gate/view/doc.go
@@ -1,3 +1,4 @@
-// Package view knows which boxes live. Each box joins the fleet again and again in the log,
-// which takes out those that fall silent. The view steers; it never decides who may write.
+// Package view tracks which boxes of the fleet are live. Every box renews its membership in the log with
+// heartbeats; a membership that is not renewed expires. The view routes calls and proposes owners of
+// slots. It does not decide which box may write: the log fences off former owners.
 package view
--- a/gate/view/owners.go
+++ b/gate/view/owners.go
@@ -5,111 +5,113 @@
 	"mulleingate.dev/gate/work"
 )
 
-// ranks keeps who should own the slots, for as long as the same boxes live: each call of a program asks.
-type ranks struct {
+// rankCache caches the ranked owners of slots and the quota counters for one list of live boxes, since every
+// call to a program looks them up.
+type rankCache struct {
 	live []work.Box
-	// owners holds the first of each slot's rendezvous, best first, by the slot's name.
+	// owners holds the first cachedOwners boxes of each slot's rendezvous ranking, best first, by slot name.
 	owners map[string][]work.Box
-	// counters holds who counts a workspace's quota in an availability zone.
-	counters map[inZone]work.Box
+	// counters holds the box that counts a workspace's quota in a zone. Its name is empty if the zone has no box.
+	counters map[workspaceZone]work.Box
 }
 
-// inZone is a workspace in an availability zone.
-type inZone struct{ workspace, zone string }
+// workspaceZone identifies a workspace within an availability zone.
+type workspaceZone struct{ workspace, zone string }
 
-// keptRanks is how many boxes are kept for a slot: those that are asked while boxes come and go.
-const keptRanks = 4
+// cachedOwners is how many owners are cached per slot. Callers ask for more than one while boxes join and
+// leave.
+const cachedOwners = 4
 
-// of returns the n boxes that come first in the slot's rendezvous.
-func (r *ranks) of(live []work.Box, slot string, n int) []work.Box {
-	if n > keptRanks {
-		return rank(live, slot, n)
+// topOwners returns the n highest-ranked boxes for the slot.
+func (r *rankCache) topOwners(live []work.Box, slot string, n int) []work.Box {
+	if n > cachedOwners {
+		return rankOwners(live, slot, n)
 	}
-	r.renew(live)
-	kept, ok := r.owners[slot]
+	r.resetIfChanged(live)
+	cached, ok := r.owners[slot]
 	if !ok {
-		kept = rank(live, slot, keptRanks)
-		r.owners[slot] = kept
+		cached = rankOwners(live, slot, cachedOwners)
+		r.owners[slot] = cached
 	}
-	return kept[:min(n, len(kept)):min(n, len(kept))]
+	return cached[:min(n, len(cached)):min(n, len(cached))]
 }
 
-// renew forgets what was kept for other boxes.
-func (r *ranks) renew(live []work.Box) {
-	if r.owners == nil || !same(r.live, live) {
-		r.live, r.owners, r.counters = live, map[string][]work.Box{}, map[inZone]work.Box{}
+// resetIfChanged clears the cache if the list of live boxes was replaced.
+func (r *rankCache) resetIfChanged(live []work.Box) {
+	if r.owners == nil || !sameSlice(r.live, live) {
+		r.live, r.owners, r.counters = live, map[string][]work.Box{}, map[workspaceZone]work.Box{}
 	}
 }
 
-// counter is the winner of the workspace's rendezvous among the zone's boxes; false if it has none.
-func (r *ranks) counter(live []work.Box, workspace, zone string) (work.Box, bool) {
-	r.renew(live)
-	key := inZone{workspace, zone}
+// quotaCounter returns the zone's highest-ranked box for the workspace; false if the zone has no live box.
+func (r *rankCache) quotaCounter(live []work.Box, workspace, zone string) (work.Box, bool) {
+	r.resetIfChanged(live)
+	key := workspaceZone{workspace, zone}
 	if box, ok := r.counters[key]; ok {
 		return box, box.Name != ""
 	}
-	var near []work.Box
+	var zoneBoxes []work.Box
 	for _, box := range live {
 		if box.Zone == zone {
-			near = append(near, box)
+			zoneBoxes = append(zoneBoxes, box)
 		}
 	}
 	var winner work.Box
-	if first := rank(near, workspace, 1); len(first) > 0 {
+	if first := rankOwners(zoneBoxes, workspace, 1); len(first) > 0 {
 		winner = first[0]
 	}
 	r.counters[key] = winner
 	return winner, winner.Name != ""
 }
 
-// same reports whether both are the same list, not only alike.
-func same(a, b []work.Box) bool {
+// sameSlice reports whether both slices share their backing array and length, not only their contents.
+func sameSlice(a, b []work.Box) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func rank(live []work.Box, slot string, n int) []work.Box {
+// rankOwners returns the n highest-ranked boxes for the slot by weighted rendezvous hashing.
+func rankOwners(live []work.Box, slot string, n int) []work.Box {
 	var owners []work.Box
-	for _, i := range ident.Shared(slot, len(live), func(i int) (string, float64) { return live[i].Name, slotShare(live[i]) }, n) {
+	for _, i := range ident.Shared(slot, len(live), func(i int) (string, float64) { return live[i].Name, slotWeight(live[i]) }, n) {
 		owners = append(owners, live[i])
 	}
 	return owners
 }
 
 const (
-	// turnCores is the processor time that a turn costs its owner, in core milliseconds, and turnBits what it
-	// carries, in Mbit: prompt, answer and record. They only weigh a box's processor against its link.
-	turnCores = 2
-	turnBits  = 0.2
+	// turnCoreMillis is the processor time that a turn costs its owner, in core milliseconds; turnMbits is the
+	// data that it transfers, in Mbit. They only set the relative weight of processor and link.
+	turnCoreMillis = 2
+	turnMbits      = 0.2
 )
 
-// slotShare is a box's share of the slots. It grows with the square of its speed: a slot's turns take as
-// much longer on a slower box as that is slower, one slot fills more of it, and it reads a slot that it
-// takes over for longer. Of 195 boxes with 48 slots, 156 of which have a quarter of the others' processor and
-// a twentieth of their link, 5 slots live on those in place of 38.
-func slotShare(box work.Box) float64 {
-	spent := 0.0
+// slotWeight returns the box's weight in the ranking of owners. It grows with the square of the box's speed: on
+// a slower box turns take longer, each slot uses more of the capacity, and reading a slot after a takeover
+// takes longer too.
+func slotWeight(box work.Box) float64 {
+	cost := 0.0
 	if box.Cores > 0 {
-		spent += turnCores / box.Cores
+		cost += turnCoreMillis / box.Cores
 	}
 	if box.Link > 0 {
 		const milliseconds = 1000
-		spent += milliseconds * turnBits / box.Link
+		cost += milliseconds * turnMbits / box.Link
 	}
-	if spent == 0 {
+	if cost == 0 {
 		return 1
 	}
-	return 1 / (spent * spent)
+	return 1 / (cost * cost)
 }
 
-// Counter is the box of an availability zone that counts a workspace's quota.
+// Counter returns the box that counts the workspace's quota in the availability zone; false if the zone has no
+// live box.
 func (v *View) Counter(workspace, zone string) (work.Box, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.ranks.counter(v.live, workspace, zone)
+	return v.rankCache.quotaCounter(v.live, workspace, zone)
 }
 
-// Owner is the box that should own a slot: the rendezvous winner among those that live, each by what it
-// can do.
+// Owner returns the live box that should own the slot, by weighted rendezvous hashing; false if there is none.
 func (v *View) Owner(slot string) (work.Box, bool) {
 	owners := v.Owners(slot, 1)
 	if len(owners) == 0 {
@@ -118,10 +120,10 @@
 	return owners[0], true
 }
 
-// Owners returns the winner and the next n-1 boxes of the slot's rendezvous, best first: where
-// a box has just come, the one behind it held its slots until then.
+// Owners returns up to n live boxes for the slot, best first. The first should own the slot; after it has just
+// joined, the second may still hold the slot.
 func (v *View) Owners(slot string, n int) []work.Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.ranks.of(v.live, slot, n)
+	return v.rankCache.topOwners(v.live, slot, n)
 }
--- a/gate/view/reached.go
+++ b/gate/view/reached.go
@@ -6,41 +6,41 @@
 	"mulleingate.dev/gate/work"
 )
 
-// failure is a row of failed calls to a box.
-type failure struct{ first, last time.Time }
+// failureStreak holds when the first and the last of a box's recent failed calls happened.
+type failureStreak struct{ first, last time.Time }
 
-// Unreached notes that a call to the box failed to reach it.
+// Unreached records that a call failed to reach the box.
 func (v *View) Unreached(box work.Box) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	f, ok := v.unreached[box.Name]
+	streak, ok := v.failures[box.Name]
 	if !ok {
-		f.first = now
+		streak.first = now
 	}
-	f.last = now
-	v.unreached[box.Name] = f
+	streak.last = now
+	v.failures[box.Name] = streak
 }
 
-// JustUnreached reports that the box could not be reached a moment ago. Another try would keep a
-// caller waiting for nothing.
+// JustUnreached reports whether a call failed to reach the box within unreachableBackoff. Callers then skip
+// the box in place of waiting for another failure.
 func (v *View) JustUnreached(box work.Box) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	f, ok := v.unreached[box.Name]
-	return ok && time.Since(f.last) < retryUnreached
+	streak, ok := v.failures[box.Name]
+	return ok && time.Since(streak.last) < unreachableBackoff
 }
 
-// TakeoverIn is how long it takes until a slot of the box is likely to have another owner, or
-// until this box itself may claim its slots.
+// TakeoverIn estimates how long it takes until a slot of the box has another owner or, for this box, until
+// it may claim slots itself.
 func (v *View) TakeoverIn(box work.Box) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	left := time.Duration(0)
+	remaining := time.Duration(0)
 	if box.Name == v.self.Name {
-		left = time.Until(v.since.Add(v.quarantine()))
-	} else if f, ok := v.unreached[box.Name]; ok {
-		left = time.Until(f.first.Add(v.hold() + v.timing.Beat))
+		remaining = time.Until(v.answeringSince.Add(v.settlePeriod()))
+	} else if streak, ok := v.failures[box.Name]; ok {
+		remaining = time.Until(streak.first.Add(v.memberTTL() + v.timing.Beat))
 	}
-	return max(left, 0) + claimTime
+	return max(remaining, 0) + claimDuration
 }
--- a/gate/view/view.go
+++ b/gate/view/view.go
@@ -11,25 +11,27 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Log is the part of the log that a view uses.
+// Log is the part of the log that a view uses to keep the fleet's members.
 type Log interface {
-	// Join keeps the member in the fleet for ttl. The generation rises with each change of the
-	// fleet; the one heard last is handed back.
+	// Join adds the member to the fleet or renews it for ttl. It takes the last generation that the caller
+	// got and returns the current one, which rises with each change of the fleet.
 	Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error)
+	// Leave removes the member from the fleet.
 	Leave(ctx context.Context, member string) error
-	// Members returns all members, as of the generation or later.
+	// Members returns all members, as of the generation or a later one.
 	Members(ctx context.Context, generation int64) ([]string, error)
 }
 
-// entry is what is known of one other box.
-type entry struct {
+// peerState is what the view knows about another box.
+type peerState struct {
 	work.Box
-	// member says that the log named the box when it was last asked.
+	// member reports whether the last list of members included the box.
 	member bool
-	heard  time.Time
+	// lastSeen is when the box was last listed as a member or, for a box that left, when it announced that.
+	lastSeen time.Time
 }
 
-// View is the service.
+// View is the service that tracks the live boxes.
 type View struct {
 	self   work.Box
 	log    Log
@@ -38,67 +40,73 @@
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	// joining holds a token while a heartbeat is under way, so that none follows the word that
-	// the box leaves; stopJoin ends the one under way.
-	joining chan struct{}
-
-	mu       sync.Mutex
-	leaving  bool
-	stopJoin context.CancelFunc
-	others   map[string]entry
-	// left holds boxes that said that they leave, as they were heard last.
-	left map[string]entry
-	// before is a box's start before the one that is known.
-	before map[string]string
-	// unreached holds boxes to which calls failed lately.
-	unreached map[string]failure
-	// generation is the one heard last, known the one whose members were read.
-	generation, known int64
-	// again is when the members of the known generation are read once more: a new member is
-	// named only after others have joined again.
-	again   time.Time
-	rereads int
-	// took is how long the log's last answer took.
-	took time.Duration
-	// begun is when the box started.
-	begun time.Time
-	// since is when the box began to listen without a break.
-	since   time.Time
+	// joinSem is a semaphore of one, held during a heartbeat, so that none reaches the log after this box
+	// has left; cancelJoin cancels the heartbeat under way.
+	joinSem chan struct{}
+
+	mu         sync.Mutex
+	leaving    bool
+	cancelJoin context.CancelFunc
+	// peers holds the other boxes by name; they count as live.
+	peers map[string]peerState
+	// departed holds boxes that announced that they leave, by name.
+	departed map[string]peerState
+	// previousIncarnations holds the incarnation that each restarted box had before its current one, by name.
+	previousIncarnations map[string]string
+	// failures holds the recent failed calls to boxes, by name.
+	failures map[string]failureStreak
+	// generation is the newest one that the log returned; membersGeneration is the one whose members were read
+	// last, or -1 if they must be read.
+	generation, membersGeneration int64
+	// rereadAt is when the members are read again though the generation has not changed: the log lists a new
+	// member only after others have joined with the new generation.
+	rereadAt time.Time
+	// rereadsLeft is the number of such reads that are left.
+	rereadsLeft int
+	// logLatency is the latency of the last successful heartbeat.
+	logLatency time.Duration
+	// startedAt is when the view was started.
+	startedAt time.Time
+	// answeringSince is the start of the current period in which the log has answered without a gap.
+	answeringSince time.Time
+	// settled reports whether that period is long enough and the members have been read.
 	settled bool
 	// trusted is set once the view has settled for the first time.
 	trusted bool
-	// saidAt is when the newest heartbeat was sent that the log has confirmed, readAt when the
-	// confirmation came.
-	saidAt, readAt time.Time
-	// live is sorted by name and holds this box too unless it leaves. It is replaced only when it changes.
+	// heartbeatSentAt is when the newest heartbeat that the log confirmed was sent; heartbeatConfirmedAt is when
+	// the confirmation arrived.
+	heartbeatSentAt, heartbeatConfirmedAt time.Time
+	// live is sorted by name and includes this box unless it is leaving. It is never modified in place.
 	live []work.Box
-	// moved says that live is to be made anew.
-	moved bool
-	// boxes holds the members of the list that was taken last, by their texts.
-	boxes map[string]work.Box
-	// ranks is who should own the slots among live.
-	ranks   ranks
-	changed []func()
+	// liveChanged is set if live must be rebuilt.
+	liveChanged bool
+	// parsedMembers caches the parsed members of the last list, by their text form.
+	parsedMembers map[string]work.Box
+	// rankCache caches the owners of slots for live.
+	rankCache rankCache
+	// onChange holds the callbacks of OnChange.
+	onChange []func()
 }
 
-// New makes a view of a box that has not started.
+// New returns a view for the box self, which is not started yet.
 func New(self work.Box, log Log, timing Timing, logger *slog.Logger) *View {
 	return &View{
-		self: self, log: log, timing: timing, logger: logger, live: []work.Box{self}, known: -1, joining: make(chan struct{}, 1), stopJoin: func() {},
-		others: map[string]entry{}, left: map[string]entry{}, before: map[string]string{}, unreached: map[string]failure{},
+		self: self, log: log, timing: timing, logger: logger, live: []work.Box{self}, membersGeneration: -1, joinSem: make(chan struct{}, 1), cancelJoin: func() {},
+		peers: map[string]peerState{}, departed: map[string]peerState{}, previousIncarnations: map[string]string{}, failures: map[string]failureStreak{},
 	}
 }
 
-// OnChange calls do after each change of the living boxes. It must be called before Start.
-func (v *View) OnChange(do func()) {
-	v.changed = append(v.changed, do)
+// OnChange registers a callback that runs after each change of the live boxes or of Settled. It must be called
+// before Start.
+func (v *View) OnChange(callback func()) {
+	v.onChange = append(v.onChange, callback)
 }
 
 // Start implements a service.
 func (v *View) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
-	v.begun = time.Now()
+	v.startedAt = time.Now()
 	v.done.Go(func() { v.run(ctx) })
 	return nil
 }
@@ -110,12 +118,12 @@
 	return nil
 }
 
-// Settled reports whether the box has heard the others without a break for long enough to
-// know who lives. Without that it must not take slots over.
+// Settled reports whether the log has answered without a gap for long enough that the view is complete.
+// Otherwise this box must not take over slots.
 func (v *View) Settled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.settled && time.Since(v.readAt) <= v.hold()
+	return v.settled && time.Since(v.heartbeatConfirmedAt) <= v.memberTTL()
 }
 
 // Trusted reports whether the view has settled at least once since the start.
@@ -125,81 +133,83 @@
 	return v.trusted
 }
 
-// Fresh reports that this box was heard so lately that no other counts it as dead.
+// Fresh reports whether this box's last confirmed heartbeat is so recent that its membership can't have
+// expired.
 func (v *View) Fresh() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return time.Since(v.saidAt) < v.timing.Hold*3/4
+	return time.Since(v.heartbeatSentAt) < v.timing.Hold*3/4
 }
 
-// ReadAge is the time since the log was last heard; the view is no newer than that.
+// ReadAge returns the time since the log last confirmed a heartbeat. The view may be out of date by that much.
 func (v *View) ReadAge() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return time.Since(v.readAt)
+	return time.Since(v.heartbeatConfirmedAt)
 }
 
-// Live returns the boxes that live and do not leave, by name.
+// Live returns the live boxes that are not leaving, sorted by name. Callers must not modify the slice.
 func (v *View) Live() []work.Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.live
 }
 
-// Find returns the box with the name and incarnation if it can be asked: it lives, or it
-// left the fleet lately and answers.
+// Find returns the box with the name and incarnation if it can be called: it is live or left recently, and no
+// call to it failed within the last failureWindow.
 func (v *View) Find(name, incarnation string) (work.Box, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	e, ok := v.others[name]
-	if !ok || e.Incarnation != incarnation {
-		e, ok = v.left[name]
+	peer, ok := v.peers[name]
+	if !ok || peer.Incarnation != incarnation {
+		peer, ok = v.departed[name]
 	}
-	if _, failed := v.unreached[name]; failed {
+	if _, failed := v.failures[name]; failed {
 		return work.Box{}, false
 	}
-	return e.Box, ok && e.Incarnation == incarnation
+	return peer.Box, ok && peer.Incarnation == incarnation
 }
 
-// Leave takes this box out of the fleet.
+// Leave removes this box from the fleet and stops renewing its membership.
 func (v *View) Leave(ctx context.Context) {
 	v.mu.Lock()
-	v.leaving, v.moved = true, true
-	v.stopJoin()
+	v.leaving, v.liveChanged = true, true
+	v.cancelJoin()
 	v.mu.Unlock()
-	v.joining <- struct{}{}
-	defer func() { <-v.joining }()
+	v.joinSem <- struct{}{}
+	defer func() { <-v.joinSem }()
 	ctx, stop := context.WithTimeout(ctx, v.timing.Call)
 	defer stop()
-	v.takeOut(ctx)
+	v.removeSelf(ctx)
 	v.update(time.Now())
 }
 
-// Left takes a box's word that it leaves. It can still be asked for its slots.
+// Left records that the box announced that it leaves. It can still be asked for its slots.
 func (v *View) Left(box work.Box) {
 	v.mu.Lock()
-	v.left[box.Name] = entry{Box: box, heard: time.Now()}
-	if have, ok := v.others[box.Name]; ok && have.Incarnation == box.Incarnation {
-		delete(v.others, box.Name)
-		v.moved = true
+	v.departed[box.Name] = peerState{Box: box, lastSeen: time.Now()}
+	if have, ok := v.peers[box.Name]; ok && have.Incarnation == box.Incarnation {
+		delete(v.peers, box.Name)
+		v.liveChanged = true
 	}
 	v.mu.Unlock()
 	v.update(time.Now())
 }
 
-// hold is how long the log keeps a box after its heartbeat.
-func (v *View) hold() time.Duration {
-	return min(v.timing.Hold+slowAnswers*v.took, v.timing.HoldMost)
+// memberTTL returns how long the log keeps a member after its heartbeat.
+func (v *View) memberTTL() time.Duration {
+	return min(v.timing.Hold+ttlLatencies*v.logLatency, v.timing.HoldMost)
 }
 
+// run sends heartbeats until ctx ends. Between two of them it updates the view at the moment when it settles.
 func (v *View) run(ctx context.Context) {
 	tick := time.NewTicker(v.timing.Beat)
 	defer tick.Stop()
 	for {
-		if err := v.beat(ctx); err != nil && ctx.Err() == nil {
-			v.logger.Debug("view: heartbeat not sent", "cause", err)
+		if err := v.heartbeat(ctx); err != nil && ctx.Err() == nil {
+			v.logger.Debug("view: heartbeat failed", "cause", err)
 		}
-		settle := time.NewTimer(v.unsettled())
+		settle := time.NewTimer(v.untilSettled())
 		select {
 		case <-ctx.Done():
 			return
@@ -216,18 +226,19 @@
 	}
 }
 
-// unsettled is the time until the view settles, or a long one if it has.
-func (v *View) unsettled() time.Duration {
+// untilSettled returns the time until the view may settle, or an hour if it has settled already or the log has
+// not answered yet.
+func (v *View) untilSettled() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.settled || v.since.IsZero() {
+	if v.settled || v.answeringSince.IsZero() {
 		return time.Hour
 	}
-	return max(time.Until(v.since.Add(v.quarantine())), 0)
+	return max(time.Until(v.answeringSince.Add(v.settlePeriod())), 0)
 }
 
-// beat joins the fleet once more, and reads its members if they have changed.
-func (v *View) beat(ctx context.Context) error {
+// heartbeat renews this box's membership and reads the members if they may have changed.
+func (v *View) heartbeat(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, v.timing.Call)
 	defer stop()
 	start := time.Now()
@@ -235,123 +246,125 @@
 	if err != nil {
 		return err
 	}
-	v.heard(start, generation)
-	if v.changedFleet() || leaving {
+	v.recordJoin(start, generation)
+	if v.membersStale() || leaving {
 		members, err := v.log.Members(ctx, generation)
 		if err != nil {
 			return err
 		}
 		if leaving && slices.Contains(members, v.self.Member()) {
-			// The log has done a heartbeat from before, whose answer was lost, after the box had
-			// left. Others would take it for the owner of slots.
-			v.takeOut(ctx)
+			// The log applied an earlier heartbeat, whose answer was lost, after this box had left.
+			// Others would take this box for an owner of slots.
+			v.removeSelf(ctx)
 		}
-		v.take(generation, members)
+		v.applyMembers(generation, members)
 	}
 	v.update(time.Now())
 	return nil
 }
 
-// takeOut has the log take the box out of the fleet.
-func (v *View) takeOut(ctx context.Context) {
+// removeSelf asks the log to remove this box from the fleet.
+func (v *View) removeSelf(ctx context.Context) {
 	if err := v.log.Leave(ctx, v.self.Member()); err != nil {
-		v.logger.Warn("view: others not told that this box leaves", "cause", err)
+		v.logger.Warn("view: could not leave the fleet", "cause", err)
 	}
 }
 
-// join joins the fleet unless the box leaves, and once more at once if it has changed: a new
-// member is named only after the others have joined with the new generation.
+// join renews this box's membership unless the box is leaving.
 func (v *View) join(ctx context.Context) (generation int64, leaving bool, err error) {
-	v.joining <- struct{}{}
-	defer func() { <-v.joining }()
+	v.joinSem <- struct{}{}
+	defer func() { <-v.joinSem }()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	v.mu.Lock()
-	v.stopJoin = stop
+	v.cancelJoin = stop
 	leaving, generation = v.leaving, v.generation
-	hold := v.hold()
+	ttl := v.memberTTL()
 	v.mu.Unlock()
 	if leaving {
 		return generation, true, nil
 	}
-	generation, err = v.joinTwice(ctx, generation, hold)
+	generation, err = v.joinTwice(ctx, generation, ttl)
 	return generation, false, err
 }
 
-func (v *View) joinTwice(ctx context.Context, generation int64, hold time.Duration) (int64, error) {
+// joinTwice joins, and joins again at once if the generation has changed, since the log lists a new member only
+// after the others have joined with the new generation.
+func (v *View) joinTwice(ctx context.Context, generation int64, ttl time.Duration) (int64, error) {
 	member := v.self.Member()
-	got, err := v.log.Join(ctx, member, generation, hold)
+	got, err := v.log.Join(ctx, member, generation, ttl)
 	if err != nil || got == generation {
 		return got, err
 	}
-	return v.log.Join(ctx, member, got, hold)
+	return v.log.Join(ctx, member, got, ttl)
 }
 
-// heard notes an answer of the log.
-func (v *View) heard(start time.Time, generation int64) {
+// recordJoin records that the log confirmed a heartbeat that was sent at start.
+func (v *View) recordJoin(start time.Time, generation int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	if now.Sub(v.readAt) > v.hold() {
-		// Nobody could be heard meanwhile: all get their time anew.
-		v.since, v.known = now, -1
+	if now.Sub(v.heartbeatConfirmedAt) > v.memberTTL() {
+		// Memberships may have expired during the gap, so the settling and grace periods start again.
+		v.answeringSince, v.membersGeneration = now, -1
 	}
-	v.took, v.saidAt, v.readAt, v.generation = now.Sub(start), start, now, generation
+	v.logLatency, v.heartbeatSentAt, v.heartbeatConfirmedAt, v.generation = now.Sub(start), start, now, generation
 }
 
-func (v *View) changedFleet() bool {
+// membersStale reports whether the members must be read: after a change of the fleet or when a reread is due.
+func (v *View) membersStale() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.known != v.generation || time.Now().After(v.again)
+	return v.membersGeneration != v.generation || time.Now().After(v.rereadAt)
 }
 
-// take takes the members of a generation.
-func (v *View) take(generation int64, members []string) {
+// applyMembers updates the other boxes from the list of members that was read for the generation.
+func (v *View) applyMembers(generation int64, members []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	named := map[string]bool{}
-	for _, box := range v.parse(members) {
+	listed := map[string]bool{}
+	for _, box := range v.parseMembers(members) {
 		if box.Name == v.self.Name {
 			continue
 		}
-		// A box that started again is named twice until its start before is forgotten.
-		if have, ok := v.others[box.Name]; ok && have.Incarnation != box.Incarnation {
-			if v.before[box.Name] == box.Incarnation {
+		// A box that restarted is listed with both incarnations until the older one expires.
+		if have, ok := v.peers[box.Name]; ok && have.Incarnation != box.Incarnation {
+			if v.previousIncarnations[box.Name] == box.Incarnation {
 				continue
 			}
-			v.before[box.Name] = have.Incarnation
+			v.previousIncarnations[box.Name] = have.Incarnation
 		}
-		if v.left[box.Name].Incarnation == box.Incarnation {
+		if v.departed[box.Name].Incarnation == box.Incarnation {
 			continue
 		}
-		named[box.Name] = true
-		v.moved = v.moved || v.others[box.Name].Box != box
-		v.others[box.Name] = entry{Box: box, member: true, heard: now}
+		listed[box.Name] = true
+		v.liveChanged = v.liveChanged || v.peers[box.Name].Box != box
+		v.peers[box.Name] = peerState{Box: box, member: true, lastSeen: now}
 	}
-	for name, e := range v.others {
-		if !named[name] {
-			e.member = false
-			v.others[name] = e
+	for name, peer := range v.peers {
+		if !listed[name] {
+			peer.member = false
+			v.peers[name] = peer
 		}
 	}
-	if v.known != generation {
-		v.rereads = rereads + 1
+	if v.membersGeneration != generation {
+		v.rereadsLeft = rereadsAfterChange + 1
 	}
-	v.rereads--
-	v.again = now.Add(rereadAfter*v.timing.Beat - v.timing.Beat/2)
-	if v.rereads <= 0 {
-		v.again = now.Add(v.timing.Reread)
+	v.rereadsLeft--
+	v.rereadAt = now.Add(rereadBeats*v.timing.Beat - v.timing.Beat/2)
+	if v.rereadsLeft <= 0 {
+		v.rereadAt = now.Add(v.timing.Reread)
 	}
-	v.known = generation
+	v.membersGeneration = generation
 }
 
-// parse reads the members. Those of the list before are known: of a thousand few are new at a change.
-func (v *View) parse(members []string) []work.Box {
-	known := make(map[string]work.Box, len(members))
+// parseMembers parses the members, reusing the results of the last list, since most members are in both.
+func (v *View) parseMembers(members []string) []work.Box {
+	parsed := make(map[string]work.Box, len(members))
 	boxes := make([]work.Box, 0, len(members))
 	for _, text := range members {
-		box, ok := v.boxes[text]
+		box, ok := v.parsedMembers[text]
 		if !ok {
 			var err error
 			if box, err = work.ParseMember(text); err != nil {
@@ -359,76 +372,78 @@
 				continue
 			}
 		}
-		known[text] = box
+		parsed[text] = box
 		boxes = append(boxes, box)
 	}
-	v.boxes = known
+	v.parsedMembers = parsed
 	return boxes
 }
 
-// update forgets boxes that the log no longer names and tells of changes.
+// update drops boxes that are no longer members, rebuilds the list of live boxes and runs the callbacks if it
+// or the settled state has changed.
 func (v *View) update(now time.Time) {
 	v.mu.Lock()
-	v.forget(now)
+	v.expire(now)
 	live := v.live
-	if v.moved {
-		live = v.list()
+	if v.liveChanged {
+		live = v.listLive()
 	}
-	// A box that has joined and was then cut off knows of nobody; it must not take itself for the
-	// only one.
-	told := v.known >= 0
-	settled := told && !v.since.IsZero() && now.Sub(v.since) >= v.quarantine()
-	same := settled == v.settled && (!v.moved || slices.Equal(live, v.live))
-	if !same {
-		v.live = live // what is kept for the same boxes stays, so that nothing is ranked anew at each heartbeat
+	// Until the members have been read, this box knows no other and must not take itself for the only one.
+	membersKnown := v.membersGeneration >= 0
+	settled := membersKnown && !v.answeringSince.IsZero() && now.Sub(v.answeringSince) >= v.settlePeriod()
+	unchanged := settled == v.settled && (!v.liveChanged || slices.Equal(live, v.live))
+	if !unchanged {
+		v.live = live // an unchanged list keeps its slice, which keeps the cached owners valid
 	}
-	v.settled, v.moved = settled, false
+	v.settled, v.liveChanged = settled, false
 	v.trusted = v.trusted || settled
 	v.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
-	v.logger.Info("view: boxes changed", "live", len(live), "settled", settled)
-	for _, do := range v.changed {
-		do()
+	v.logger.Info("view: live boxes changed", "live", len(live), "settled", settled)
+	for _, callback := range v.onChange {
+		callback()
 	}
 }
 
-func (v *View) forget(now time.Time) {
-	for name, e := range v.others {
-		if !e.member && now.Sub(v.since) >= v.timing.Grace {
-			v.logger.Info("view: box left or died", "other", name, "heard", now.Sub(e.heard))
-			delete(v.others, name)
-			v.moved = true
+// expire drops former members after the grace period, boxes that left long ago and old failures.
+func (v *View) expire(now time.Time) {
+	for name, peer := range v.peers {
+		if !peer.member && now.Sub(v.answeringSince) >= v.timing.Grace {
+			v.logger.Info("view: box left or died", "other", name, "heard", now.Sub(peer.lastSeen))
+			delete(v.peers, name)
+			v.liveChanged = true
 		}
 	}
-	for name, e := range v.left {
-		if now.Sub(e.heard) > v.timing.Remember {
-			delete(v.left, name)
+	for name, peer := range v.departed {
+		if now.Sub(peer.lastSeen) > v.timing.Remember {
+			delete(v.departed, name)
 		}
 	}
-	for name, f := range v.unreached {
-		if now.Sub(f.last) > failuresFor {
-			delete(v.unreached, name)
+	for name, streak := range v.failures {
+		if now.Sub(streak.last) > failureWindow {
+			delete(v.failures, name)
 		}
 	}
 }
 
-// quarantine is how long the box must have listened.
-func (v *View) quarantine() time.Duration {
-	if v.since.Sub(v.begun) < v.timing.Beat {
+// settlePeriod returns how long the log must have answered without a gap before the view settles.
+func (v *View) settlePeriod() time.Duration {
+	if v.answeringSince.Sub(v.startedAt) < v.timing.Beat {
 		return v.timing.Begin
 	}
 	return v.timing.Settle
 }
 
-func (v *View) list() []work.Box {
+// listLive returns the live boxes, sorted by name.
+func (v *View) listLive() []work.Box {
 	var live []work.Box
 	if !v.leaving {
 		live = append(live, v.self)
 	}
-	for _, e := range v.others {
-		live = append(live, e.Box)
+	for _, peer := range v.peers {
+		live = append(live, peer.Box)
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].Name < live[j].Name })
 	return live
--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -18,135 +18,137 @@
 	"mulleingate.dev/gate/work"
 )
 
-// board is the fleet as the log keeps it.
-type board struct {
-	mu         sync.Mutex
-	until      map[string]time.Time
+// fakeLog keeps the members of the fleet in memory, as the log does.
+type fakeLog struct {
+	mu sync.Mutex
+	// expiresAt holds when each member expires.
+	expiresAt  map[string]time.Time
 	generation int64
-	// deaf holds boxes whose calls fail; "all" stands for every box.
-	deaf map[string]bool
-	// untold holds boxes that are cut off once they have joined: the log tells them no members.
-	untold map[string]bool
-	// slow is added to every answer.
-	slow time.Duration
-	// late has heartbeats done so much later than they are given up; zero does them at once.
-	late time.Duration
+	// cutOff holds boxes whose calls fail; "all" stands for every box.
+	cutOff map[string]bool
+	// cutOffAtMembers holds boxes that are cut off from the log at their first call to Members.
+	cutOffAtMembers map[string]bool
+	// latency is the latency of every call.
+	latency time.Duration
+	// joinDelay, if not zero, fails every Join and applies it only after this delay.
+	joinDelay time.Duration
 }
 
-func newBoard() *board {
-	return &board{until: map[string]time.Time{}, deaf: map[string]bool{}, untold: map[string]bool{}}
+func newFakeLog() *fakeLog {
+	return &fakeLog{expiresAt: map[string]time.Time{}, cutOff: map[string]bool{}, cutOffAtMembers: map[string]bool{}}
 }
 
-// ear is the log as one box reaches it.
-type ear struct {
-	board *board
-	box   string
+// boxLog is one box's client of a fakeLog.
+type boxLog struct {
+	log *fakeLog
+	box string
 }
 
-func (e ear) down() error {
-	e.board.mu.Lock()
-	slow := e.board.slow
-	e.board.mu.Unlock()
-	time.Sleep(slow)
-	e.board.mu.Lock()
-	defer e.board.mu.Unlock()
-	if e.board.deaf[e.box] || e.board.deaf["all"] {
-		return fault.Refuse(fault.LogUnavailable, "away")
+// call takes the latency of a call and fails if the box is cut off.
+func (l boxLog) call() error {
+	l.log.mu.Lock()
+	latency := l.log.latency
+	l.log.mu.Unlock()
+	time.Sleep(latency)
+	l.log.mu.Lock()
+	defer l.log.mu.Unlock()
+	if l.log.cutOff[l.box] || l.log.cutOff["all"] {
+		return fault.Refuse(fault.LogUnavailable, "cut off")
 	}
 	return nil
 }
 
-// expire takes out members whose time is over.
-func (b *board) expire() {
-	for member, until := range b.until {
-		if time.Now().After(until) {
-			delete(b.until, member)
-			b.generation++
+// expire removes members that did not renew their membership.
+func (log *fakeLog) expire() {
+	for member, at := range log.expiresAt {
+		if time.Now().After(at) {
+			delete(log.expiresAt, member)
+			log.generation++
 		}
 	}
 }
 
-func (e ear) Join(_ context.Context, member string, _ int64, ttl time.Duration) (int64, error) {
-	if err := e.down(); err != nil {
+func (l boxLog) Join(_ context.Context, member string, _ int64, ttl time.Duration) (int64, error) {
+	if err := l.call(); err != nil {
 		return 0, err
 	}
-	e.board.mu.Lock()
-	late := e.board.late
-	e.board.mu.Unlock()
-	if late > 0 {
-		time.AfterFunc(late, func() { e.board.join(member, ttl) })
+	l.log.mu.Lock()
+	delay := l.log.joinDelay
+	l.log.mu.Unlock()
+	if delay > 0 {
+		time.AfterFunc(delay, func() { l.log.join(member, ttl) })
 		return 0, fault.Fail(fault.LogUnavailable, "no answer")
 	}
-	return e.board.join(member, ttl), nil
+	return l.log.join(member, ttl), nil
 }
 
-func (b *board) join(member string, ttl time.Duration) int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire()
-	if _, ok := b.until[member]; !ok {
-		b.generation++
+func (log *fakeLog) join(member string, ttl time.Duration) int64 {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.expire()
+	if _, ok := log.expiresAt[member]; !ok {
+		log.generation++
 	}
-	b.until[member] = time.Now().Add(ttl)
-	return b.generation
+	log.expiresAt[member] = time.Now().Add(ttl)
+	return log.generation
 }
 
-// named reports whether the log names the box as one of the fleet.
-func (b *board) named(v *View) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, ok := b.until[v.self.Member()]
+// isMember reports whether the box is a member of the fleet.
+func (log *fakeLog) isMember(v *View) bool {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	_, ok := log.expiresAt[v.self.Member()]
 	return ok
 }
 
-func (e ear) Leave(_ context.Context, member string) error {
-	if err := e.down(); err != nil {
+func (l boxLog) Leave(_ context.Context, member string) error {
+	if err := l.call(); err != nil {
 		return err
 	}
-	e.board.mu.Lock()
-	defer e.board.mu.Unlock()
-	delete(e.board.until, member)
-	e.board.generation++
+	l.log.mu.Lock()
+	defer l.log.mu.Unlock()
+	delete(l.log.expiresAt, member)
+	l.log.generation++
 	return nil
 }
 
-func (e ear) Members(context.Context, int64) ([]string, error) {
-	if err := e.down(); err != nil {
+func (l boxLog) Members(context.Context, int64) ([]string, error) {
+	if err := l.call(); err != nil {
 		return nil, err
 	}
-	e.board.mu.Lock()
-	defer e.board.mu.Unlock()
-	if e.board.untold[e.box] {
-		e.board.deaf[e.box] = true
-		return nil, fault.Refuse(fault.LogUnavailable, "away")
+	l.log.mu.Lock()
+	defer l.log.mu.Unlock()
+	if l.log.cutOffAtMembers[l.box] {
+		l.log.cutOff[l.box] = true
+		return nil, fault.Refuse(fault.LogUnavailable, "cut off")
 	}
-	e.board.expire()
+	l.log.expire()
 	var members []string
-	for member := range e.board.until {
+	for member := range l.log.expiresAt {
 		members = append(members, member)
 	}
 	return members, nil
 }
 
-func (b *board) set(box string, deaf bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.deaf[box] = deaf
+func (log *fakeLog) setCutOff(box string, cutOff bool) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.cutOff[box] = cutOff
 }
 
-// tellNothing cuts the box off once it has joined.
-func (b *board) tellNothing(box string, untold bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.untold[box] = untold
+// cutOffAfterJoin cuts the box off from the log between its first heartbeat and the list of members.
+func (log *fakeLog) cutOffAfterJoin(box string, cutOff bool) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.cutOffAtMembers[box] = cutOff
 }
 
-func begin(t *testing.T, b *board, names ...string) map[string]*View {
+func startViews(t *testing.T, log *fakeLog, names ...string) map[string]*View {
 	t.Helper()
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	views := map[string]*View{}
 	for _, name := range names {
-		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, ear{board: b, box: name}, Usual(), quiet)
+		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, boxLog{log: log, box: name}, Usual(), logger)
 		if err := v.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -155,13 +157,13 @@
 	return views
 }
 
-func end(views map[string]*View) {
+func stopViews(views map[string]*View) {
 	for _, v := range views {
-		_ = v.Stop(context.Background()) // it never fails
+		_ = v.Stop(context.Background()) // it always returns nil
 	}
 }
 
-func names(v *View) []string {
+func liveNames(v *View) []string {
 	var list []string
 	for _, box := range v.Live() {
 		list = append(list, box.Name)
@@ -171,103 +173,102 @@
 
 func TestBoxesFindEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b", "c")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b", "c")
+		defer stopViews(views)
 		if views["a"].Settled() {
-			t.Error("settled before it has listened")
+			t.Error("the view settled before it was complete")
 		}
 		time.Sleep(2 * time.Second)
 		owner, _ := views["a"].Owner("slot-1")
 		for name, v := range views {
-			if diff := cmp.Diff([]string{"a", "b", "c"}, names(v)); diff != "" || !v.Settled() || !v.Fresh() {
-				t.Errorf("%s sees (-want +got):\n%s", name, diff)
+			if diff := cmp.Diff([]string{"a", "b", "c"}, liveNames(v)); diff != "" || !v.Settled() || !v.Fresh() {
+				t.Errorf("live boxes of %s (-want +got):\n%s", name, diff)
 			}
 			if got, _ := v.Owner("slot-1"); got != owner {
-				t.Errorf("%s takes %s for the owner, not %s", name, got.Name, owner.Name)
+				t.Errorf("%s: owner = %s, want %s", name, got.Name, owner.Name)
 			}
 		}
 	})
 }
 
-// TestBoxThatHasHeardOfNobody checks that a box which was cut off between its first heartbeat and the
-// answer on who lives trusts no view of its own. It took itself for the only box, said that it was
-// ready and claimed all slots, and its zone's callers were sent to it until the cut was over.
-func TestBoxThatHasHeardOfNobody(t *testing.T) {
+// TestBoxWithoutMembersDoesNotSettle guards against a box that is cut off between its first heartbeat and the
+// list of members and then takes itself for the only box, which would let it claim all slots.
+func TestBoxWithoutMembersDoesNotSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b")
+		defer stopViews(views)
 		time.Sleep(2 * time.Second)
-		b.tellNothing("c", true)
-		late := begin(t, b, "c")
-		defer end(late)
+		log.cutOffAfterJoin("c", true)
+		late := startViews(t, log, "c")
+		defer stopViews(late)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			if c := late["c"]; c.Settled() || c.Trusted() {
-				t.Fatalf("a box that has heard of nobody is settled (%v) or trusted (%v), and sees %v", c.Settled(), c.Trusted(), names(c))
+				t.Fatalf("without members: settled = %v, trusted = %v, live = %v", c.Settled(), c.Trusted(), liveNames(c))
 			}
 		}
-		b.tellNothing("c", false)
-		b.set("c", false)
+		log.cutOffAfterJoin("c", false)
+		log.setCutOff("c", false)
 		time.Sleep(3 * time.Second)
-		if diff := cmp.Diff([]string{"a", "b", "c"}, names(late["c"])); diff != "" || !late["c"].Settled() {
-			t.Errorf("it sees (-want +got):\n%s", diff)
+		if diff := cmp.Diff([]string{"a", "b", "c"}, liveNames(late["c"])); diff != "" || !late["c"].Settled() {
+			t.Errorf("live boxes (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestRanksAreKept checks that who should own the slots is not worked out anew while the same boxes live: at each heartbeat that
-// was some logarithms for each box and slot, on all boxes.
-func TestRanksAreKept(t *testing.T) {
+// TestOwnersAreCached checks that heartbeats and rereads do not rank the owners again while the live boxes stay
+// the same.
+func TestOwnersAreCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b", "c")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b", "c")
+		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		v := views["a"]
 		before := v.Owners("slot-1", 2)
-		time.Sleep(10 * time.Second) // heartbeats, and members that are read again
+		time.Sleep(10 * time.Second) // covers heartbeats and rereads of the members
 		if after := v.Owners("slot-1", 2); &before[0] != &after[0] {
-			t.Error("the owners are ranked anew though the same boxes live")
+			t.Error("the owners were ranked again though the live boxes are the same")
 		}
-		late := begin(t, b, "d")
-		defer end(late)
+		late := startViews(t, log, "d")
+		defer stopViews(late)
 		time.Sleep(2 * time.Second)
-		if diff := cmp.Diff([]string{"a", "b", "c", "d"}, names(v)); diff != "" {
-			t.Errorf("after a box came (-want +got):\n%s", diff)
+		if diff := cmp.Diff([]string{"a", "b", "c", "d"}, liveNames(v)); diff != "" {
+			t.Errorf("live boxes after a join (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestOwnersAreRanked checks that without the owner of a slot the next rank is its owner, so
-// that a call finds the holder while a box joins.
+// TestOwnersAreRanked checks that the next box in the ranking becomes a slot's owner once the boxes before it
+// are gone. Callers rely on it to find the holder of a slot while a box joins.
 func TestOwnersAreRanked(t *testing.T) {
 	v := New(work.Box{Name: "a"}, nil, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		v.live = append(v.live[:len(v.live):len(v.live)], work.Box{Name: name})
 	}
-	v.live = v.live[1:] // it was there from the start
+	v.live = v.live[1:] // New has added the first box already
 	for _, slot := range []string{"0", "1", "2", "3", "4", "5", "6", "7"} {
 		ranks := v.Owners(slot, 4)
 		all := v.live
 		for rank, want := range ranks {
 			got, _ := v.Owner(slot)
 			if got != want {
-				t.Errorf("slot %s: rank %d is %s, and %s once those before are gone", slot, rank, want.Name, got.Name)
+				t.Errorf("slot %s: rank %d is %s, but the owner without the boxes before it is %s", slot, rank, want.Name, got.Name)
 			}
 			v.live = slices.DeleteFunc(slices.Clone(v.live), func(box work.Box) bool { return box == got })
 		}
 		v.live = all
 		if got := len(v.Owners(slot, 9)); len(ranks) != 4 || got != 6 {
-			t.Errorf("slot %s: %d of 4 ranks, %d of 6", slot, len(ranks), got)
+			t.Errorf("slot %s: got %d of 4 owners and %d of 6", slot, len(ranks), got)
 		}
 	}
 }
 
-// TestSlotsLiveOnFastBoxes checks that most slots of a fleet with many slow boxes and a few fast ones live
-// on the fast ones, where turns wait less for the processor, and that all boxes come to the same.
-func TestSlotsLiveOnFastBoxes(t *testing.T) {
+// TestFastBoxesOwnMostSlots checks that the few fast boxes of a fleet own most slots, and that no box owns an
+// outsized share of them.
+func TestFastBoxesOwnMostSlots(t *testing.T) {
 	v := New(work.Box{Name: "a"}, nil, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	v.live = nil
 	for i := range 195 {
@@ -290,7 +291,7 @@
 		}
 	}
 	if slow > slots/4 {
-		t.Errorf("%d of %d slots live on slow boxes", slow, slots)
+		t.Errorf("slow boxes own %d of %d slots", slow, slots)
 	}
 	for name, n := range owned {
 		if n > slots/20 {
@@ -299,116 +300,115 @@
 	}
 }
 
-func TestDeadBoxIsFound(t *testing.T) {
+func TestDeadBoxIsRemoved(t *testing.T) {
 	for _, slow := range []time.Duration{0, 250 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBoard()
-			b.slow = slow
-			views := begin(t, b, "a", "b", "c")
-			defer end(views)
+			log := newFakeLog()
+			log.latency = slow
+			views := startViews(t, log, "a", "b", "c")
+			defer stopViews(views)
 			time.Sleep(4 * time.Second)
 			_ = views["c"].Stop(context.Background())
 			start := time.Now()
-			for len(names(views["a"])) == 3 && time.Since(start) < 10*time.Second {
+			for len(liveNames(views["a"])) == 3 && time.Since(start) < 10*time.Second {
 				time.Sleep(50 * time.Millisecond)
 			}
 			within := Usual().Hold + 2*Usual().Beat + 8*slow
 			if took := time.Since(start); took > within {
-				t.Errorf("found after %v, not within %v", took, within)
+				t.Errorf("dead box removed after %v, want at most %v", took, within)
 			}
 		})
 	}
 }
 
-// TestSlowLog checks that boxes do not lose each other while the log is slow.
+// TestSlowLog checks that boxes stay in each other's view when the log becomes slow.
 func TestSlowLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b", "c")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b", "c")
+		defer stopViews(views)
 		time.Sleep(3 * time.Second)
-		b.mu.Lock()
-		b.slow = 400 * time.Millisecond
-		b.mu.Unlock()
+		log.mu.Lock()
+		log.latency = 400 * time.Millisecond
+		log.mu.Unlock()
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
 			for name, v := range views {
-				if len(names(v)) != 3 {
-					t.Fatalf("%s sees %v", name, names(v))
+				if len(liveNames(v)) != 3 {
+					t.Fatalf("live boxes of %s: %v", name, liveNames(v))
 				}
 			}
 		}
 	})
 }
 
-// TestBoxThatStartedAgain checks that the newer start is taken, and the one before can't be
-// asked for slots once it can't be reached.
-func TestBoxThatStartedAgain(t *testing.T) {
+// TestRestartedBox checks that a restarted box replaces its earlier incarnation in the view.
+func TestRestartedBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b")
+		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		_ = views["b"].Stop(context.Background())
-		again := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, ear{board: b, box: "b"}, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		if err := again.Start(context.Background()); err != nil {
+		restarted := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, boxLog{log: log, box: "b"}, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		if err := restarted.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		views["b"] = again
+		views["b"] = restarted
 		time.Sleep(3 * time.Second)
-		if box, ok := views["a"].Find("b", "b-2"); !ok || len(names(views["a"])) != 2 {
-			t.Errorf("%v, %v", box, names(views["a"]))
+		if box, ok := views["a"].Find("b", "b-2"); !ok || len(liveNames(views["a"])) != 2 {
+			t.Errorf("restarted box: %v, live: %v", box, liveNames(views["a"]))
 		}
 	})
 }
 
-// TestLivingBoxThatIsNotReached checks that failed calls alone make nobody dead.
-func TestLivingBoxThatIsNotReached(t *testing.T) {
+// TestUnreachableBoxStaysLive checks that failed calls alone do not remove a box from the view.
+func TestUnreachableBoxStaysLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b")
+		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		for range 100 {
 			views["a"].Unreached(work.Box{Name: "b"})
 			time.Sleep(50 * time.Millisecond)
-			if diff := cmp.Diff([]string{"a", "b"}, names(views["a"])); diff != "" {
-				t.Fatalf("boxes (-want +got):\n%s", diff)
+			if diff := cmp.Diff([]string{"a", "b"}, liveNames(views["a"])); diff != "" {
+				t.Fatalf("live boxes (-want +got):\n%s", diff)
 			}
 		}
 		if !views["a"].JustUnreached(work.Box{Name: "b"}) {
-			t.Error("not unreached just after a failed call")
+			t.Error("JustUnreached = false right after a failed call")
 		}
 	})
 }
 
-// TestLogAway checks that nobody dies while the log is away nor just after, and that a box
-// which cannot hear trusts nothing.
-func TestLogAway(t *testing.T) {
+// TestLogOutage checks that no box is removed during an outage of the log or just after it, and that no view is
+// settled while the log does not answer.
+func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b", "c")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b", "c")
+		defer stopViews(views)
 		time.Sleep(3 * time.Second)
-		b.set("all", true)
+		log.setCutOff("all", true)
 		time.Sleep(10 * time.Second)
 		if views["a"].Settled() || views["a"].Fresh() || !views["a"].Trusted() {
-			t.Error("a box that hears nothing takes its view for settled")
+			t.Error("after an outage of 10 s: view settled or fresh, or no longer trusted")
 		}
-		late := begin(t, b, "late")
-		defer end(late)
+		late := startViews(t, log, "late")
+		defer stopViews(late)
 		time.Sleep(2 * time.Second)
 		if late["late"].Settled() || late["late"].Trusted() {
-			t.Error("a box that began without the log takes its view for settled")
+			t.Error("a view that started during the outage is settled or trusted")
 		}
-		b.set("all", false)
+		log.setCutOff("all", false)
 		for range 40 {
 			time.Sleep(50 * time.Millisecond)
-			if len(names(views["a"])) < 3 {
-				t.Fatalf("boxes after the return: %v", names(views["a"]))
+			if len(liveNames(views["a"])) < 3 {
+				t.Fatalf("live boxes after the outage: %v", liveNames(views["a"]))
 			}
-			if late["late"].Settled() && len(names(late["late"])) < 4 {
-				t.Fatalf("settled on %v", names(late["late"]))
+			if late["late"].Settled() && len(liveNames(late["late"])) < 4 {
+				t.Fatalf("settled with live boxes %v", liveNames(late["late"]))
 			}
 		}
 	})
@@ -416,69 +416,69 @@
 
 func TestLeavingBoxOwnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b")
-		defer end(views)
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b")
+		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		views["b"].Leave(context.Background())
 		views["a"].Left(views["b"].self)
 		time.Sleep(time.Second)
 		for _, v := range views {
-			if diff := cmp.Diff([]string{"a"}, names(v)); diff != "" {
-				t.Errorf("boxes (-want +got):\n%s", diff)
+			if diff := cmp.Diff([]string{"a"}, liveNames(v)); diff != "" {
+				t.Errorf("live boxes (-want +got):\n%s", diff)
 			}
 		}
 		if _, ok := views["a"].Find("b", "b-1"); !ok {
-			t.Error("a leaving box can no longer be asked for its slots")
+			t.Error("Find does not return a box that has just left")
 		}
 		if _, ok := views["a"].Find("b", "b-0"); ok {
-			t.Error("a start before is taken for the box")
+			t.Error("Find returns an earlier incarnation")
 		}
 	})
 }
 
-// TestBoxThatLeavesWhileItJoins checks that a heartbeat under way does not bring a box back that
-// has left: others would take it for the owner of slots that it never claims.
-func TestBoxThatLeavesWhileItJoins(t *testing.T) {
+// TestLeaveDuringHeartbeat guards against a heartbeat that is under way adding a box again after it has left:
+// others would take it for the owner of slots that it never claims.
+func TestLeaveDuringHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		b.slow = 100 * time.Millisecond
-		views := begin(t, b, "a", "b")
+		log := newFakeLog()
+		log.latency = 100 * time.Millisecond
+		views := startViews(t, log, "a", "b")
 		time.Sleep(50 * time.Millisecond)
 		views["b"].Leave(context.Background())
-		named := 0
+		found := 0
 		for range 20 {
 			time.Sleep(50 * time.Millisecond)
-			if b.named(views["b"]) {
-				named++
+			if log.isMember(views["b"]) {
+				found++
 			}
 		}
-		if named > 0 {
-			t.Errorf("a box that left is named in %d of 20 looks", named)
+		if found > 0 {
+			t.Errorf("a box that left is still a member in %d of 20 checks", found)
 		}
-		end(views)
+		stopViews(views)
 	})
 }
 
-// TestHeartbeatThatIsDoneLate checks that a box which left takes itself out again if the log
-// does a heartbeat from before, whose answer was lost, only afterwards.
-func TestHeartbeatThatIsDoneLate(t *testing.T) {
+// TestHeartbeatAppliedAfterLeave checks that a box that left removes itself again if the log applies an earlier
+// heartbeat, whose answer was lost, only afterwards.
+func TestHeartbeatAppliedAfterLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBoard()
-		views := begin(t, b, "a", "b")
+		log := newFakeLog()
+		views := startViews(t, log, "a", "b")
 		time.Sleep(2 * time.Second)
-		b.mu.Lock()
-		b.late = time.Second
-		b.mu.Unlock()
+		log.mu.Lock()
+		log.joinDelay = time.Second
+		log.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
-		b.mu.Lock()
-		b.late = 0
-		b.mu.Unlock()
+		log.mu.Lock()
+		log.joinDelay = 0
+		log.mu.Unlock()
 		views["b"].Leave(context.Background())
 		time.Sleep(1200 * time.Millisecond)
-		if b.named(views["b"]) {
-			t.Error("a box that left is named")
+		if log.isMember(views["b"]) {
+			t.Error("a box that left is still a member")
 		}
-		end(views)
+		stopViews(views)
 	})
 }
