--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -40,19 +40,19 @@
 
 // boxLog is one box's client of a fakeLog.
 type boxLog struct {
-	log *fakeLog
-	box string
+	fake *fakeLog
+	box  string
 }
 
 // call takes the latency of a call and fails if the box is cut off.
 func (l boxLog) call() error {
-	l.log.mu.Lock()
-	latency := l.log.latency
-	l.log.mu.Unlock()
+	l.fake.mu.Lock()
+	latency := l.fake.latency
+	l.fake.mu.Unlock()
 	time.Sleep(latency)
-	l.log.mu.Lock()
-	defer l.log.mu.Unlock()
-	if l.log.cutOff[l.box] || l.log.cutOff["all"] {
+	l.fake.mu.Lock()
+	defer l.fake.mu.Unlock()
+	if l.fake.cutOff[l.box] || l.fake.cutOff["all"] {
 		return fault.Refuse(fault.LogUnavailable, "cut off")
 	}
 	return nil
@@ -72,14 +72,14 @@
 	if err := l.call(); err != nil {
 		return 0, err
 	}
-	l.log.mu.Lock()
-	delay := l.log.joinDelay
-	l.log.mu.Unlock()
+	l.fake.mu.Lock()
+	delay := l.fake.joinDelay
+	l.fake.mu.Unlock()
 	if delay > 0 {
-		time.AfterFunc(delay, func() { l.log.join(member, ttl) })
+		time.AfterFunc(delay, func() { l.fake.join(member, ttl) })
 		return 0, fault.Fail(fault.LogUnavailable, "no answer")
 	}
-	return l.log.join(member, ttl), nil
+	return l.fake.join(member, ttl), nil
 }
 
 func (log *fakeLog) join(member string, ttl time.Duration) int64 {
@@ -105,10 +105,10 @@
 	if err := l.call(); err != nil {
 		return err
 	}
-	l.log.mu.Lock()
-	defer l.log.mu.Unlock()
-	delete(l.log.expiresAt, member)
-	l.log.generation++
+	l.fake.mu.Lock()
+	defer l.fake.mu.Unlock()
+	delete(l.fake.expiresAt, member)
+	l.fake.generation++
 	return nil
 }
 
@@ -116,15 +116,15 @@
 	if err := l.call(); err != nil {
 		return nil, err
 	}
-	l.log.mu.Lock()
-	defer l.log.mu.Unlock()
-	if l.log.cutOffAtMembers[l.box] {
-		l.log.cutOff[l.box] = true
+	l.fake.mu.Lock()
+	defer l.fake.mu.Unlock()
+	if l.fake.cutOffAtMembers[l.box] {
+		l.fake.cutOff[l.box] = true
 		return nil, fault.Refuse(fault.LogUnavailable, "cut off")
 	}
-	l.log.expire()
+	l.fake.expire()
 	var members []string
-	for member := range l.log.expiresAt {
+	for member := range l.fake.expiresAt {
 		members = append(members, member)
 	}
 	return members, nil
@@ -148,7 +148,7 @@
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	views := map[string]*View{}
 	for _, name := range names {
-		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, boxLog{log: log, box: name}, Usual(), logger)
+		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, boxLog{fake: log, box: name}, Usual(), logger)
 		if err := v.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -350,7 +350,7 @@
 		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		_ = views["b"].Stop(context.Background())
-		restarted := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, boxLog{log: log, box: "b"}, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		restarted := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, boxLog{fake: log, box: "b"}, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err := restarted.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
