--- a/gate/mirror/copy.go
+++ b/gate/mirror/copy.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// tapeLength is how many of the log's newest answers that brought records a source keeps: some seconds of them.
-	tapeLength = 64
-	// calmAfter is how long a group must have kept its size before parts of it are drawn anew that have grown too small. A
-	// zone's replicas that lapse with the log and come back within two seconds would have all boxes read their parts several
-	// times. Parts that have grown too large are drawn anew at once: a list that fills would be told whole to all.
-	calmAfter = 1500 * time.Millisecond
-	// staleAfter is the age from which a source's copy is told to nobody: a read that waits for news in vain, a pause,
-	// and a slow answer.
-	staleAfter = 2500 * time.Millisecond
+	// historyLength is how many of the log's newest answers that brought records a source keeps.
+	historyLength = 64
+	// stableAfter is how long the size of a group must be unchanged before parts that have become too small are
+	// drawn anew, so that boxes don't read their parts again when replicas lapse and soon return. Parts that are
+	// too large are drawn anew at once; otherwise a growing list would be sent whole to every box.
+	stableAfter = 1500 * time.Millisecond
+	// maxCopyAge is the age above which a copy is not served. It covers a read that waits for records in vain, a
+	// pause and a slow answer.
+	maxCopyAge = 2500 * time.Millisecond
 )
 
-// grouped is a record with the group of its replica, empty for other records.
-type grouped struct {
+// groupedRecord is a record with the group of its replica, which is empty for other records.
+type groupedRecord struct {
 	work.Record
 	group string
 }
 
-// segment is an answer of the log: the records from an offset to the next. It may lack some that nobody can read.
+// segment is one answer of the log: the records up to the offset next. It may lack records that can't be read.
 type segment struct {
 	next    int64
-	records []grouped
+	records []groupedRecord
 }
 
-// topicCopy is what a source keeps of a topic.
+// topicCopy is a source's copy of a topic.
 type topicCopy struct {
-	// group names the group of a record's replica; empty if it has none.
-	group func(rec work.Record) string
+	// groupOf returns the group of a record's replica; empty if it has none.
+	groupOf func(rec work.Record) string
 
 	mu sync.Mutex
-	// newest holds the newest record of each key, counts the number of replicas by their groups, and moved when that
-	// changed last.
-	newest map[string]grouped
-	counts map[string]int
-	moved  map[string]time.Time
-	// tape holds the answers from offset first to next, in order.
-	tape        []segment
+	// newest holds the newest record of each key, groupSizes the number of replicas per group and sizeChangedAt
+	// when that number last changed.
+	newest        map[string]groupedRecord
+	groupSizes    map[string]int
+	sizeChangedAt map[string]time.Time
+	// history holds the answers that cover the offsets from first to next, in order.
+	history     []segment
 	first, next int64
-	// proven is when the question was sent whose answer last showed that the copy is whole.
-	proven time.Time
-	// changed is closed at the next answer of the log.
+	// verifiedAt is when the last successful read of the log was sent; the copy was complete at that time.
+	verifiedAt time.Time
+	// changed is closed and replaced when Add takes an answer.
 	changed chan struct{}
 }
 
-func newCopy(group func(work.Record) string, whole work.Whole, asked time.Time) *topicCopy {
+func newCopy(groupOf func(work.Record) string, whole work.Whole, asked time.Time) *topicCopy {
 	c := &topicCopy{
-		group: group, newest: map[string]grouped{}, counts: map[string]int{}, moved: map[string]time.Time{}, first: whole.Next, next: whole.Next, proven: asked,
+		groupOf: groupOf, newest: map[string]groupedRecord{}, groupSizes: map[string]int{}, sizeChangedAt: map[string]time.Time{}, first: whole.Next, next: whole.Next, verifiedAt: asked,
 		changed: make(chan struct{}),
 	}
 	for _, rec := range whole.Records {
@@ -65,33 +65,34 @@
 	return c
 }
 
-// put takes a record and returns it with its group: that which its key had before, if it is dropped.
-func (c *topicCopy) put(rec work.Record) grouped {
-	before := c.newest[rec.Key]
+// put stores a record and returns it with its group. A record that drops its key gets the key's former group.
+func (c *topicCopy) put(rec work.Record) groupedRecord {
+	previous := c.newest[rec.Key]
 	if len(rec.Value) == 0 {
 		delete(c.newest, rec.Key)
-		c.count(before.group, "")
-		return grouped{Record: rec, group: before.group}
+		c.moveReplica(previous.group, "")
+		return groupedRecord{Record: rec, group: previous.group}
 	}
-	now := grouped{Record: rec, group: c.group(rec)}
-	c.newest[rec.Key] = now
-	c.count(before.group, now.group)
-	return now
+	current := groupedRecord{Record: rec, group: c.groupOf(rec)}
+	c.newest[rec.Key] = current
+	c.moveReplica(previous.group, current.group)
+	return current
 }
 
-// count notes that a replica went from one group to another; empty stands for none.
-func (c *topicCopy) count(from, to string) {
+// moveReplica updates the sizes of two groups when a replica moves between them; an empty name stands for no
+// group.
+func (c *topicCopy) moveReplica(from, to string) {
 	if from == to {
 		return
 	}
 	now := time.Now()
 	if from != "" {
-		c.counts[from]--
-		c.moved[from] = now
+		c.groupSizes[from]--
+		c.sizeChangedAt[from] = now
 	}
 	if to != "" {
-		c.counts[to]++
-		c.moved[to] = now
+		c.groupSizes[to]++
+		c.sizeChangedAt[to] = now
 	}
 }
 
@@ -102,31 +103,31 @@
 	return c.next == offset
 }
 
-// Add takes an answer of the log to a question that was sent when the copy ended where the answer begins.
+// Add appends an answer of the log, which must continue where the copy ends, to a request that was sent at asked.
 func (c *topicCopy) Add(page work.Page, asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(page.Records) > 0 {
-		part := segment{next: page.Next}
+		seg := segment{next: page.Next}
 		for _, rec := range page.Records {
-			part.records = append(part.records, c.put(rec))
+			seg.records = append(seg.records, c.put(rec))
 		}
-		c.tape = append(c.tape, part)
+		c.history = append(c.history, seg)
 	}
-	for len(c.tape) > tapeLength {
-		c.first = c.tape[0].next
-		c.tape = slices.Delete(c.tape, 0, 1)
+	for len(c.history) > historyLength {
+		c.first = c.history[0].next
+		c.history = slices.Delete(c.history, 0, 1)
 	}
 	c.next = page.Next
-	c.proven = asked
+	c.verifiedAt = asked
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// levels are those at which parts are drawn now, for a zone of so many boxes.
+// levels returns the levels at which parts are drawn now for a zone with this many boxes.
 func (c *topicCopy) levels(boxes int) subset.Levels {
 	levels := subset.Levels{}
-	for group, n := range c.counts {
+	for group, n := range c.groupSizes {
 		if level := subset.Level(n, boxes); level > 0 {
 			levels[group] = level
 		}
@@ -134,42 +135,43 @@
 	return levels
 }
 
-// fits reports that parts which were drawn at the levels have a fair size still, or may have again in a moment.
-func (c *topicCopy) fits(levels subset.Levels, boxes int) bool {
+// keepsParts reports whether no part drawn at the levels is too large, nor too small in a group whose size has
+// been unchanged for stableAfter.
+func (c *topicCopy) keepsParts(levels subset.Levels, boxes int) bool {
 	now := time.Now()
-	for group, n := range c.counts {
+	for group, n := range c.groupSizes {
 		level := levels[group]
 		if n == 0 || subset.Fits(n, boxes, level) {
 			continue
 		}
-		if level < subset.Level(n, boxes) || now.Sub(c.moved[group]) >= calmAfter {
+		if level < subset.Level(n, boxes) || now.Sub(c.sizeChangedAt[group]) >= stableAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// Fits reports that a part which was drawn at the levels need not be drawn anew.
+// Fits reports whether a part drawn at the levels can be kept.
 func (c *topicCopy) Fits(levels subset.Levels, boxes int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fits(levels, boxes)
+	return c.keepsParts(levels, boxes)
 }
 
-// fresh returns how old the copy is, or a fault if that is too old to be told.
-func (c *topicCopy) fresh(now time.Time) (time.Duration, error) {
-	age := now.Sub(c.proven)
-	if age > staleAfter {
-		return 0, fault.Refuse(fault.LogUnavailable, "the copy is stale")
+// ageIfFresh returns the copy's age, or a fault if it is too old to be served.
+func (c *topicCopy) ageIfFresh(now time.Time) (time.Duration, error) {
+	age := now.Sub(c.verifiedAt)
+	if age > maxCopyAge {
+		return 0, fault.Refuse(fault.LogUnavailable, "the source's copy is too old")
 	}
 	return age, nil
 }
 
-// All returns the part of the copy that the box knows, and the levels at which that was drawn.
+// All returns the box's part of the copy and the levels at which the part was drawn.
 func (c *topicCopy) All(box string, boxes int) (work.Whole, subset.Levels, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age, err := c.fresh(time.Now())
+	age, err := c.ageIfFresh(time.Now())
 	if err != nil {
 		return work.Whole{}, nil, err
 	}
@@ -183,27 +185,27 @@
 	return whole, levels, nil
 }
 
-// Since returns what the box knows of the records from the offset on, and a channel that is closed at the next answer
-// of the log. Where the offset lies within an answer the box gets all of it: it may have heard some of that from another
-// source, and takes it again in order.
+// Since returns the records of the box's part from the offset on, and a channel that is closed when the copy next
+// changes. If the offset lies within one of the log's answers, that answer is included whole; the box may get
+// some records again, but in order.
 func (c *topicCopy) Since(from int64, box string, boxes int, levels subset.Levels) (work.Page, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age, err := c.fresh(time.Now())
+	age, err := c.ageIfFresh(time.Now())
 	switch {
 	case err != nil:
 		return work.Page{}, nil, err
 	case from > c.next:
-		return work.Page{}, nil, fault.Refuse(fault.LogUnavailable, "the copy is behind")
-	case from < c.first || !c.fits(levels, boxes):
-		return work.Page{}, nil, fault.Refuse(fault.HistoryGone, "the part is to be read anew")
+		return work.Page{}, nil, fault.Refuse(fault.LogUnavailable, "the source's copy ends before the offset")
+	case from < c.first || !c.keepsParts(levels, boxes):
+		return work.Page{}, nil, fault.Refuse(fault.HistoryGone, "the part must be read whole")
 	}
 	page := work.Page{Next: c.next, First: c.first, Age: age}
-	for _, part := range c.tape {
-		if part.next <= from {
+	for _, seg := range c.history {
+		if seg.next <= from {
 			continue
 		}
-		for _, rec := range part.records {
+		for _, rec := range seg.records {
 			if levels.Holds(box, rec.Key, rec.group) {
 				page.Records = append(page.Records, rec.Record)
 			}
--- a/gate/mirror/doc.go
+++ b/gate/mirror/doc.go
@@ -1,8 +1,9 @@
-// Package mirror has few boxes of each availability zone read what all boxes must know from the log: the operators' settings,
-// the list of replicas and the members of the fleet. The others ask those, the sources, and hear of a replica only if
-// it is among the part that they know (package subset). Where a zone has few boxes each reads for itself, as does a box
-// that no source answers in time.
+// Package mirror lets a few boxes of each availability zone, the sources, read from the log what every box needs:
+// the operators' settings, the list of replicas and the members of the fleet. The other boxes ask the sources,
+// which send them only the replicas of their own part (package subset). In a small zone, or when no source
+// answers in time, a box reads from the log itself.
 //
-// What a source tells is as old as the question that its own last answer came from; that age travels along, so that the
-// bounds of package access hold whoever told. A source that has not heard of the log lately tells nothing.
+// A source's answer is as old as its own last read of the log. The age is passed on with the data, so that the
+// limits of package access on the age hold whether or not a source is used. A source whose copy is too old
+// refuses to answer.
 package mirror
--- a/gate/mirror/hosts.go
+++ b/gate/mirror/hosts.go
@@ -10,51 +10,52 @@
 	"mulleingate.dev/gate/work"
 )
 
-// hosts are the sources that the log names, so that a box which starts finds them without the list of all members. Each
-// availability zone has a shard of its own, with a record for each of its sources.
-type hosts struct {
+// sourceDirectory keeps the sources of this box's zone that are announced in the log, so that a starting box finds
+// them without the list of members. Each availability zone has its own shard, with a record per source.
+type sourceDirectory struct {
 	self   work.Box
 	shard  work.Shard
 	log    work.Log
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// known are those that the log named last.
+	// known are the sources that the last Look found.
 	known []work.Box
-	// announced says that the log names this box; until is until when it serves however it ranks.
-	announced bool
-	until     time.Time
+	// announced reports whether this box is announced in the log. It stays a source until servesUntil, whatever
+	// its rank.
+	announced   bool
+	servesUntil time.Time
 }
 
-func newHosts(self work.Box, zones []string, log work.Log, logger *slog.Logger) *hosts {
-	number := max(slices.Index(zones, self.Zone), 0)
-	return &hosts{self: self, shard: work.Shard{Topic: work.Sources, Number: number}, log: log, logger: logger}
+func newSourceDirectory(self work.Box, zones []string, log work.Log, logger *slog.Logger) *sourceDirectory {
+	zoneIndex := max(slices.Index(zones, self.Zone), 0)
+	return &sourceDirectory{self: self, shard: work.Shard{Topic: work.Sources, Number: zoneIndex}, log: log, logger: logger}
 }
 
-// Known are the sources that were found at the last look.
-func (h *hosts) Known() []work.Box {
+// Known returns the sources that the last Look found.
+func (h *sourceDirectory) Known() []work.Box {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.known
 }
 
-// Serving reports whether this box serves however it ranks.
-func (h *hosts) Serving() bool {
+// Serving reports whether this box is a source whatever its rank.
+func (h *sourceDirectory) Serving() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Now().Before(h.until)
+	return time.Now().Before(h.servesUntil)
 }
 
-// Look reads the sources. A log that can't be read names none.
-func (h *hosts) Look(ctx context.Context) []work.Box {
+// Look reads the announced sources from the log; none if the log can't be read.
+func (h *sourceDirectory) Look(ctx context.Context) []work.Box {
 	var known []work.Box
-	_, err := work.AllNewest(ctx, h.log, h.shard, callWait, func(rec work.Record) {
+	_, err := work.AllNewest(ctx, h.log, h.shard, logCallTimeout, func(rec work.Record) {
 		if box, err := work.ParseMember(string(rec.Value)); err == nil && box.Zone == h.self.Zone {
 			known = append(known, box)
 		}
 	})
 	if err != nil {
-		h.logger.Debug("mirror: sources not read", "cause", err)
+		h.logger.Debug("mirror: announced sources not read", "cause", err)
 		return nil
 	}
 	h.mu.Lock()
@@ -63,40 +64,40 @@
 	return known
 }
 
-// Announce has the log name this box, which serves for a time however it ranks.
-func (h *hosts) Announce(ctx context.Context, serves time.Duration) {
+// Announce adds this box to the announced sources. It is a source for the time serves, whatever its rank.
+func (h *sourceDirectory) Announce(ctx context.Context, serves time.Duration) {
 	if err := h.append(ctx, []work.Record{{Key: h.self.Name, Value: []byte(h.self.Member())}}); err != nil {
-		h.logger.Info("mirror: source not announced", "cause", err)
+		h.logger.Info("mirror: could not announce this box as a source", "cause", err)
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.announced = true
-	h.until = time.Now().Add(serves)
-	h.logger.Info("mirror: source announced", "serves", serves)
+	h.servesUntil = time.Now().Add(serves)
+	h.logger.Info("mirror: announced this box as a source", "serves", serves)
 }
 
-func (h *hosts) append(ctx context.Context, recs []work.Record) error {
+func (h *sourceDirectory) append(ctx context.Context, recs []work.Record) error {
 	return h.log.Append(ctx, h.shard, work.Writer{}, recs)
 }
 
-// Tend announces this box if it ranks as a source and takes it back if it does no longer. A box that comes to be a source
-// also takes those back that are dead.
-func (h *hosts) Tend(ctx context.Context, ranks bool, live []work.Box) {
+// Tend announces this box if it ranks as a source and withdraws it if it no longer does. A box that becomes a
+// source also withdraws the sources that are dead.
+func (h *sourceDirectory) Tend(ctx context.Context, isRanked bool, live []work.Box) {
 	h.mu.Lock()
-	announced, serves := h.announced, time.Now().Before(h.until)
+	wasAnnounced, serves := h.announced, time.Now().Before(h.servesUntil)
 	h.mu.Unlock()
 	switch {
-	case ranks && !announced:
+	case isRanked && !wasAnnounced:
 		h.Announce(ctx, 0)
-		h.drop(ctx, h.dead(ctx, live))
-	case announced && !ranks && !serves:
-		h.drop(ctx, []string{h.self.Name})
+		h.withdraw(ctx, h.deadSources(ctx, live))
+	case wasAnnounced && !isRanked && !serves:
+		h.withdraw(ctx, []string{h.self.Name})
 	}
 }
 
-// dead are the sources that the log names and that live no longer.
-func (h *hosts) dead(ctx context.Context, live []work.Box) []string {
+// deadSources returns the names of the announced sources that are not live.
+func (h *sourceDirectory) deadSources(ctx context.Context, live []work.Box) []string {
 	var dead []string
 	for _, box := range h.Look(ctx) {
 		if !contains(live, box.Name) {
@@ -106,8 +107,8 @@
 	return dead
 }
 
-// drop has the log name the boxes no longer.
-func (h *hosts) drop(ctx context.Context, names []string) {
+// withdraw removes the announcements of the boxes from the log.
+func (h *sourceDirectory) withdraw(ctx context.Context, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -116,7 +117,7 @@
 		recs = append(recs, work.Record{Key: name})
 	}
 	if err := h.append(ctx, recs); err != nil {
-		h.logger.Info("mirror: sources not taken back", "cause", err)
+		h.logger.Info("mirror: could not withdraw announced sources", "cause", err)
 		return
 	}
 	h.mu.Lock()
--- a/gate/mirror/members.go
+++ b/gate/mirror/members.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	// membersPatience is how long a box whose sources tell no members waits at least before it reads them itself, since
-	// sources that have just died are still asked; after it one box in membersDraw does at each of its heartbeats, and
-	// after membersMost each that still waits. All at once would be more than the log bears.
-	membersPatience = 800 * time.Millisecond
-	membersMost     = 2500 * time.Millisecond
-	membersDraw     = 3
-	// looksAlone is the number of looks for members after which a box that starts reads them itself though others
-	// are announced as sources.
-	looksAlone = 4
-	// mostAnnounced is how many of them it asks in one look: some may be gone, and say nothing.
-	mostAnnounced = 2
-	// fastPause and slowPause are how long, and with fastDraw and slowDraw at random how much longer, boxes wait for others
-	// to be announced at the start of all: fast ones come first, apart by more than a read and an announcement take, and
-	// all before a box has listened for long enough to trust what it knows.
-	fastPause, fastDraw = 150 * time.Millisecond, 250 * time.Millisecond
-	slowPause, slowDraw = 450 * time.Millisecond, 100 * time.Millisecond
+	// membersMinWait is how long a box at least waits for its sources to return the members before it reads
+	// them from the log. From then on it does so with a chance of one in membersLogOdds at each attempt, and after
+	// membersMaxWait at every attempt, so that not all boxes read from the log at once.
+	membersMinWait = 800 * time.Millisecond
+	membersMaxWait = 2500 * time.Millisecond
+	membersLogOdds = 3
+	// attemptsBeforeLog is the attempt from which on a starting box reads the members from the log although other
+	// boxes are announced as sources.
+	attemptsBeforeLog = 4
+	// maxAnnouncedAsked limits how many announced sources are asked per attempt; some may be dead and not answer.
+	maxAnnouncedAsked = 2
+	// A starting box that finds no source waits for others to announce themselves: a fast box for fastDelay plus
+	// up to fastJitter at random, a slow one for slowDelay plus up to slowJitter. Fast boxes thus announce
+	// themselves first, and all are done before a view may settle.
+	fastDelay, fastJitter = 150 * time.Millisecond, 250 * time.Millisecond
+	slowDelay, slowJitter = 450 * time.Millisecond, 100 * time.Millisecond
 )
 
 // Members implements view.Log.
 func (m *Mirror) Members(ctx context.Context, generation int64) ([]string, error) {
 	if m.Serving() {
 		got, err := m.roster.Get(ctx, generation)
-		return m.know(got.members, err)
+		return m.recordMembers(got.members, err)
 	}
-	if !m.known() {
-		return m.first(ctx, generation)
+	if !m.hasMembers() {
+		return m.firstMembers(ctx, generation)
 	}
-	others := m.others()
+	others := m.sourcesToAsk()
 	members, ok := m.askMembers(ctx, others, generation)
 	if ok {
 		return members, nil
 	}
-	if len(others) > 0 && !m.alone() {
-		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone tells the members")
+	if len(others) > 0 && !m.mayReadMembers() {
+		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone returned the members")
 	}
 	return m.log.Members(ctx)
 }
 
-// alone decides whether a box that no source tells the members reads them itself.
-func (m *Mirror) alone() bool {
+// mayReadMembers decides whether a box whose sources do not return the members reads them from the log.
+func (m *Mirror) mayReadMembers() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.untold.IsZero() {
-		m.untold = time.Now()
+	if m.noMembersSince.IsZero() {
+		m.noMembersSince = time.Now()
 	}
-	waited := time.Since(m.untold)
-	return waited >= membersMost || (waited >= membersPatience && rand.IntN(membersDraw) == 0)
+	waited := time.Since(m.noMembersSince)
+	return waited >= membersMaxWait || (waited >= membersMinWait && rand.IntN(membersLogOdds) == 0)
 }
 
-// know notes that the members were found.
-func (m *Mirror) know(members []string, err error) ([]string, error) {
+// recordMembers passes on the members and records that they were read; after an error it returns only that.
+func (m *Mirror) recordMembers(members []string, err error) ([]string, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -68,75 +68,79 @@
 	defer m.mu.Unlock()
 	if !m.found {
 		m.found = true
-		close(m.sized)
+		close(m.membersReady)
 	}
 	return members, nil
 }
 
-func (m *Mirror) known() bool {
+// hasMembers reports whether the members have been read at least once.
+func (m *Mirror) hasMembers() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.found
 }
 
-// first finds the members for a box that has just started: by the sources that are announced. Where the whole fleet starts
-// there are none yet; then the box waits a little, and if there is none still it reads the members itself, and announces
-// itself if it finds many and is fast. The log could not bear that all of a large fleet read them.
-func (m *Mirror) first(ctx context.Context, generation int64) ([]string, error) {
+// firstMembers returns the members to a box that has just started, from the announced sources. If there are none
+// yet, it waits a little and asks again, then reads the members from the log. If the zone is large enough for
+// sources, the box then announces itself, but a slow box only after several attempts. Others thus need not read
+// the log.
+func (m *Mirror) firstMembers(ctx context.Context, generation int64) ([]string, error) {
 	m.mu.Lock()
-	m.looks++
-	looks := m.looks
+	m.memberAttempts++
+	attempts := m.memberAttempts
 	m.mu.Unlock()
 	members, announced := m.askAnnounced(ctx, generation)
-	if members == nil && looks == 1 && len(announced) == 0 {
-		m.stagger(ctx)
+	if members == nil && attempts == 1 && len(announced) == 0 {
+		m.staggerStart(ctx)
 		members, announced = m.askAnnounced(ctx, generation)
 	}
 	if members != nil {
-		return m.know(members, nil)
+		return m.recordMembers(members, nil)
 	}
-	if len(announced) > 0 && !contains(announced, m.self.Name) && looks < looksAlone {
-		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone answers yet")
+	if len(announced) > 0 && !contains(announced, m.self.Name) && attempts < attemptsBeforeLog {
+		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone has answered yet")
 	}
-	members, err := m.know(m.log.Members(ctx))
+	members, err := m.recordMembers(m.log.Members(ctx))
 	if err != nil {
 		return nil, err
 	}
-	if m.many(members) && (fast(m.self) || looks >= looksAlone) {
-		m.hosts.Announce(ctx, servesFor)
+	if m.zoneHasSources(members) && (fast(m.self) || attempts >= attemptsBeforeLog) {
+		m.directory.Announce(ctx, startupServePeriod)
 	}
 	return members, nil
 }
 
-// askAnnounced asks the sources that the log names.
+// askAnnounced asks the sources that are announced in the log.
 func (m *Mirror) askAnnounced(ctx context.Context, generation int64) (members []string, announced []work.Box) {
-	announced = m.hosts.Look(ctx)
-	asked := m.shuns.order(m.self.Name, announced)
-	members, _ = m.askMembers(ctx, asked[:min(len(asked), mostAnnounced)], generation)
+	announced = m.directory.Look(ctx)
+	ordered := m.backoff.order(m.self.Name, announced)
+	members, _ = m.askMembers(ctx, ordered[:min(len(ordered), maxAnnouncedAsked)], generation)
 	return members, announced
 }
 
-// stagger waits so long that of boxes which start together few look at once.
-func (m *Mirror) stagger(ctx context.Context) {
+// staggerStart waits for a random time, longer on slow boxes, so that boxes that start together do not all look
+// for sources at once.
+func (m *Mirror) staggerStart(ctx context.Context) {
 	if fast(m.self) {
-		pause(ctx, fastPause+rand.N(fastDraw))
+		sleep(ctx, fastDelay+rand.N(fastJitter))
 		return
 	}
-	pause(ctx, slowPause+rand.N(slowDraw))
+	sleep(ctx, slowDelay+rand.N(slowJitter))
 }
 
-// many reports whether the zone has so many members that it has sources.
-func (m *Mirror) many(members []string) bool {
-	near := 0
+// zoneHasSources reports whether this box's zone has enough members to have sources.
+func (m *Mirror) zoneHasSources(members []string) bool {
+	zoneSize := 0
 	for _, text := range members {
 		if box, err := work.ParseMember(text); err == nil && box.Zone == m.self.Zone {
-			near++
+			zoneSize++
 		}
 	}
-	return near >= smallZone
+	return zoneSize >= minZoneSize
 }
 
-// readMembers reads the members for this source and all that ask it: from the zone's first source, if that is another.
+// readMembers reads the members as a source: from the zone's first-ranked source, or from the log if this box is
+// the first or the first fails.
 func (m *Mirror) readMembers(ctx context.Context, generation int64) ([]string, error) {
 	sources, _ := m.sources()
 	if m.boxes.Trusted() && len(sources) > 0 && sources[0].Name != m.self.Name {
@@ -147,55 +151,56 @@
 	return m.log.Members(ctx)
 }
 
-// askMembers asks the boxes for the members, one after the other.
+// askMembers asks the boxes for the members, one after the other, until one returns them.
 func (m *Mirror) askMembers(ctx context.Context, boxes []work.Box, generation int64) ([]string, bool) {
 	for _, box := range boxes {
 		next, err := m.askRoster(ctx, box, generation)
 		if err != nil {
-			m.shuns.Add(box.Name, shunFor)
-			m.logger.Debug("mirror: members not told", "source", box.Name, "cause", err)
+			m.backoff.Add(box.Name, membersBackoff)
+			m.logger.Debug("mirror: members not received", "source", box.Name, "cause", err)
 			continue
 		}
 		m.mu.Lock()
-		m.last, m.lastFrom, m.untold = next, box.Name, time.Time{}
+		m.lastMembers, m.lastSource, m.noMembersSince = next, box.Name, time.Time{}
 		m.mu.Unlock()
 		return next.members, true
 	}
 	return nil, false
 }
 
-// toldBy is the newest list that the box told; empty if another told the last.
-func (m *Mirror) toldBy(box work.Box) list {
+// lastMembersFrom returns the newest list that the box returned; empty if another box returned the last one.
+func (m *Mirror) lastMembersFrom(box work.Box) memberList {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lastFrom != box.Name {
-		return list{}
+	if m.lastSource != box.Name {
+		return memberList{}
 	}
-	return m.last
+	return m.lastMembers
 }
 
-func (m *Mirror) askRoster(ctx context.Context, box work.Box, generation int64) (list, error) {
-	ctx, stop := context.WithTimeout(ctx, answerWait)
+// askRoster asks one source for the members.
+func (m *Mirror) askRoster(ctx context.Context, box work.Box, generation int64) (memberList, error) {
+	ctx, stop := context.WithTimeout(ctx, answerTimeout)
 	defer stop()
-	have := m.toldBy(box)
+	have := m.lastMembersFrom(box)
 	answer, err := m.peers.Roster(ctx, box, RosterAsk{Generation: generation, Have: have.digest})
 	if err != nil {
-		return list{}, err
+		return memberList{}, err
 	}
 	next, ok := have.apply(answer)
 	if !ok {
 		m.mu.Lock()
-		m.lastFrom = ""
+		m.lastSource = ""
 		m.mu.Unlock()
-		return list{}, fault.Fail(fault.Protocol, "the members do not add up")
+		return memberList{}, fault.Fail(fault.Protocol, "the list of members does not match its digest")
 	}
 	return next, nil
 }
 
-// Roster tells another box the members, as a source.
+// Roster answers another box's request for the members, as a source.
 func (m *Mirror) Roster(ctx context.Context, ask RosterAsk) (RosterAnswer, error) {
 	if !m.Serving() {
-		return RosterAnswer{}, notSource()
+		return RosterAnswer{}, errNotSource()
 	}
 	return m.roster.Answer(ctx, ask)
 }
--- a/gate/mirror/mirror.go
+++ b/gate/mirror/mirror.go
@@ -13,33 +13,36 @@
 )
 
 const (
-	// answerWait is how much longer than it may hold a question a source may take for its answer, or a list of members.
-	answerWait = 400 * time.Millisecond
-	// tendEvery is the time between two looks at whether this box should be announced as a source.
-	tendEvery = time.Second
-	// servesFor is how long a box that has announced itself while the fleet started serves, however it ranks.
-	servesFor = 10 * time.Second
+	// answerTimeout is the timeout of a request for the members. For a request that a source may hold open, it is
+	// added to the time that it may do so.
+	answerTimeout = 400 * time.Millisecond
+	// announceInterval is the interval at which this box checks whether it must be announced as a source.
+	announceInterval = time.Second
+	// startupServePeriod is how long a box that announced itself during the start of the fleet stays a source,
+	// whatever its rank.
+	startupServePeriod = 10 * time.Second
 )
 
-// Boxes tells who lives.
+// Boxes is the view of the fleet.
 type Boxes interface {
+	// Live returns the live boxes. A changed list is a new slice.
 	Live() []work.Box
-	// Trusted reports whether this box has known once who lives.
+	// Trusted reports whether the view has settled at least once since the start.
 	Trusted() bool
 }
 
-// Peers asks sources.
+// Peers sends requests to sources.
 type Peers interface {
 	Copy(ctx context.Context, box work.Box, ask CopyAsk) (CopyAnswer, error)
 	Roster(ctx context.Context, box work.Box, ask RosterAsk) (RosterAnswer, error)
 }
 
-// Decoder reads what replicas have written.
+// Decoder decodes the records of replicas.
 type Decoder interface {
 	Replica(rec work.Record) (work.Replica, error)
 }
 
-// Mirror is the service. It stands between the log and those who follow what all boxes must know.
+// Mirror is the service that reads the shared topics and the members from sources or from the log.
 type Mirror struct {
 	self    work.Box
 	log     work.Log
@@ -47,54 +50,57 @@
 	peers   Peers
 	decoder Decoder
 	logger  *slog.Logger
-	// drawn is told of the levels at which this box's part of the replicas was drawn.
-	drawn  func(levels subset.Levels)
-	ranks  *ranks
-	shuns  *shunned
-	roster *roster
-	hosts  *hosts
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	// sized is closed once the members of the fleet were first known.
-	sized chan struct{}
+	// onLevels is called with the levels of this box's part of the replicas.
+	onLevels  func(levels subset.Levels)
+	ranking   *sourceRanking
+	backoff   *sourceBackoff
+	roster    *roster
+	directory *sourceDirectory
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
+	// membersReady is closed once the members of the fleet have been read for the first time.
+	membersReady chan struct{}
 
 	mu sync.Mutex
-	// copies are what this box tells others as a source.
+	// copies holds the topics that this box serves as a source.
 	copies map[work.Topic]*topicCopy
-	// levels are those of this box's own part.
+	// levels are the levels of this box's own part of the replicas.
 	levels subset.Levels
-	// looks counts the looks for members before the first that found them.
-	looks int
-	found bool
-	// untold is since when no source has told the members; zero while one does.
-	untold time.Time
-	// last is the newest list of members that a source told, and lastFrom that source's name: differences are to it.
-	last     list
-	lastFrom string
-}
-
-// New makes a mirror of a box. The zones are all availability zones, sorted.
+	// memberAttempts counts the attempts to read the members until the first that succeeded; found is set by that
+	// one.
+	memberAttempts int
+	found          bool
+	// noMembersSince is when sources began to fail to return the members; zero while one returns them.
+	noMembersSince time.Time
+	// lastMembers is the newest list of members that a source returned and lastSource is that source's name. The
+	// source sends differences from it.
+	lastMembers memberList
+	lastSource  string
+}
+
+// New returns a mirror for the box self. The zones are all availability zones, sorted.
 func New(self work.Box, zones []string, log work.Log, boxes Boxes, peers Peers, decoder Decoder, logger *slog.Logger) *Mirror {
 	m := &Mirror{
 		self: self, log: log, boxes: boxes, peers: peers, decoder: decoder, logger: logger,
-		drawn: func(subset.Levels) {}, ranks: &ranks{zone: self.Zone}, shuns: &shunned{until: map[string]time.Time{}},
-		sized: make(chan struct{}), copies: map[work.Topic]*topicCopy{},
+		onLevels: func(subset.Levels) {}, ranking: &sourceRanking{zone: self.Zone}, backoff: &sourceBackoff{until: map[string]time.Time{}},
+		membersReady: make(chan struct{}), copies: map[work.Topic]*topicCopy{},
 	}
-	m.hosts = newHosts(self, zones, log, logger)
+	m.directory = newSourceDirectory(self, zones, log, logger)
 	m.roster = newRoster(m.readMembers)
 	return m
 }
 
-// OnDrawn calls do with the levels at which the box's part of the replicas is drawn. It must be called before Start.
-func (m *Mirror) OnDrawn(do func(levels subset.Levels)) {
-	m.drawn = do
+// OnDrawn sets a callback that gets the levels of this box's part of the replicas whenever the part is read anew.
+// It must be called before Start.
+func (m *Mirror) OnDrawn(callback func(levels subset.Levels)) {
+	m.onLevels = callback
 }
 
 // Start implements a service.
 func (m *Mirror) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.done.Go(func() { kernel.Every(ctx, tendEvery, func() { m.tend(ctx) }) })
+	m.done.Go(func() { kernel.Every(ctx, announceInterval, func() { m.updateAnnouncement(ctx) }) })
 	return nil
 }
 
@@ -105,23 +111,24 @@
 	return nil
 }
 
-// tend announces this box while it ranks as a source, so that boxes that start find it.
-func (m *Mirror) tend(ctx context.Context) {
+// updateAnnouncement announces this box while it ranks as a source, so that starting boxes find it, and drops the
+// copies once this box is no longer a source.
+func (m *Mirror) updateAnnouncement(ctx context.Context) {
 	if !m.boxes.Trusted() {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, callWait)
+	ctx, stop := context.WithTimeout(ctx, logCallTimeout)
 	defer stop()
 	live := m.boxes.Live()
-	sources, _ := m.ranks.Of(live)
-	m.hosts.Tend(ctx, contains(sources, m.self.Name), live)
+	sources, _ := m.ranking.Of(live)
+	m.directory.Tend(ctx, contains(sources, m.self.Name), live)
 	if m.Serving() {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.copies) > 0 {
-		m.logger.Info("mirror: source no longer")
+		m.logger.Info("mirror: stopped being a source")
 		m.copies = map[work.Topic]*topicCopy{}
 	}
 }
@@ -137,36 +144,37 @@
 
 // Serving reports whether this box is a source.
 func (m *Mirror) Serving() bool {
-	if m.hosts.Serving() {
+	if m.directory.Serving() {
 		return true
 	}
 	sources, _ := m.sources()
 	return contains(sources, m.self.Name)
 }
 
-// sources are those of this box's zone: by rank once it knows who lives, before that those which are announced.
-func (m *Mirror) sources() (sources []work.Box, near int) {
-	sources, near = m.ranks.Of(m.boxes.Live())
+// sources returns the sources of this box's zone and the number of live boxes in it. They are ranked once the
+// view has settled; before that they are the announced ones.
+func (m *Mirror) sources() (sources []work.Box, zoneSize int) {
+	sources, zoneSize = m.ranking.Of(m.boxes.Live())
 	if m.boxes.Trusted() {
-		return sources, near
+		return sources, zoneSize
 	}
-	return m.hosts.Known(), near
+	return m.directory.Known(), zoneSize
 }
 
-// others are the sources to ask, in order; none if this box reads for itself. Those that announced themselves at a start
-// come behind those by rank: views that still grow differ on the ranks.
-func (m *Mirror) others() []work.Box {
+// sourcesToAsk returns the sources to ask, in order; none if this box reads from the log itself. The ranked ones
+// come before those that are only announced, since growing views rank the boxes differently.
+func (m *Mirror) sourcesToAsk() []work.Box {
 	sources, _ := m.sources()
 	if len(sources) == 0 {
 		return nil
 	}
-	asked := m.shuns.order(m.self.Name, sources)
-	for _, box := range m.shuns.order(m.self.Name, m.hosts.Known()) {
-		if !contains(asked, box.Name) {
-			asked = append(asked, box)
+	ordered := m.backoff.order(m.self.Name, sources)
+	for _, box := range m.backoff.order(m.self.Name, m.directory.Known()) {
+		if !contains(ordered, box.Name) {
+			ordered = append(ordered, box)
 		}
 	}
-	return asked
+	return ordered
 }
 
 // Join implements view.Log.
@@ -179,6 +187,7 @@
 	return m.log.Leave(ctx, member)
 }
 
-func notSource() error {
-	return fault.Refuse(fault.OwnerUnknown, "this box is no source")
+// errNotSource returns the fault for a request to a box that is not a source.
+func errNotSource() error {
+	return fault.Refuse(fault.OwnerUnknown, "this box is not a source")
 }
--- a/gate/mirror/mirror_test.go
+++ b/gate/mirror/mirror_test.go
@@ -15,40 +15,45 @@
 	"mulleingate.dev/gate/work"
 )
 
-// follower follows the list as package feed does, and tells when it has heard of a record.
+// follower reads the list of replicas as package feed does and records what it gets.
 type follower struct {
-	box *box
+	box *testBox
 	mu  sync.Mutex
-	// heard is when each record was heard of; known holds the replicas that it knows.
-	heard map[string]time.Time
-	known map[string]bool
-	// oldest is the greatest age of an answer.
-	oldest time.Duration
-	// reloads counts how often it read all.
+	// receivedAt is when each record was received; known holds each replica that was received and whether its last
+	// record lists it.
+	receivedAt map[string]time.Time
+	known      map[string]bool
+	// maxAge is the greatest age of an answer.
+	maxAge time.Duration
+	// reloads counts how often it read its whole part.
 	reloads int
 }
 
+// followPause is the least time between the starts of two reads.
 const followPause = 800 * time.Millisecond
 
-func (f *follower) take(recs []work.Record, age time.Duration) {
+// record stores what was received.
+func (f *follower) record(recs []work.Record, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.oldest = max(f.oldest, age)
+	f.maxAge = max(f.maxAge, age)
 	for _, rec := range recs {
 		f.known[rec.Key] = len(rec.Value) > 0
-		f.heard[rec.Key+"="+string(rec.Value)] = time.Now()
+		f.receivedAt[rec.Key+"="+string(rec.Value)] = time.Now()
 	}
 }
 
+// run reads until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	next := int64(-1)
 	for ctx.Err() == nil {
 		begun := time.Now()
 		next = f.step(ctx, next)
-		pause(ctx, followPause-time.Since(begun))
+		sleep(ctx, followPause-time.Since(begun))
 	}
 }
 
+// step reads once from the offset next, or the whole part if next is negative, and returns the next offset.
 func (f *follower) step(ctx context.Context, next int64) int64 {
 	if next < 0 {
 		all, err := f.box.mirror.All(ctx, work.Replicas)
@@ -58,7 +63,7 @@
 		f.mu.Lock()
 		f.reloads++
 		f.mu.Unlock()
-		f.take(all.Records, all.Age)
+		f.record(all.Records, all.Age)
 		return all.Next
 	}
 	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
@@ -70,75 +75,75 @@
 	if err != nil {
 		return next
 	}
-	f.take(page.Records, page.Age)
+	f.record(page.Records, page.Age)
 	return page.Next
 }
 
-// follow has all boxes follow the list until the end of the test.
-func (w *world) follow(ctx context.Context, done *sync.WaitGroup) map[string]*follower {
+// follow starts a follower on every box, until ctx ends.
+func (z *testZone) follow(ctx context.Context, done *sync.WaitGroup) map[string]*follower {
 	followers := map[string]*follower{}
-	for name, b := range w.boxes {
-		f := &follower{box: b, heard: map[string]time.Time{}, known: map[string]bool{}}
+	for name, b := range z.boxes {
+		f := &follower{box: b, receivedAt: map[string]time.Time{}, known: map[string]bool{}}
 		followers[name] = f
 		done.Go(func() { f.run(ctx) })
 	}
 	return followers
 }
 
-// play has a zone of 200 boxes follow a list of 2,000 replicas.
-func play(t *testing.T, do func(t *testing.T, w *world, followers map[string]*follower)) {
+// withFollowers runs a test whose boxes follow a list of 2,000 replicas.
+func withFollowers(t *testing.T, do func(t *testing.T, z *testZone, followers map[string]*follower)) {
 	t.Helper()
-	playOf(t, 2000, do)
+	withFollowersOf(t, 2000, do)
 }
 
-// playOf is the same with a list of so many replicas.
-func playOf(t *testing.T, replicas int, do func(t *testing.T, w *world, followers map[string]*follower)) {
+// withFollowersOf runs a test with boxes that follow a list of the given number of replicas.
+func withFollowersOf(t *testing.T, replicas int, do func(t *testing.T, z *testZone, followers map[string]*follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(200)
-		w.replicas(replicas)
-		w.settle()
+		z := newTestZone(200)
+		z.addReplicas(replicas)
+		z.settleViews()
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
-		followers := w.follow(ctx, &done)
+		followers := z.follow(ctx, &done)
 		time.Sleep(6 * time.Second)
-		do(t, w, followers)
+		do(t, z, followers)
 		stop()
 		done.Wait()
 	})
 }
 
-// lateness is the longest time until a box that knows the replica has heard of the record; those that never do within
-// limit are counted.
-func lateness(followers map[string]*follower, id, value string, since time.Time) (latest time.Duration, never int) {
+// maxDelay returns the longest time that a follower took to receive the record, and how many have not received
+// it. It skips dead and frozen boxes and those whose part lacks the replica.
+func maxDelay(followers map[string]*follower, id, value string, since time.Time) (latest time.Duration, missing int) {
 	for _, f := range followers {
 		f.mu.Lock()
-		at, ok := f.heard[id+"="+value]
+		at, ok := f.receivedAt[id+"="+value]
 		_, knew := f.known[id]
 		f.mu.Unlock()
 		switch {
 		case f.box.dead.Load() || f.box.frozen.Load() || !knew:
 		case !ok:
-			never++
+			missing++
 		default:
 			latest = max(latest, at.Sub(since))
 		}
 	}
-	return latest, never
+	return latest, missing
 }
 
-// TestFewReadForMany checks what a zone of 200 boxes costs the log, and what each box knows: the list is read whole by the
-// sources alone, and a box knows a part of it.
-func TestFewReadForMany(t *testing.T) {
-	play(t, func(t *testing.T, w *world, followers map[string]*follower) {
+// TestSourcesReadForZone checks that only the sources read from the log, and that each box gets a part of the list
+// while nearly every replica is in some box's part.
+func TestSourcesReadForZone(t *testing.T) {
+	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		pages := 2000/pageItems + 1
-		if got, most := w.store.called("newest replicas"), len(w.sources())*pages; got > most {
-			t.Errorf("%d calls for the whole list, want at most %d", got, most)
+		if got, most := z.log.callCount("newest replicas"), len(z.sources())*pages; got > most {
+			t.Errorf("%d calls for the newest replicas, want at most %d", got, most)
 		}
-		before := w.store.called("read")
+		before := z.log.callCount("read")
 		time.Sleep(10 * time.Second)
-		if got := w.store.called("read") - before; got > 12*len(w.sources()) {
-			t.Errorf("%d reads in 10 s, by %d sources", got, len(w.sources()))
+		if got := z.log.callCount("read") - before; got > 12*len(z.sources()) {
+			t.Errorf("%d reads in 10 s by %d sources, want at most 12 per source", got, len(z.sources()))
 		}
 		by := map[string]int{}
 		for name, f := range followers {
@@ -150,58 +155,58 @@
 				}
 			}
 			if n < 80 || n > 200 {
-				t.Errorf("%s knows %d of 2000 replicas", name, n)
+				t.Errorf("%s has %d of 2000 replicas, want 80 to 200", name, n)
 			}
 		}
 		if len(by) < 1990 {
-			t.Errorf("%d of 2000 replicas are known by a box", len(by))
+			t.Errorf("%d of 2000 replicas are in a box's part, want at least 1990", len(by))
 		}
 	})
 }
 
-// TestNewsInTime checks that a replica which leaves is known to all boxes that know it within the bound of large fleets,
-// whatever happens to the sources.
-func TestNewsInTime(t *testing.T) {
+// TestRecordsArriveInTime checks that a replica's new record reaches all boxes with that replica within the
+// bound, also while sources fail or boxes disagree about them.
+func TestRecordsArriveInTime(t *testing.T) {
 	const bound = 4 * time.Second
 	cases := []struct {
-		name string
-		harm func(w *world)
+		name   string
+		inject func(z *testZone)
 	}{
-		{"nothing", func(*world) {}},
-		{"a source dies", func(w *world) { w.boxes[w.sources()[0].Name].dead.Store(true) }},
-		{"a source hangs", func(w *world) { w.boxes[w.sources()[0].Name].frozen.Store(true) }},
-		{"all sources die", func(w *world) {
-			for _, one := range w.sources() {
-				w.boxes[one.Name].dead.Store(true)
+		{"nothing", func(*testZone) {}},
+		{"a source dies", func(z *testZone) { z.boxes[z.sources()[0].Name].dead.Store(true) }},
+		{"a source hangs", func(z *testZone) { z.boxes[z.sources()[0].Name].frozen.Store(true) }},
+		{"all sources die", func(z *testZone) {
+			for _, one := range z.sources() {
+				z.boxes[one.Name].dead.Store(true)
 			}
 		}},
-		{"all sources hang", func(w *world) {
-			for _, one := range w.sources() {
-				w.boxes[one.Name].frozen.Store(true)
+		{"all sources hang", func(z *testZone) {
+			for _, one := range z.sources() {
+				z.boxes[one.Name].frozen.Store(true)
 			}
 		}},
-		{"a source is cut off from the log", func(w *world) {
-			w.store.mu.Lock()
-			defer w.store.mu.Unlock()
-			w.store.deaf[w.sources()[0].Name] = true
+		{"a source is cut off from the log", func(z *testZone) {
+			z.log.mu.Lock()
+			defer z.log.mu.Unlock()
+			z.log.cutOff[z.sources()[0].Name] = true
 		}},
-		{"boxes differ on the sources", func(w *world) {
-			for i, one := range w.all {
-				w.boxes[one.Name].see(slices.Delete(slices.Clone(w.all), i/2, i/2+20))
+		{"boxes differ on the sources", func(z *testZone) {
+			for i, one := range z.all {
+				z.boxes[one.Name].setLive(slices.Delete(slices.Clone(z.all), i/2, i/2+20))
 			}
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(t *testing.T, w *world, followers map[string]*follower) {
-				c.harm(w)
+			withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
+				c.inject(z)
 				for step := range 5 {
 					time.Sleep(time.Duration(step) * 230 * time.Millisecond)
 					id, since := fmt.Sprintf("i-%04d", 100*step), time.Now()
-					w.store.list(work.Record{Key: id, Value: []byte("s a drains")})
+					z.log.appendReplicas(work.Record{Key: id, Value: []byte("s a drains")})
 					time.Sleep(bound)
-					if latest, never := lateness(followers, id, "s a drains", since); never > 0 || latest > bound {
-						t.Errorf("step %d: %d boxes have not heard after %v, the others after %v at most", step, never, bound, latest)
+					if latest, missing := maxDelay(followers, id, "s a drains", since); missing > 0 || latest > bound {
+						t.Errorf("step %d: %d boxes lack the record after %v; the others got it within %v", step, missing, bound, latest)
 					}
 				}
 			})
@@ -209,12 +214,12 @@
 	}
 }
 
-// TestPartIsDrawnAnew checks that parts follow a list that shrinks to an eighth: a part is drawn by chance, so that a box may know
-// fewer than are aimed at, but none knows a few only.
-func TestPartIsDrawnAnew(t *testing.T) {
-	play(t, func(t *testing.T, w *world, followers map[string]*follower) {
+// TestPartsFollowShrinkingList checks that parts are drawn anew when the list shrinks to an eighth. Sizes vary by
+// chance, but no box may be left with only a few replicas.
+func TestPartsFollowShrinkingList(t *testing.T) {
+	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		for i := range 1750 {
-			w.store.list(work.Record{Key: fmt.Sprintf("i-%04d", i)})
+			z.log.appendReplicas(work.Record{Key: fmt.Sprintf("i-%04d", i)})
 		}
 		time.Sleep(8 * time.Second)
 		for name, f := range followers {
@@ -227,18 +232,18 @@
 			}
 			f.mu.Unlock()
 			if few := 12; n < few {
-				t.Errorf("%s knows %d of 250 replicas, want at least %d", name, n, few)
+				t.Errorf("%s has %d of 250 replicas, want at least %d", name, n, few)
 			}
 		}
 	})
 }
 
-// TestListThatFills checks that no box knows most of a list while it grows from some replicas to thousands, as at the start of
-// all.
-func TestListThatFills(t *testing.T) {
-	playOf(t, 60, func(t *testing.T, w *world, followers map[string]*follower) {
+// TestPartsFollowGrowingList checks that no box gets most of a list that grows from a few replicas to thousands, as
+// at the start of a fleet.
+func TestPartsFollowGrowingList(t *testing.T) {
+	withFollowersOf(t, 60, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		for i := range 4000 {
-			w.store.list(work.Record{Key: fmt.Sprintf("n-%04d", i), Value: []byte("s a")})
+			z.log.appendReplicas(work.Record{Key: fmt.Sprintf("n-%04d", i), Value: []byte("s a")})
 			if i%20 == 0 {
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -249,15 +254,16 @@
 			n := len(f.known)
 			f.mu.Unlock()
 			if n > 1500 {
-				t.Errorf("%s has heard of %d of 4000 replicas", name, n)
+				t.Errorf("%s has received %d of 4000 replicas, want at most 1500", name, n)
 			}
 		}
 	})
 }
 
-// TestListThatLapses checks that boxes keep their parts while a list lapses with the log and comes back.
-func TestListThatLapses(t *testing.T) {
-	play(t, func(t *testing.T, w *world, followers map[string]*follower) {
+// TestPartsSurviveLapsedList checks that boxes do not read their parts again when all replicas lapse and soon
+// return.
+func TestPartsSurviveLapsedList(t *testing.T) {
+	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		before := map[string]int{}
 		for name, f := range followers {
 			f.mu.Lock()
@@ -265,12 +271,12 @@
 			f.mu.Unlock()
 		}
 		for i := range 2000 {
-			w.store.list(work.Record{Key: fmt.Sprintf("i-%04d", i)})
+			z.log.appendReplicas(work.Record{Key: fmt.Sprintf("i-%04d", i)})
 		}
 		time.Sleep(5 * time.Second)
 		for part := range 20 {
 			for i := range 100 {
-				w.store.list(work.Record{Key: fmt.Sprintf("i-%04d", 100*part+i), Value: []byte("s a")})
+				z.log.appendReplicas(work.Record{Key: fmt.Sprintf("i-%04d", 100*part+i), Value: []byte("s a")})
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -285,50 +291,51 @@
 			}
 			f.mu.Unlock()
 			if reloads > 0 || n < 80 || n > 200 {
-				t.Errorf("%s read its part %d times more, and knows %d replicas", name, reloads, n)
+				t.Errorf("%s: %d reloads and %d replicas, want no reload and 80 to 200 replicas", name, reloads, n)
 			}
 		}
 	})
 }
 
-// TestSmallZonesReadForThemselves checks that nothing lies between the log and the boxes of a small zone, which know all.
-func TestSmallZonesReadForThemselves(t *testing.T) {
+// TestSmallZonesReadFromLog checks that boxes of a small zone read whole topics from the log, not from
+// other boxes.
+func TestSmallZonesReadFromLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(smallZone - 1)
-		w.replicas(500)
-		w.settle()
-		for name, b := range w.boxes {
+		z := newTestZone(minZoneSize - 1)
+		z.addReplicas(500)
+		z.settleViews()
+		for name, b := range z.boxes {
 			all, err := b.mirror.All(context.Background(), work.Replicas)
 			if err != nil || len(all.Records) != 500 || all.Age != 0 {
 				t.Fatalf("%s: %d records, age %v, %v", name, len(all.Records), all.Age, err)
 			}
 		}
-		for name, b := range w.boxes {
-			if got := b.asked.Load(); got > 0 {
-				t.Errorf("%s was asked %d times", name, got)
+		for name, b := range z.boxes {
+			if got := b.requests.Load(); got > 0 {
+				t.Errorf("%s got %d requests", name, got)
 			}
 		}
 	})
 }
 
-// TestStartOfAll checks that of 200 boxes which start within 300 ms few read the members themselves, and that all know
-// them soon.
-func TestStartOfAll(t *testing.T) {
+// TestFleetStart checks that only a few boxes of a large fleet that starts read the members from the log, and that
+// all boxes get them soon.
+func TestFleetStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(200)
+		z := newTestZone(200)
 		var done sync.WaitGroup
 		begun := time.Now()
 		var mu sync.Mutex
 		latest := time.Duration(0)
-		for i, one := range w.all {
-			b := w.boxes[one.Name]
+		for i, one := range z.all {
+			b := z.boxes[one.Name]
 			done.Go(func() {
-				time.Sleep(time.Duration(i%5*20) * time.Millisecond) // boxes of a kind start together
+				time.Sleep(time.Duration(i%5*20) * time.Millisecond) // all fast boxes start at the same time
 				for {
 					ctx, stop := context.WithTimeout(context.Background(), time.Second)
 					members, err := b.mirror.Members(ctx, 5)
 					stop()
-					if err == nil && len(members) == len(w.all) {
+					if err == nil && len(members) == len(z.all) {
 						break
 					}
 					time.Sleep(300 * time.Millisecond)
@@ -339,35 +346,35 @@
 			})
 		}
 		done.Wait()
-		if got := w.store.called("members"); got > 20 {
-			t.Errorf("the members were read %d times", got)
+		if got := z.log.callCount("members"); got > 20 {
+			t.Errorf("the members were read from the log %d times, want at most 20", got)
 		}
 		announced := map[string]bool{}
-		for _, rec := range w.store.shards[work.Shard{Topic: work.Sources}] {
+		for _, rec := range z.log.shards[work.Shard{Topic: work.Sources}] {
 			announced[rec.Key] = true
 		}
-		if len(announced) > 4*len(w.sources()) {
-			t.Errorf("%d boxes announced themselves", len(announced))
+		if len(announced) > 4*len(z.sources()) {
+			t.Errorf("%d boxes announced themselves, want at most 4 per source", len(announced))
 		}
 		if latest > 1500*time.Millisecond {
-			t.Errorf("the last box knows the members after %v", latest)
+			t.Errorf("the last box got the members after %v, want at most 1.5 s", latest)
 		}
 	})
 }
 
-// TestChangesOfMembers checks that a source tells what has changed, and that a box which asks comes to the same list.
-func TestChangesOfMembers(t *testing.T) {
+// TestMemberDifferences checks that applying the differences that a source sends yields the current members.
+func TestMemberDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(100)
-		w.settle()
+		z := newTestZone(100)
+		z.settleViews()
 		ctx := context.Background()
 		reads := 0
 		for step := range 20 {
-			w.store.mu.Lock()
-			w.store.members = append(slices.Clone(w.store.members[1:]), fmt.Sprintf("new-%d|a|10.0.0.2:%d|i|1|1", step, 1000+step))
-			want := slices.Sorted(slices.Values(w.store.members))
-			w.store.mu.Unlock()
-			for _, b := range w.boxes {
+			z.log.mu.Lock()
+			z.log.members = append(slices.Clone(z.log.members[1:]), fmt.Sprintf("new-%d|a|10.0.0.2:%d|i|1|1", step, 1000+step))
+			want := slices.Sorted(slices.Values(z.log.members))
+			z.log.mu.Unlock()
+			for _, b := range z.boxes {
 				got, err := b.mirror.Members(ctx, int64(10+step))
 				if err != nil {
 					t.Fatal(err)
@@ -379,48 +386,48 @@
 			reads++
 			time.Sleep(time.Second)
 		}
-		if got := w.store.called("members"); got > 3*reads {
-			t.Errorf("the members were read %d times for %d changes", got, reads)
+		if got := z.log.callCount("members"); got > 3*reads {
+			t.Errorf("the members were read from the log %d times for %d changes, want at most 3 per change", got, reads)
 		}
 	})
 }
 
-// TestStaleSourcesTellNothing checks that what a source tells is no older than it says, and that one which does not hear of
-// the log any more tells nothing.
-func TestStaleSourcesTellNothing(t *testing.T) {
-	play(t, func(t *testing.T, w *world, followers map[string]*follower) {
-		w.store.mu.Lock()
-		for _, one := range w.sources() {
-			w.store.deaf[one.Name] = true
+// TestStaleSourcesRefuse checks that sources that are cut off from the log refuse requests once their copies are
+// too old, and that no box accepts an older answer.
+func TestStaleSourcesRefuse(t *testing.T) {
+	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
+		z.log.mu.Lock()
+		for _, one := range z.sources() {
+			z.log.cutOff[one.Name] = true
 		}
-		w.store.mu.Unlock()
+		z.log.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		for _, one := range w.sources() {
+		for _, one := range z.sources() {
 			ask := CopyAsk{Topic: work.Replicas, Box: "x", Whole: true}
-			if _, err := w.boxes[one.Name].mirror.Copy(context.Background(), ask); err == nil {
-				t.Errorf("%s tells of a log that it has not heard for 10 s", one.Name)
+			if _, err := z.boxes[one.Name].mirror.Copy(context.Background(), ask); err == nil {
+				t.Errorf("%s served a copy though it had been cut off from the log for 10 s", one.Name)
 			}
 		}
 		for name, f := range followers {
-			if f.oldest > staleAfter {
-				t.Errorf("%s took an answer of %v before", name, f.oldest)
+			if f.maxAge > maxCopyAge {
+				t.Errorf("%s accepted an answer of age %v", name, f.maxAge)
 			}
 		}
 	})
 }
 
-// TestSourcesOfMembersDie checks that boxes come to know that all their sources died, and that they don't all read the members
-// again and again.
-func TestSourcesOfMembersDie(t *testing.T) {
+// TestMembersAfterSourcesDie checks that all boxes get the members after all their sources died, without reading
+// them from the log more than once each on average.
+func TestMembersAfterSourcesDie(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(200)
-		w.settle()
-		for _, one := range w.sources() {
-			w.boxes[one.Name].dead.Store(true)
+		z := newTestZone(200)
+		z.settleViews()
+		for _, one := range z.sources() {
+			z.boxes[one.Name].dead.Store(true)
 		}
-		w.store.members = w.store.members[1:]
+		z.log.members = z.log.members[1:]
 		var done sync.WaitGroup
-		for _, b := range w.boxes {
+		for _, b := range z.boxes {
 			done.Go(func() {
 				for try := 0; ; try++ {
 					members, err := b.mirror.Members(context.Background(), 7)
@@ -428,7 +435,7 @@
 						return
 					}
 					if try > 20 {
-						t.Errorf("%s does not know the members", b.Name)
+						t.Errorf("%s did not get the members", b.Name)
 						return
 					}
 					time.Sleep(300 * time.Millisecond)
@@ -436,8 +443,8 @@
 			})
 		}
 		done.Wait()
-		if got := w.store.called("members"); got > len(w.all) {
-			t.Errorf("the members were read %d times", got)
+		if got := z.log.callCount("members"); got > len(z.all) {
+			t.Errorf("the members were read from the log %d times, want at most once per box", got)
 		}
 	})
 }
--- a/gate/mirror/roster.go
+++ b/gate/mirror/roster.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// movingFor is how long after a change of the fleet its members may change without another one: the log names a new
-	// member only once others have joined again. Meanwhile a list counts as new for movingAge, a heartbeat; after
-	// it for calmAge.
-	movingFor = time.Second
-	movingAge = 300 * time.Millisecond
-	calmAge   = 2500 * time.Millisecond
-	// keptLists is how many lists are kept to tell differences from.
-	keptLists = 8
+	// After a change of the fleet the members may change again for settlingPeriod without a new generation, since
+	// the log lists a new member only once others have joined again. In that time a list may be served for
+	// settlingMaxAge, later for stableMaxAge.
+	settlingPeriod = time.Second
+	settlingMaxAge = 300 * time.Millisecond
+	stableMaxAge   = 2500 * time.Millisecond
+	// maxKeptLists is how many recent lists a source keeps to send differences from.
+	maxKeptLists = 8
 )
 
-// RosterAsk asks a source for the members of the fleet.
+// RosterAsk requests the members of the fleet from a source.
 type RosterAsk struct {
-	// Generation is the one that the asker has heard of.
+	// Generation is the newest generation that the asking box got from the log.
 	Generation int64 `json:"generation"`
-	// Have is the digest of the list that the asker has from this source; zero without one.
+	// Have is the digest of the list that the box last got from this source; zero without one.
 	Have uint64 `json:"have,omitempty"`
 }
 
-// RosterAnswer is the list of members, or how it differs from the one that the asker has.
+// RosterAnswer is the list of members or its difference from the list that the asking box has.
 type RosterAnswer struct {
+	// Digest is the digest of the whole list, to check the result of applying a difference.
 	Digest uint64 `json:"digest"`
-	// Whole says that Came is the whole list.
+	// Whole reports that Came is the whole list. Otherwise Came holds the added and Went the removed members.
 	Whole bool     `json:"whole,omitempty"`
 	Came  []string `json:"came,omitempty"`
 	Went  []string `json:"went,omitempty"`
 }
 
-// list is a sorted list of members.
-type list struct {
+// memberList is a sorted list of members with its digest.
+type memberList struct {
 	digest  uint64
 	members []string
 }
 
-func newList(members []string) list {
+func newList(members []string) memberList {
 	members = slices.Sorted(slices.Values(members))
-	return list{digest: xxhash.Sum64String(strings.Join(members, "\n")), members: members}
+	return memberList{digest: xxhash.Sum64String(strings.Join(members, "\n")), members: members}
 }
 
-// differs tells how the list differs from one of before.
-func (l list) differs(before list) RosterAnswer {
+// diff returns the difference from an earlier list.
+func (l memberList) diff(earlier memberList) RosterAnswer {
 	out := RosterAnswer{Digest: l.digest}
-	old := before.members
+	old := earlier.members
 	for _, member := range l.members {
 		for len(old) > 0 && old[0] < member {
 			out.Went = append(out.Went, old[0])
@@ -68,8 +69,8 @@
 	return out
 }
 
-// apply makes the list that an answer tells of.
-func (l list) apply(answer RosterAnswer) (list, bool) {
+// apply returns the list that results from an answer; false if its digest is not the one in the answer.
+func (l memberList) apply(answer RosterAnswer) (memberList, bool) {
 	if answer.Whole {
 		return newList(answer.Came), true
 	}
@@ -78,73 +79,73 @@
 	return next, next.digest == answer.Digest
 }
 
-// roster is the members of the fleet as a source reads them for others.
+// roster caches the members of the fleet, which a source reads for itself and others.
 type roster struct {
-	// read reads them anew.
+	// read returns the members as of the generation or later.
 	read func(ctx context.Context, generation int64) ([]string, error)
 
-	// reading holds a token while they are read, so that all who ask meanwhile share one answer.
-	reading chan struct{}
+	// readSem is a semaphore of one, held during a read, so that concurrent callers share one result.
+	readSem chan struct{}
 
 	mu sync.Mutex
-	// lists are the newest that were read, last the newest.
-	lists []list
-	// generation is the newest that any box has told of, movedAt when it was told of, readAt when the question for the
-	// newest list was sent.
-	generation      int64
-	movedAt, readAt time.Time
-	// readFor is the generation that was known when it was sent.
-	readFor int64
+	// lists are the newest lists, oldest first.
+	lists []memberList
+	// generation is the newest one that any box has reported, generationAt is when it was first reported and readAt
+	// is when the read of the newest list began.
+	generation           int64
+	generationAt, readAt time.Time
+	// readGeneration is the value of generation when that read began.
+	readGeneration int64
 }
 
 func newRoster(read func(ctx context.Context, generation int64) ([]string, error)) *roster {
-	return &roster{read: read, reading: make(chan struct{}, 1), generation: -1, readFor: -1}
+	return &roster{read: read, readSem: make(chan struct{}, 1), generation: -1, readGeneration: -1}
 }
 
-// hear notes a generation.
-func (r *roster) hear(generation int64) {
+// noteGeneration records a generation that a box has reported.
+func (r *roster) noteGeneration(generation int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if generation > r.generation {
-		r.generation, r.movedAt = generation, time.Now()
+		r.generation, r.generationAt = generation, time.Now()
 	}
 }
 
-// fresh reports whether the newest list may be told to a box that has heard of the generation.
+// fresh reports whether the newest list may be served: it was read for the newest generation and is not too old.
 func (r *roster) fresh(now time.Time) bool {
-	if len(r.lists) == 0 || r.readFor < r.generation {
+	if len(r.lists) == 0 || r.readGeneration < r.generation {
 		return false
 	}
-	age := calmAge
-	if now.Sub(r.movedAt) < movingFor {
-		age = movingAge
+	maxAge := stableMaxAge
+	if now.Sub(r.generationAt) < settlingPeriod {
+		maxAge = settlingMaxAge
 	}
-	return now.Sub(r.readAt) < age
+	return now.Sub(r.readAt) < maxAge
 }
 
-// newest returns the list if it is fresh.
-func (r *roster) newest() (list, bool) {
+// newest returns the newest list if it is fresh.
+func (r *roster) newest() (memberList, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.fresh(time.Now()) {
-		return list{}, false
+		return memberList{}, false
 	}
 	return r.lists[len(r.lists)-1], true
 }
 
-// Get returns the members for a box that has heard of the generation.
-func (r *roster) Get(ctx context.Context, generation int64) (list, error) {
-	r.hear(generation)
+// Get returns the members as of the generation or later, from the cache if the newest list is fresh.
+func (r *roster) Get(ctx context.Context, generation int64) (memberList, error) {
+	r.noteGeneration(generation)
 	if got, ok := r.newest(); ok {
 		return got, nil
 	}
 	select {
-	case r.reading <- struct{}{}:
-		defer func() { <-r.reading }()
+	case r.readSem <- struct{}{}:
+		defer func() { <-r.readSem }()
 	case <-ctx.Done():
-		return list{}, ctx.Err()
+		return memberList{}, ctx.Err()
 	}
-	if got, ok := r.newest(); ok { // read while this one waited
+	if got, ok := r.newest(); ok { // another caller has read it meanwhile
 		return got, nil
 	}
 	r.mu.Lock()
@@ -152,28 +153,30 @@
 	r.mu.Unlock()
 	members, err := r.read(ctx, known)
 	if err != nil {
-		return list{}, err
+		return memberList{}, err
 	}
 	return r.put(members, known, asked), nil
 }
 
-func (r *roster) put(members []string, generation int64, asked time.Time) list {
+// put adds a list that was requested at asked for the generation.
+func (r *roster) put(members []string, generation int64, asked time.Time) memberList {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := newList(members)
 	if n := len(r.lists); n == 0 || r.lists[n-1].digest != next.digest {
 		r.lists = append(r.lists, next)
 	}
-	if len(r.lists) > keptLists {
+	if len(r.lists) > maxKeptLists {
 		r.lists = slices.Delete(r.lists, 0, 1)
 	}
-	r.readAt, r.readFor = asked, generation
+	r.readAt, r.readGeneration = asked, generation
 	return next
 }
 
-// Answer is the list told to a box that may have one of before.
+// Answer returns the members for another box: the difference from the list that the box has if that is still
+// kept, otherwise the whole list.
 func (r *roster) Answer(ctx context.Context, ask RosterAsk) (RosterAnswer, error) {
-	now, err := r.Get(ctx, ask.Generation)
+	current, err := r.Get(ctx, ask.Generation)
 	if err != nil {
 		return RosterAnswer{}, err
 	}
@@ -181,8 +184,8 @@
 	defer r.mu.Unlock()
 	for _, before := range r.lists {
 		if before.digest == ask.Have {
-			return now.differs(before), nil
+			return current.diff(before), nil
 		}
 	}
-	return RosterAnswer{Digest: now.digest, Whole: true, Came: now.members}, nil
+	return RosterAnswer{Digest: current.digest, Whole: true, Came: current.members}, nil
 }
--- a/gate/mirror/sources.go
+++ b/gate/mirror/sources.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	// smallZone is the number of boxes of an availability zone below which each reads for itself: then that costs the log
-	// little, and no second step lies between a change and the boxes.
-	smallZone = 32
-	// leastSources serve a zone, so that one may fail, and one more for each boxesASource.
-	leastSources = 2
-	boxesASource = 256
-	// sourceKey is the key of the rendezvous of sources.
-	sourceKey = "source"
-	// leastCores is taken for the processor time of a box that does not say.
-	leastCores = 0.01
-	// fastCores and fastLink, in Mbit/s, make a box fast enough to tell a hundred others their parts of a list within a
-	// second.
+	// minZoneSize is the number of boxes below which an availability zone has no sources: few boxes cost the log
+	// little, and without sources changes reach them sooner.
+	minZoneSize = 32
+	// A zone has minSources, so that one may fail, and one more per boxesPerSource boxes.
+	minSources     = 2
+	boxesPerSource = 256
+	// sourceRankKey is the rendezvous key for ranking sources.
+	sourceRankKey = "source"
+	// minCores replaces the processor time of a box that does not report any, or less.
+	minCores = 0.01
+	// fastCores and fastLink, in Mbit/s, are what a box needs to serve about a hundred others within a second.
 	fastCores, fastLink = 0.4, 100
-	// shunFor is how long a source that refused is asked last, shunForSlow the same for one that did not answer.
-	shunFor     = time.Second
-	shunForSlow = 2 * time.Second
+	// membersBackoff is how long a source that failed to return the members is asked last; readBackoff is the same
+	// for a source that failed to return new records.
+	membersBackoff = time.Second
+	readBackoff    = 2 * time.Second
 )
 
-// fast reports whether the box may be a source from the moment when its fleet starts.
+// fast reports whether the box is fast enough to become a source while the fleet starts.
 func fast(box work.Box) bool {
 	return box.Cores >= fastCores && box.Link >= fastLink
 }
 
-// ranked returns the boxes of a zone that should be its sources, the first of them first; none in a small zone. Fast boxes
-// are chosen by the square of their processor time, since a source answers for hundreds of others.
-func ranked(near []work.Box) []work.Box {
-	if len(near) < smallZone {
+// rankSources returns the boxes of a zone that should be its sources, best first; none in a small zone. Boxes are
+// weighted by the square of their processor time, since a source serves hundreds of others.
+func rankSources(zoneBoxes []work.Box) []work.Box {
+	if len(zoneBoxes) < minZoneSize {
 		return nil
 	}
-	share := func(i int) (string, float64) {
-		cores := max(near[i].Cores, leastCores)
-		return near[i].Name, cores * cores
+	weight := func(i int) (string, float64) {
+		cores := max(zoneBoxes[i].Cores, minCores)
+		return zoneBoxes[i].Name, cores * cores
 	}
 	var sources []work.Box
-	for _, i := range ident.Shared(sourceKey, len(near), share, leastSources+len(near)/boxesASource) {
-		sources = append(sources, near[i])
+	for _, i := range ident.Shared(sourceRankKey, len(zoneBoxes), weight, minSources+len(zoneBoxes)/boxesPerSource) {
+		sources = append(sources, zoneBoxes[i])
 	}
 	return sources
 }
 
-// ranks keeps the sources of a zone for as long as the same boxes live.
-type ranks struct {
+// sourceRanking caches the sources of a zone for one list of live boxes.
+type sourceRanking struct {
 	zone string
 
-	mu      sync.Mutex
-	live    []work.Box
-	near    int
-	sources []work.Box
+	mu       sync.Mutex
+	live     []work.Box
+	zoneSize int
+	sources  []work.Box
 }
 
-// Of returns the sources among the living boxes, and how many boxes the zone has.
-func (r *ranks) Of(live []work.Box) (sources []work.Box, near int) {
+// Of returns the sources among the live boxes and the number of live boxes in the zone.
+func (r *sourceRanking) Of(live []work.Box) (sources []work.Box, zoneSize int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(live) == len(r.live) && len(live) > 0 && &live[0] == &r.live[0] {
-		return r.sources, r.near
+		return r.sources, r.zoneSize
 	}
 	var boxes []work.Box
 	for _, box := range live {
@@ -73,40 +73,40 @@
 			boxes = append(boxes, box)
 		}
 	}
-	r.live, r.near, r.sources = live, len(boxes), ranked(boxes)
-	return r.sources, r.near
+	r.live, r.zoneSize, r.sources = live, len(boxes), rankSources(boxes)
+	return r.sources, r.zoneSize
 }
 
-// shunned holds sources that failed lately.
-type shunned struct {
+// sourceBackoff holds the sources that failed recently and until when they are asked last.
+type sourceBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// Add has a source left for a while.
-func (s *shunned) Add(name string, lasts time.Duration) {
+// Add makes the source be asked last for the given time.
+func (s *sourceBackoff) Add(name string, period time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until[name] = time.Now().Add(lasts)
+	s.until[name] = time.Now().Add(period)
 }
 
-// order returns the boxes to ask, those that failed lately last; the others as the rendezvous of the asker says, so that
-// each source serves its part of the zone.
-func (s *shunned) order(self string, boxes []work.Box) []work.Box {
-	names := func(i int) string { return boxes[i].Name }
+// order returns the boxes to ask, without self, in order: by rendezvous hashing with self as the key, so that the
+// zone's boxes spread over the sources, and those that failed recently last.
+func (s *sourceBackoff) order(self string, boxes []work.Box) []work.Box {
+	name := func(i int) string { return boxes[i].Name }
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	var good, bad []work.Box
-	for _, i := range ident.Closest(self, len(boxes), names, len(boxes)) {
+	var preferred, failed []work.Box
+	for _, i := range ident.Closest(self, len(boxes), name, len(boxes)) {
 		box := boxes[i]
 		switch {
 		case box.Name == self:
 		case now.Before(s.until[box.Name]):
-			bad = append(bad, box)
+			failed = append(failed, box)
 		default:
-			good = append(good, box)
+			preferred = append(preferred, box)
 		}
 	}
-	return slices.Concat(good, bad)
+	return slices.Concat(preferred, failed)
 }
--- a/gate/mirror/topics.go
+++ b/gate/mirror/topics.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// callWait bounds one call to the log that reads a part of a long topic.
-	callWait = 3 * time.Second
-	// wholeWait bounds the answer with a whole part: some hundred kilobytes over a slow link.
-	wholeWait = 2 * time.Second
-	// patience is how long at least a box waits for a source before it reads a topic itself, and spread, at random, how
-	// much longer for each box of its zone: so many that read all at once, or within a few seconds, would be more than
-	// the log bears. It asks again every sourceWait.
-	patience   = 2 * time.Second
-	spread     = 100 * time.Millisecond
-	sourceWait = 150 * time.Millisecond
-	// sizeWait is how long a box that starts waits to hear how large the fleet is.
-	sizeWait = time.Second
+	// logCallTimeout is the timeout of one call to the log; a large topic is read with several calls.
+	logCallTimeout = 3 * time.Second
+	// partTimeout is the timeout of a request for a whole part, which may be large and cross a slow link.
+	partTimeout = 2 * time.Second
+	// minSourceWait is how long a box at least waits for a source before it reads a topic from the log. A random
+	// time of up to sourceWaitPerBox per box of its zone is added, so that not all boxes read from the log at once.
+	// Meanwhile it asks the sources again every sourceRetryInterval.
+	minSourceWait       = 2 * time.Second
+	sourceWaitPerBox    = 100 * time.Millisecond
+	sourceRetryInterval = 150 * time.Millisecond
+	// membersTimeout is how long a starting box waits for the members, which give the size of the zone.
+	membersTimeout = time.Second
 )
 
-// CopyAsk asks a source for a topic.
+// CopyAsk requests records of a topic from a source.
 type CopyAsk struct {
 	Topic work.Topic `json:"topic"`
-	// Box is the asker's name.
+	// Box is the name of the box that asks.
 	Box string `json:"box"`
-	// Whole asks for all newest records that the box knows; otherwise for those from the offset From on, or as soon as
-	// there are some, within Wait. Levels are those at which the asker's part was drawn.
+	// Whole requests the newest records of the box's part. Otherwise the request is for the records from the
+	// offset From on and waits up to Wait for some. Levels are those at which the box's part was drawn.
 	Whole  bool          `json:"whole,omitempty"`
 	From   int64         `json:"from"`
 	Wait   time.Duration `json:"wait,omitempty"`
 	Levels subset.Levels `json:"levels,omitempty"`
 }
 
-// CopyAnswer is a source's answer.
+// CopyAnswer is a source's answer to a CopyAsk.
 type CopyAnswer struct {
 	Page   work.Page     `json:"page"`
 	Levels subset.Levels `json:"levels,omitempty"`
@@ -46,38 +46,39 @@
 
 // All implements feed.Log.
 func (m *Mirror) All(ctx context.Context, topic work.Topic) (work.Whole, error) {
-	m.awaitSize(ctx)
-	_, near := m.sources()
-	until := time.Now().Add(patience + rand.N(spread*time.Duration(near+1)))
+	m.awaitMembers(ctx)
+	_, zoneSize := m.sources()
+	deadline := time.Now().Add(minSourceWait + rand.N(sourceWaitPerBox*time.Duration(zoneSize+1)))
 	for ctx.Err() == nil {
 		if m.Serving() {
-			return m.serve(ctx, topic)
+			return m.ownPart(ctx, topic)
 		}
-		boxes := m.others()
-		if len(boxes) == 0 || time.Now().After(until) {
+		boxes := m.sourcesToAsk()
+		if len(boxes) == 0 || time.Now().After(deadline) {
 			break
 		}
 		if whole, ok := m.askWhole(ctx, boxes, topic); ok {
 			return whole, nil
 		}
-		pause(ctx, sourceWait)
+		sleep(ctx, sourceRetryInterval)
 	}
-	return m.readWhole(ctx, topic)
+	return m.readOwnPart(ctx, topic)
 }
 
-// awaitSize waits until the box knows how large the fleet is.
-func (m *Mirror) awaitSize(ctx context.Context) {
-	if m.known() {
+// awaitMembers waits until the members have been read, for membersTimeout at most.
+func (m *Mirror) awaitMembers(ctx context.Context) {
+	if m.hasMembers() {
 		return
 	}
 	select {
-	case <-m.sized:
-	case <-time.After(sizeWait):
+	case <-m.membersReady:
+	case <-time.After(membersTimeout):
 	case <-ctx.Done():
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+// sleep waits for the given time or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
@@ -87,114 +88,115 @@
 	}
 }
 
-// askWhole asks the sources for the box's part of a topic, one after the other.
+// askWhole asks the sources for this box's part of a topic, one after the other, until one returns it.
 func (m *Mirror) askWhole(ctx context.Context, boxes []work.Box, topic work.Topic) (work.Whole, bool) {
 	for _, box := range boxes {
-		answer, err := m.askCopy(ctx, box, CopyAsk{Topic: topic, Box: m.self.Name, Whole: true}, wholeWait)
+		answer, err := m.askCopy(ctx, box, CopyAsk{Topic: topic, Box: m.self.Name, Whole: true}, partTimeout)
 		if err != nil {
-			m.logger.Debug("mirror: topic not told", "source", box.Name, "topic", topic, "cause", err)
+			m.logger.Debug("mirror: topic not received", "source", box.Name, "topic", topic, "cause", err)
 			continue
 		}
 		if topic == work.Replicas {
-			m.draw(answer.Levels)
+			m.setLevels(answer.Levels)
 		}
 		return work.Whole{Records: answer.Page.Records, Next: answer.Page.Next, Age: answer.Page.Age}, true
 	}
 	return work.Whole{}, false
 }
 
+// askCopy sends the request to one source.
 func (m *Mirror) askCopy(ctx context.Context, box work.Box, ask CopyAsk, wait time.Duration) (CopyAnswer, error) {
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	return m.peers.Copy(ctx, box, ask)
 }
 
-// draw notes the levels of the box's own part.
-func (m *Mirror) draw(levels subset.Levels) {
+// setLevels records the levels of this box's own part and passes them to the callback of OnDrawn.
+func (m *Mirror) setLevels(levels subset.Levels) {
 	m.mu.Lock()
 	m.levels = levels
 	m.mu.Unlock()
-	m.drawn(levels)
+	m.onLevels(levels)
 }
 
-// readAll reads a topic whole from the log.
-func (m *Mirror) readAll(ctx context.Context, topic work.Topic) (*topicCopy, error) {
+// readTopic reads a whole topic from the log.
+func (m *Mirror) readTopic(ctx context.Context, topic work.Topic) (*topicCopy, error) {
 	asked := time.Now()
 	var whole work.Whole
-	next, err := work.AllNewest(ctx, m.log, work.Shard{Topic: topic}, callWait, func(rec work.Record) { whole.Records = append(whole.Records, rec) })
+	next, err := work.AllNewest(ctx, m.log, work.Shard{Topic: topic}, logCallTimeout, func(rec work.Record) { whole.Records = append(whole.Records, rec) })
 	if err != nil {
 		return nil, err
 	}
 	whole.Next = next
-	return newCopy(m.group(topic), whole, asked), nil
+	return newCopy(m.groupFunc(topic), whole, asked), nil
 }
 
-// group tells the group of a topic's records.
-func (m *Mirror) group(topic work.Topic) func(work.Record) string {
+// groupFunc returns a function that returns the group of a record of the topic.
+func (m *Mirror) groupFunc(topic work.Topic) func(work.Record) string {
 	if topic != work.Replicas {
 		return func(work.Record) string { return "" }
 	}
 	return func(rec work.Record) string {
 		rep, err := m.decoder.Replica(rec)
 		if err != nil {
-			return "" // all boxes know it, and say that it names no replica
+			return "" // sent to all boxes, which report the malformed record
 		}
 		return subset.Group(rep.Service, rep.Zone)
 	}
 }
 
-// serve returns this box's own part as a source: of the copy that it keeps, or of one that it reads now.
-func (m *Mirror) serve(ctx context.Context, topic work.Topic) (work.Whole, error) {
+// ownPart returns this box's own part as a source, from its copy, which it reads from the log if it has none.
+func (m *Mirror) ownPart(ctx context.Context, topic work.Topic) (work.Whole, error) {
 	m.mu.Lock()
-	whole := m.copies[topic]
+	cached := m.copies[topic]
 	m.mu.Unlock()
-	if whole == nil {
-		return m.load(ctx, topic)
+	if cached == nil {
+		return m.loadCopy(ctx, topic)
 	}
-	return m.own(topic, whole)
+	return m.partOf(topic, cached)
 }
 
-// load reads a topic as a source, keeps it for others and returns this box's own part.
-func (m *Mirror) load(ctx context.Context, topic work.Topic) (work.Whole, error) {
-	whole, err := m.readAll(ctx, topic)
+// loadCopy reads a topic from the log as a source, keeps the copy to serve others and returns this box's part.
+func (m *Mirror) loadCopy(ctx context.Context, topic work.Topic) (work.Whole, error) {
+	loaded, err := m.readTopic(ctx, topic)
 	if err != nil {
 		return work.Whole{}, err
 	}
 	m.mu.Lock()
-	m.copies[topic] = whole
+	m.copies[topic] = loaded
 	m.mu.Unlock()
-	m.logger.Info("mirror: source of a topic", "topic", topic, "records", len(whole.newest))
-	return m.justRead(topic, whole)
+	m.logger.Info("mirror: became a source of a topic", "topic", topic, "records", len(loaded.newest))
+	return m.freshPartOf(topic, loaded)
 }
 
-// readWhole reads a topic for this box alone.
-func (m *Mirror) readWhole(ctx context.Context, topic work.Topic) (work.Whole, error) {
-	whole, err := m.readAll(ctx, topic)
+// readOwnPart reads this box's part of a topic from the log without keeping a copy for others.
+func (m *Mirror) readOwnPart(ctx context.Context, topic work.Topic) (work.Whole, error) {
+	loaded, err := m.readTopic(ctx, topic)
 	if err != nil {
 		return work.Whole{}, err
 	}
-	return m.justRead(topic, whole)
+	return m.freshPartOf(topic, loaded)
 }
 
-// justRead returns this box's part of a copy whose question was sent after the caller asked.
-func (m *Mirror) justRead(topic work.Topic, whole *topicCopy) (work.Whole, error) {
-	part, err := m.own(topic, whole)
+// freshPartOf returns this box's part of a copy that was read after the caller asked; its age is therefore zero.
+func (m *Mirror) freshPartOf(topic work.Topic, cached *topicCopy) (work.Whole, error) {
+	part, err := m.partOf(topic, cached)
 	part.Age = 0
 	return part, err
 }
 
-// own returns this box's part of a copy.
-func (m *Mirror) own(topic work.Topic, whole *topicCopy) (work.Whole, error) {
-	sources, near := m.sources()
+// partOf returns this box's part of a copy.
+func (m *Mirror) partOf(topic work.Topic, cached *topicCopy) (work.Whole, error) {
+	sources, zoneSize := m.sources()
 	if len(sources) == 0 {
-		near = 0 // of a small zone each box knows all
+		zoneSize = 0 // in a small zone every box gets the whole topic
 	}
-	part, levels, err := whole.All(m.self.Name, near)
+	part, levels, err := cached.All(m.self.Name, zoneSize)
 	if err != nil {
 		return work.Whole{}, err
 	}
 	if topic == work.Replicas {
-		m.draw(levels)
+		m.setLevels(levels)
 	}
 	return part, nil
 }
@@ -202,34 +204,34 @@
 // Read implements feed.Log.
 func (m *Mirror) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
 	if m.Serving() {
-		return m.readOn(ctx, topic, from, wait)
+		return m.readAsSource(ctx, topic, from, wait)
 	}
 	m.mu.Lock()
 	levels := m.levels
 	m.mu.Unlock()
-	for _, box := range m.others() {
+	for _, box := range m.sourcesToAsk() {
 		ask := CopyAsk{Topic: topic, Box: m.self.Name, From: from, Wait: wait, Levels: levels}
-		answer, err := m.askCopy(ctx, box, ask, wait+answerWait)
+		answer, err := m.askCopy(ctx, box, ask, wait+answerTimeout)
 		if err == nil || fault.Is(err, fault.HistoryGone) {
 			return answer.Page, err
 		}
-		m.shuns.Add(box.Name, shunForSlow)
-		m.logger.Debug("mirror: news not told", "source", box.Name, "topic", topic, "cause", err)
-		wait = 0 // it may have been there for as long as the source took
+		m.backoff.Add(box.Name, readBackoff)
+		m.logger.Debug("mirror: new records not received", "source", box.Name, "topic", topic, "cause", err)
+		wait = 0 // records may have arrived while the source failed to answer
 	}
 	page, err := m.log.Read(ctx, work.Shard{Topic: topic}, from, wait)
 	if err != nil {
 		return page, err
 	}
-	return m.ownPage(topic, levels, page), nil
+	return m.filterPage(topic, levels, page), nil
 }
 
-// ownPage leaves out the replicas that this box does not know. One that went is told to all.
-func (m *Mirror) ownPage(topic work.Topic, levels subset.Levels, page work.Page) work.Page {
+// filterPage removes the replicas that are not in this box's part. Dropped keys are kept for every box.
+func (m *Mirror) filterPage(topic work.Topic, levels subset.Levels, page work.Page) work.Page {
 	if topic != work.Replicas || len(levels) == 0 {
 		return page
 	}
-	group := m.group(topic)
+	group := m.groupFunc(topic)
 	var recs []work.Record
 	for _, rec := range page.Records {
 		if len(rec.Value) == 0 || levels.Holds(m.self.Name, rec.Key, group(rec)) {
@@ -240,61 +242,61 @@
 	return page
 }
 
-// forget drops the copy of a topic, so that all is read anew.
-func (m *Mirror) forget(topic work.Topic) {
+// dropCopy discards the copy of a topic, so that it is read again.
+func (m *Mirror) dropCopy(topic work.Topic) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.copies, topic)
 }
 
-// readOn reads on as a source. Where its copy does not end at the offset, all is to be read anew; where this box's own part
-// has no fair size any more, that is to be drawn anew from the copy.
-func (m *Mirror) readOn(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
+// readAsSource reads new records from the log as a source. It returns HistoryGone if the caller must read the
+// topic again with All: the copy does not end at the offset, or this box's part is no longer of a fair size.
+func (m *Mirror) readAsSource(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
 	m.mu.Lock()
-	whole, levels := m.copies[topic], m.levels
+	cached, levels := m.copies[topic], m.levels
 	m.mu.Unlock()
-	if whole == nil || !whole.At(from) {
-		m.forget(topic)
-		return work.Page{}, fault.Refuse(fault.HistoryGone, "a source reads all anew")
+	if cached == nil || !cached.At(from) {
+		m.dropCopy(topic)
+		return work.Page{}, fault.Refuse(fault.HistoryGone, "the source must read the topic whole")
 	}
 	asked := time.Now()
 	page, err := m.log.Read(ctx, work.Shard{Topic: topic}, from, wait)
 	if fault.Is(err, fault.HistoryGone) {
-		m.forget(topic)
+		m.dropCopy(topic)
 	}
 	if err != nil {
 		return page, err
 	}
-	whole.Add(page, asked)
-	if sources, near := m.sources(); topic == work.Replicas && len(sources) > 0 && !whole.Fits(levels, near) {
-		return work.Page{}, fault.Refuse(fault.HistoryGone, "the part is to be drawn anew")
+	cached.Add(page, asked)
+	if sources, zoneSize := m.sources(); topic == work.Replicas && len(sources) > 0 && !cached.Fits(levels, zoneSize) {
+		return work.Page{}, fault.Refuse(fault.HistoryGone, "the part must be drawn anew")
 	}
-	return m.ownPage(topic, levels, page), nil
+	return m.filterPage(topic, levels, page), nil
 }
 
-// Copy tells another box of a topic, as a source.
+// Copy answers another box's request for a topic, as a source.
 func (m *Mirror) Copy(ctx context.Context, ask CopyAsk) (CopyAnswer, error) {
 	m.mu.Lock()
-	whole := m.copies[ask.Topic]
+	cached := m.copies[ask.Topic]
 	m.mu.Unlock()
-	// Before it knows who lives, a source would draw parts for far too few boxes: a thousand whole lists.
-	if whole == nil || !m.boxes.Trusted() {
-		return CopyAnswer{}, notSource()
+	// Before the view has settled, it holds too few boxes, and the parts would be far too large.
+	if cached == nil || !m.boxes.Trusted() {
+		return CopyAnswer{}, errNotSource()
 	}
-	_, near := m.sources()
+	_, zoneSize := m.sources()
 	if ask.Whole {
-		part, levels, err := whole.All(ask.Box, near)
+		part, levels, err := cached.All(ask.Box, zoneSize)
 		return CopyAnswer{Page: work.Page{Records: part.Records, Next: part.Next, Age: part.Age}, Levels: levels}, err
 	}
-	return m.news(ctx, whole, ask, near)
+	return m.waitForRecords(ctx, cached, ask, zoneSize)
 }
 
-// news waits for records that the box knows.
-func (m *Mirror) news(ctx context.Context, whole *topicCopy, ask CopyAsk, near int) (CopyAnswer, error) {
+// waitForRecords waits for records of the box's part, for ask.Wait at most.
+func (m *Mirror) waitForRecords(ctx context.Context, cached *topicCopy, ask CopyAsk, zoneSize int) (CopyAnswer, error) {
 	ctx, stop := context.WithTimeout(ctx, ask.Wait)
 	defer stop()
 	for {
-		page, changed, err := whole.Since(ask.From, ask.Box, near, ask.Levels)
+		page, changed, err := cached.Since(ask.From, ask.Box, zoneSize, ask.Levels)
 		if err != nil || len(page.Records) > 0 || ctx.Err() != nil {
 			return CopyAnswer{Page: page}, err
 		}
--- a/gate/mirror/world_test.go
+++ b/gate/mirror/world_test.go
@@ -19,55 +19,56 @@
 )
 
 const (
-	// pageItems is the number of newest records in one answer, answerTakes how long any answer takes.
+	// pageItems is the number of newest records in one answer; answerTakes is the latency of every call.
 	pageItems   = 50
 	answerTakes = 4 * time.Millisecond
 )
 
-// store is a log in memory that counts what it is asked.
-type store struct {
+// fakeLog is a log in memory that counts its calls.
+type fakeLog struct {
 	mu     sync.Mutex
 	shards map[work.Shard][]work.Record
 	first  map[work.Shard]int64
-	// members are those of the fleet.
+	// members are the members of the fleet, as texts.
 	members []string
-	// calls counts calls by their kind.
+	// calls counts calls by kind.
 	calls map[string]int
-	// deaf holds boxes whose calls hang, as behind a cut.
-	deaf map[string]bool
+	// cutOff holds boxes whose calls get no answer.
+	cutOff map[string]bool
 }
 
-func newStore() *store {
-	return &store{shards: map[work.Shard][]work.Record{}, first: map[work.Shard]int64{}, calls: map[string]int{}, deaf: map[string]bool{}}
+func newFakeLog() *fakeLog {
+	return &fakeLog{shards: map[work.Shard][]work.Record{}, first: map[work.Shard]int64{}, calls: map[string]int{}, cutOff: map[string]bool{}}
 }
 
-// list writes entries of replicas.
-func (s *store) list(recs ...work.Record) {
+// appendReplicas appends records of replicas.
+func (s *fakeLog) appendReplicas(recs ...work.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	shard := work.Shard{Topic: work.Replicas}
 	s.shards[shard] = append(s.shards[shard], recs...)
 }
 
-func (s *store) called(kind string) int {
+// callCount returns the number of calls of a kind.
+func (s *fakeLog) callCount(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[kind]
 }
 
-// ear is the log as one box reaches it.
-type ear struct {
-	*store
+// boxLog is one box's client of a fakeLog.
+type boxLog struct {
+	*fakeLog
 	box string
 }
 
-// call takes the time of a call, and fails at the end of ctx if the box does not reach the log.
-func (e ear) call(ctx context.Context, kind string) error {
-	e.mu.Lock()
-	e.calls[kind]++
-	deaf := e.deaf[e.box]
-	e.mu.Unlock()
-	if deaf {
+// call takes the latency of a call. If the box is cut off from the log, it fails when ctx ends.
+func (l boxLog) call(ctx context.Context, kind string) error {
+	l.mu.Lock()
+	l.calls[kind]++
+	cutOff := l.cutOff[l.box]
+	l.mu.Unlock()
+	if cutOff {
 		<-ctx.Done()
 		return fault.Fail(fault.LogUnavailable, "no answer")
 	}
@@ -75,30 +76,30 @@
 	return ctx.Err()
 }
 
-func (e ear) Append(ctx context.Context, shard work.Shard, _ work.Writer, recs []work.Record) error {
-	if err := e.call(ctx, "append"); err != nil {
+func (l boxLog) Append(ctx context.Context, shard work.Shard, _ work.Writer, recs []work.Record) error {
+	if err := l.call(ctx, "append"); err != nil {
 		return err
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.shards[shard] = append(e.shards[shard], recs...)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.shards[shard] = append(l.shards[shard], recs...)
 	return nil
 }
 
-func (e ear) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
-	if err := e.call(ctx, "newest "+string(shard.Topic)); err != nil {
+func (l boxLog) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
+	if err := l.call(ctx, "newest "+string(shard.Topic)); err != nil {
 		return work.Batch{}, err
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	newest := map[string]work.Record{}
-	for _, rec := range e.shards[shard] {
+	for _, rec := range l.shards[shard] {
 		newest[rec.Key] = rec
 		if len(rec.Value) == 0 {
 			delete(newest, rec.Key)
 		}
 	}
-	batch := work.Batch{Next: int64(len(e.shards[shard]))}
+	batch := work.Batch{Next: int64(len(l.shards[shard]))}
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
 		if key <= after {
 			continue
@@ -112,14 +113,14 @@
 	return batch, nil
 }
 
-func (e ear) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
-	if err := e.call(ctx, "read"); err != nil {
+func (l boxLog) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
+	if err := l.call(ctx, "read"); err != nil {
 		return work.Page{}, err
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
-		e.mu.Lock()
-		recs, first := e.shards[shard], e.first[shard]
-		e.mu.Unlock()
+		l.mu.Lock()
+		recs, first := l.shards[shard], l.first[shard]
+		l.mu.Unlock()
 		switch {
 		case from < first:
 			return work.Page{}, fault.Refuse(fault.HistoryGone, "gone")
@@ -131,22 +132,22 @@
 	}
 }
 
-func (e ear) Join(context.Context, string, int64, time.Duration) (int64, error) { return 0, nil }
-func (e ear) Leave(context.Context, string) error                               { return nil }
+func (l boxLog) Join(context.Context, string, int64, time.Duration) (int64, error) { return 0, nil }
+func (l boxLog) Leave(context.Context, string) error                               { return nil }
 
-func (e ear) Members(ctx context.Context) ([]string, error) {
-	if err := e.call(ctx, "members"); err != nil {
+func (l boxLog) Members(ctx context.Context) ([]string, error) {
+	if err := l.call(ctx, "members"); err != nil {
 		return nil, err
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return slices.Clone(e.members), nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.members), nil
 }
 
-// plain decodes an entry "service zone".
-type plain struct{}
+// plainDecoder decodes records of the form "service zone".
+type plainDecoder struct{}
 
-func (plain) Replica(rec work.Record) (work.Replica, error) {
+func (plainDecoder) Replica(rec work.Record) (work.Replica, error) {
 	service, zone, ok := strings.Cut(string(rec.Value), " ")
 	if !ok {
 		return work.Replica{}, fault.Fail(fault.Protocol, "malformed")
@@ -154,45 +155,46 @@
 	return work.Replica{ID: rec.Key, Service: service, Zone: zone}, nil
 }
 
-// box is a box of a fleet, whose view is what the test says.
-type box struct {
+// testBox is a box of the fleet with a mirror; the test sets its view.
+type testBox struct {
 	work.Box
 	mirror *Mirror
-	world  *world
-	// dead boxes refuse questions, frozen ones don't answer.
+	zone   *testZone
+	// dead boxes refuse requests; frozen ones don't answer.
 	dead, frozen atomic.Bool
 	trusted      atomic.Bool
 
 	mu     sync.Mutex
 	live   []work.Box
 	levels subset.Levels
-	// asked counts the questions that it got as a source.
-	asked atomic.Int64
+	// requests counts the requests that the box got from others.
+	requests atomic.Int64
 }
 
-func (b *box) Live() []work.Box {
+func (b *testBox) Live() []work.Box {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.live
 }
 
-func (b *box) see(live []work.Box) {
+func (b *testBox) setLive(live []work.Box) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.live = live
 }
 
-func (b *box) Trusted() bool { return b.trusted.Load() }
+func (b *testBox) Trusted() bool { return b.trusted.Load() }
 
-// world is boxes of one availability zone before a log.
-type world struct {
-	store *store
-	boxes map[string]*box
+// testZone holds the boxes of one availability zone and their log.
+type testZone struct {
+	log   *fakeLog
+	boxes map[string]*testBox
 	all   []work.Box
 }
 
-func newWorld(n int) *world {
-	w := &world{store: newStore(), boxes: map[string]*box{}}
+// newTestZone returns a zone of n boxes, one in five of them fast.
+func newTestZone(n int) *testZone {
+	z := &testZone{log: newFakeLog(), boxes: map[string]*testBox{}}
 	for i := range n {
 		one := work.Box{
 			Name: fmt.Sprintf("box-%03d", i), Zone: "a", Peer: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+i)),
@@ -201,36 +203,36 @@
 		if i%5 == 0 {
 			one.Cores, one.Link = 0.8, 600
 		}
-		w.all = append(w.all, one)
-		w.store.members = append(w.store.members, one.Member())
+		z.all = append(z.all, one)
+		z.log.members = append(z.log.members, one.Member())
 	}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	for _, one := range w.all {
-		b := &box{Box: one, world: w}
-		b.mirror = New(one, []string{"a"}, ear{w.store, one.Name}, b, b, plain{}, quiet)
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	for _, one := range z.all {
+		b := &testBox{Box: one, zone: z}
+		b.mirror = New(one, []string{"a"}, boxLog{z.log, one.Name}, b, b, plainDecoder{}, logger)
 		b.mirror.OnDrawn(func(levels subset.Levels) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.levels = levels
 		})
-		w.boxes[one.Name] = b
+		z.boxes[one.Name] = b
 	}
-	return w
+	return z
 }
 
-// settle has all boxes see all.
-func (w *world) settle() {
-	for _, b := range w.boxes {
-		b.see(w.all)
+// settleViews makes the views of all boxes complete and settled.
+func (z *testZone) settleViews() {
+	for _, b := range z.boxes {
+		b.setLive(z.all)
 		b.trusted.Store(true)
-		_, _ = b.mirror.know(nil, nil) // it returns what it is given
+		_, _ = b.mirror.recordMembers(nil, nil) // it returns its arguments
 	}
 }
 
-// reach returns the box that is asked, unless it does not answer.
-func (b *box) reach(ctx context.Context, name string) (*box, error) {
-	to := b.world.boxes[name]
-	to.asked.Add(1)
+// send sends a request to a box and returns that box unless it is dead or frozen.
+func (b *testBox) send(ctx context.Context, name string) (*testBox, error) {
+	to := b.zone.boxes[name]
+	to.requests.Add(1)
 	if to.frozen.Load() {
 		<-ctx.Done()
 		return nil, fault.Fail(fault.PeerLost, "no answer")
@@ -242,30 +244,30 @@
 	return to, nil
 }
 
-func (b *box) Copy(ctx context.Context, to work.Box, ask CopyAsk) (CopyAnswer, error) {
-	other, err := b.reach(ctx, to.Name)
+func (b *testBox) Copy(ctx context.Context, to work.Box, ask CopyAsk) (CopyAnswer, error) {
+	other, err := b.send(ctx, to.Name)
 	if err != nil {
 		return CopyAnswer{}, err
 	}
 	return other.mirror.Copy(ctx, ask)
 }
 
-func (b *box) Roster(ctx context.Context, to work.Box, ask RosterAsk) (RosterAnswer, error) {
-	other, err := b.reach(ctx, to.Name)
+func (b *testBox) Roster(ctx context.Context, to work.Box, ask RosterAsk) (RosterAnswer, error) {
+	other, err := b.send(ctx, to.Name)
 	if err != nil {
 		return RosterAnswer{}, err
 	}
 	return other.mirror.Roster(ctx, ask)
 }
 
-// replicas lists n replicas of a service.
-func (w *world) replicas(n int) {
+// addReplicas adds n replicas of a service.
+func (z *testZone) addReplicas(n int) {
 	for i := range n {
-		w.store.list(work.Record{Key: fmt.Sprintf("i-%04d", i), Value: []byte("s a")})
+		z.log.appendReplicas(work.Record{Key: fmt.Sprintf("i-%04d", i), Value: []byte("s a")})
 	}
 }
 
-// sources are the zone's, by rank.
-func (w *world) sources() []work.Box {
-	return ranked(w.all)
+// sources returns the sources of the zone, best first.
+func (z *testZone) sources() []work.Box {
+	return rankSources(z.all)
 }
