--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -143,6 +143,7 @@
 	log.cutOffAtMembers[box] = cutOff
 }
 
+// startViews starts a view for each box name.
 func startViews(t *testing.T, log *fakeLog, names ...string) map[string]*View {
 	t.Helper()
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -163,6 +164,7 @@
 	}
 }
 
+// liveNames returns the names of the live boxes in the view.
 func liveNames(v *View) []string {
 	var list []string
 	for _, box := range v.Live() {
@@ -171,6 +173,7 @@
 	return list
 }
 
+// TestBoxesFindEachOther checks that the views of boxes that start together settle on the same boxes and owners.
 func TestBoxesFindEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -300,6 +303,7 @@
 	}
 }
 
+// TestDeadBoxIsRemoved checks that a box whose heartbeats stop leaves the view in time, also with a slow log.
 func TestDeadBoxIsRemoved(t *testing.T) {
 	for _, slow := range []time.Duration{0, 250 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -414,6 +418,7 @@
 	})
 }
 
+// TestLeavingBoxOwnsNothing checks that a box that leaves is no longer live but can still be found.
 func TestLeavingBoxOwnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -446,15 +451,15 @@
 		views := startViews(t, log, "a", "b")
 		time.Sleep(50 * time.Millisecond)
 		views["b"].Leave(context.Background())
-		found := 0
+		listed := 0
 		for range 20 {
 			time.Sleep(50 * time.Millisecond)
 			if log.isMember(views["b"]) {
-				found++
+				listed++
 			}
 		}
-		if found > 0 {
-			t.Errorf("a box that left is still a member in %d of 20 checks", found)
+		if listed > 0 {
+			t.Errorf("a box that left is still a member in %d of 20 checks", listed)
 		}
 		stopViews(views)
 	})
