--- a/gate/access/access.go
+++ b/gate/access/access.go
@@ -16,13 +16,13 @@
 	Apply time.Duration
 }
 
-// Known is the configuration of a box at one moment.
-type Known struct {
+// ConfigSnapshot is the configuration of a box at one moment.
+type ConfigSnapshot struct {
 	// Config is nil until the box has a configuration.
 	Config *work.Config
-	// Proven is the send time of the latest request whose answer confirmed Config as the newest; zero before
+	// ConfirmedAt is the send time of the latest request whose answer confirmed Config as the newest; zero before
 	// the first. It is a reading of the monotonic clock.
-	Proven time.Time
+	ConfirmedAt time.Time
 }
 
 // Rules decides on calls by the box's configuration and its age.
@@ -47,11 +47,11 @@
 
 // Route returns the route of a call. It returns a NoRoute fault only if the configuration is recent enough,
 // and otherwise a fault with which the caller may retry.
-func (r Rules) Route(known Known, call *work.Call, path string) (*work.Route, error) {
+func (r Rules) Route(known ConfigSnapshot, call *work.Call, path string) (*work.Route, error) {
 	if known.Config == nil {
 		return nil, fault.Refuse(fault.NoConfig, "no configuration is known yet").After(retryUnconfirmed)
 	}
-	if route := known.Config.Find(call.Host, path); route != nil {
+	if route := known.Config.FindRoute(call.Host, path); route != nil {
 		return route, nil
 	}
 	return nil, r.finalRefusal(known, call, fault.Refuse(fault.NoRoute, "no route for the host and path"))
@@ -60,14 +60,14 @@
 // Caller returns the workspace that a call belongs to, without a name if anyone may call the route. If
 // Bounds.Revocation is set, every box refuses a revoked key within that time: it accepts keys only by a
 // configuration that was confirmed as the newest within that time before the call arrived.
-func (r Rules) Caller(known Known, call *work.Call, route *work.Route) (work.Workspace, error) {
+func (r Rules) Caller(known ConfigSnapshot, call *work.Call, route *work.Route) (work.Workspace, error) {
 	if known.Config.Callers == nil || route.Public {
 		return work.Workspace{}, nil
 	}
 	if r.bounds.Revocation > 0 && r.older(known, call, r.bounds.Revocation) {
 		return work.Workspace{}, staleConfig(known, call)
 	}
-	space, ok := known.Config.Callers.Holder(call.KeyDigest)
+	space, ok := known.Config.Callers.WorkspaceByKey(call.KeyDigest)
 	if !ok {
 		return work.Workspace{}, r.finalRefusal(known, call, fault.Refuse(fault.Unauthorized, "the key is not known"))
 	}
@@ -76,7 +76,7 @@
 
 // finalRefusal returns the refusal if the configuration is recent enough, and otherwise a fault to retry
 // after. A newer configuration may allow the call, and callers do not retry after a final refusal.
-func (r Rules) finalRefusal(known Known, call *work.Call, refusal *fault.Fault) error {
+func (r Rules) finalRefusal(known ConfigSnapshot, call *work.Call, refusal *fault.Fault) error {
 	if r.older(known, call, r.bounds.Apply) {
 		return staleConfig(known, call)
 	}
@@ -85,15 +85,15 @@
 
 // older reports whether the configuration was not confirmed as the newest within bound before the call
 // arrived.
-func (Rules) older(known Known, call *work.Call, bound time.Duration) bool {
-	return known.Proven.IsZero() || call.Arrived.Sub(known.Proven) > bound
+func (Rules) older(known ConfigSnapshot, call *work.Call, bound time.Duration) bool {
+	return known.ConfirmedAt.IsZero() || call.Arrived.Sub(known.ConfirmedAt) > bound
 }
 
 // staleConfig returns the fault for a configuration that may be out of date.
-func staleConfig(known Known, call *work.Call) *fault.Fault {
+func staleConfig(known ConfigSnapshot, call *work.Call) *fault.Fault {
 	after := retryUnconfirmed
-	if !known.Proven.IsZero() {
-		after = min(call.Arrived.Sub(known.Proven), maxStaleRetry)
+	if !known.ConfirmedAt.IsZero() {
+		after = min(call.Arrived.Sub(known.ConfirmedAt), maxStaleRetry)
 	}
 	return fault.Refuse(fault.StaleConfig, "a newer configuration may be in force").After(after)
 }
--- a/gate/access/access_test.go
+++ b/gate/access/access_test.go
@@ -46,25 +46,25 @@
 	cases := []struct {
 		name   string
 		bounds Bounds
-		known  Known
+		known  ConfigSnapshot
 		call   *work.Call
 		route  *work.Route
 		space  string
 		kind   fault.Kind
 	}{
-		{"a known key", failClosed, Known{config("k"), confirmed}, call("k", time.Second), &chatRoute, "north", ""},
-		{"an unknown key", failClosed, Known{config("k"), confirmed}, call("x", time.Second), &chatRoute, "", fault.Unauthorized},
-		{"no key", failClosed, Known{config("k"), confirmed}, call("", time.Second), &chatRoute, "", fault.Unauthorized},
-		{"no key on a public route", failClosed, Known{config("k"), confirmed}, call("", time.Second), &openRoute, "", ""},
-		{"a workspace whose keys were all revoked", failClosed, Known{config(), confirmed}, call("k", time.Second), &chatRoute, "", fault.Unauthorized},
-		{"an unknown key, and a newer configuration may have it", failClosed, Known{config("k"), confirmed}, call("x", 4*time.Second), &chatRoute, "", fault.StaleConfig},
-		{"a known key within the bound", failClosed, Known{config("k"), confirmed}, call("k", 5*time.Second), &chatRoute, "north", ""},
-		{"a known key that may have been revoked", failClosed, Known{config("k"), confirmed}, call("k", 5*time.Second+time.Millisecond), &chatRoute, "", fault.StaleConfig},
-		{"a public route, the configuration is old", failClosed, Known{config("k"), confirmed}, call("", time.Minute), &openRoute, "", ""},
-		{"a known key, no bound of revocation", failOpen, Known{config("k"), confirmed}, call("k", time.Minute), &chatRoute, "north", ""},
-		{"an unknown key, no bound of revocation", failOpen, Known{config("k"), confirmed}, call("x", time.Minute), &chatRoute, "", fault.StaleConfig},
-		{"never confirmed", failClosed, Known{Config: config("k")}, call("k", time.Second), &chatRoute, "", fault.StaleConfig},
-		{"anyone may call", failClosed, Known{anyone, confirmed}, call("", time.Minute), &chatRoute, "", ""},
+		{"a known key", failClosed, ConfigSnapshot{config("k"), confirmed}, call("k", time.Second), &chatRoute, "north", ""},
+		{"an unknown key", failClosed, ConfigSnapshot{config("k"), confirmed}, call("x", time.Second), &chatRoute, "", fault.Unauthorized},
+		{"no key", failClosed, ConfigSnapshot{config("k"), confirmed}, call("", time.Second), &chatRoute, "", fault.Unauthorized},
+		{"no key on a public route", failClosed, ConfigSnapshot{config("k"), confirmed}, call("", time.Second), &openRoute, "", ""},
+		{"a workspace whose keys were all revoked", failClosed, ConfigSnapshot{config(), confirmed}, call("k", time.Second), &chatRoute, "", fault.Unauthorized},
+		{"an unknown key, and a newer configuration may have it", failClosed, ConfigSnapshot{config("k"), confirmed}, call("x", 4*time.Second), &chatRoute, "", fault.StaleConfig},
+		{"a known key within the bound", failClosed, ConfigSnapshot{config("k"), confirmed}, call("k", 5*time.Second), &chatRoute, "north", ""},
+		{"a known key that may have been revoked", failClosed, ConfigSnapshot{config("k"), confirmed}, call("k", 5*time.Second+time.Millisecond), &chatRoute, "", fault.StaleConfig},
+		{"a public route, the configuration is old", failClosed, ConfigSnapshot{config("k"), confirmed}, call("", time.Minute), &openRoute, "", ""},
+		{"a known key, no bound of revocation", failOpen, ConfigSnapshot{config("k"), confirmed}, call("k", time.Minute), &chatRoute, "north", ""},
+		{"an unknown key, no bound of revocation", failOpen, ConfigSnapshot{config("k"), confirmed}, call("x", time.Minute), &chatRoute, "", fault.StaleConfig},
+		{"never confirmed", failClosed, ConfigSnapshot{Config: config("k")}, call("k", time.Second), &chatRoute, "", fault.StaleConfig},
+		{"anyone may call", failClosed, ConfigSnapshot{anyone, confirmed}, call("", time.Minute), &chatRoute, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -82,15 +82,15 @@
 	bounds := Bounds{Apply: 2 * time.Second}
 	cases := []struct {
 		name  string
-		known Known
+		known ConfigSnapshot
 		path  string
 		at    time.Duration
 		kind  fault.Kind
 	}{
-		{"a route", Known{config(), confirmed}, "/chat/x", time.Minute, ""},
-		{"none", Known{config(), confirmed}, "/new/x", time.Second, fault.NoRoute},
-		{"a newer configuration may have it", Known{config(), confirmed}, "/new/x", 3 * time.Second, fault.StaleConfig},
-		{"nothing known", Known{}, "/chat/x", time.Second, fault.NoConfig},
+		{"a route", ConfigSnapshot{config(), confirmed}, "/chat/x", time.Minute, ""},
+		{"none", ConfigSnapshot{config(), confirmed}, "/new/x", time.Second, fault.NoRoute},
+		{"a newer configuration may have it", ConfigSnapshot{config(), confirmed}, "/new/x", 3 * time.Second, fault.StaleConfig},
+		{"nothing known", ConfigSnapshot{}, "/chat/x", time.Second, fault.NoConfig},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -97,8 +97,8 @@
 	others  map[string]map[string]int
 	queue   []*request
 	eject   *limit.Ejector
-	pauses  *sched.Pauses
-	fair    *sched.Fair
+	pauses  *sched.TurnStats
+	fair    *sched.FairShare
 	// service is the mean time that a call holds a place.
 	service time.Duration
 
@@ -114,7 +114,7 @@
 		ctx: ctx, stop: stop, zone: zone, opts: opts, places: places, counts: counts, logger: logger,
 		inbox: make(chan message, inboxSize), rng: rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		engines: map[string]*engine{}, others: map[string]map[string]int{}, eject: limit.NewEjector(),
-		pauses: sched.NewPauses(), fair: sched.NewFair(places), service: firstService, done: make(chan struct{}),
+		pauses: sched.NewTurnStats(), fair: sched.NewFairShare(places), service: firstService, done: make(chan struct{}),
 	}
 }
 
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -46,7 +46,7 @@
 func ask(program string) lease.Ask {
 	return lease.Ask{
 		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, Prompt: 10, Expected: 10,
-		Work: sched.Work{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
+		Work: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, id := range programs {
-		l.pauses.End(id)
+		l.pauses.ProgramEnded(id)
 	}
 }
 
@@ -152,17 +152,17 @@
 		return 0
 	}
 	perSlot := float64(e.load.OutputTokens) / float64(max(1, e.load.Running+e.load.Queued))
-	return time.Duration(float64(over) / float64(c.MaxBatch) * perSlot * float64(c.Step) * c.Slow)
+	return time.Duration(float64(over) / float64(c.MaxBatch) * perSlot * float64(c.Step) * c.Slowdown)
 }
 
 func (e *engine) candidate(others int, far bool) sched.Candidate {
 	c := sched.Candidate{
 		Name: e.target.Name, MaxBatch: max(1, e.load.MaxBatch), PrefillRate: max(1, e.load.PrefillRate),
 		Step: time.Duration(e.load.StepTime), CacheUsed: e.load.CacheUsed, CacheSize: e.load.CacheSize,
-		Mine: e.mine, Others: others, Slow: e.slow, Far: far, Room: e.mine < max(1, e.limit.Limit()),
+		InFlight: e.mine, OthersInFlight: others, Slowdown: e.slow, OtherZone: far, HasRoom: e.mine < max(1, e.limit.Limit()),
 	}
 	if time.Since(e.heard) < staleReport {
-		c.Running, c.Queued, c.MineThen = e.load.Running, e.load.Queued, e.mineThen
+		c.Running, c.Queued, c.InFlightAtReport = e.load.Running, e.load.Queued, e.mineThen
 		c.PrefillTokens, c.OutputTokens = e.load.PrefillTokens, e.load.OutputTokens
 	}
 	return c
@@ -177,25 +177,25 @@
 			continue
 		}
 		c := e.candidate(l.elsewhere(e.target.Name), e.target.Zone != l.zone)
-		c.Cached = min(e.cached[req.ask.Program], req.ask.Prompt)
+		c.CachedTokens = min(e.cached[req.ask.Program], req.ask.Prompt)
 		cands = append(cands, c)
 		engines = append(engines, e)
 	}
-	expected := l.pauses.Length(req.ask.Input.Kind, req.ask.Expected)
-	ask := sched.Ask{Program: req.ask.Program, Prompt: req.ask.Prompt, Expected: expected}
+	expected := l.pauses.AnswerLength(req.ask.Input.Kind, req.ask.Expected)
+	ask := sched.PlacementRequest{Program: req.ask.Program, PromptTokens: req.ask.Prompt, ExpectedTokens: expected}
 	i, weighed := sched.Pick(l.opts.Strategy, ask, cands, l.rng)
 	if i < 0 {
 		return nil
 	}
 	e := engines[i]
 	e.mine++
-	tokens := req.ask.Prompt - cands[i].Cached + expected
-	l.fair.Used(req.ask.Input.Workspace, int64(tokens))
+	tokens := req.ask.Prompt - cands[i].CachedTokens + expected
+	l.fair.Charge(req.ask.Input.Workspace, int64(tokens))
 	place := &lease.Lease{
-		Target: e.target, Cached: cands[i].Cached, Weighed: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
+		Target: e.target, Cached: cands[i].CachedTokens, Weighed: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
 		Started: now, Give: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
 	}
-	again := l.pauses.Begins(now, req.ask.Program, req.ask.Input.Kind)
+	again := l.pauses.TurnStarted(now, req.ask.Program, req.ask.Input.Kind)
 	if l.opts.Holds {
 		place.Hold = l.hold(req.ask, cands[i], again)
 	}
@@ -204,7 +204,7 @@
 
 func (l *Loop) hold(ask lease.Ask, c sched.Candidate, next sched.NextTurn) bool {
 	weight := 1 + float64(ask.Input.Turn)/10
-	return sched.Hold(sched.HoldAsk{Tokens: ask.Prompt + ask.Expected, Pause: next.Pause, Again: next.Chance, Weight: weight}, c)
+	return sched.ShouldHold(sched.HoldRequest{Tokens: ask.Prompt + ask.Expected, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
 // sorted lists the engines by name, so that a seed gives the same choices again.
@@ -234,7 +234,7 @@
 func (l *Loop) finish(m finishMsg) {
 	now := time.Now()
 	name := m.lease.Target.Name
-	l.pauses.Answered(now, m.res.Program, m.res.Usage.CompletionTokens)
+	l.pauses.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
 	e, ok := l.engines[name]
 	if !ok {
 		return
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -57,9 +57,9 @@
 	}
 	decision, after := l.waiting(ask).Decide(now, ask.Deadline, ask.Fresh, l.opts.MaxWait)
 	switch decision {
-	case sched.NotBegun:
+	case sched.RejectNewProgram:
 		return fault.Refuse(fault.Overloaded, "no new programs are taken now").After(after)
-	case sched.TooLate:
+	case sched.RejectLate:
 		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").After(after)
 	default:
 		return nil
@@ -68,18 +68,18 @@
 
 // waiting is the queue as a call finds it that enters now.
 func (l *Loop) waiting(ask lease.Ask) sched.Queue {
-	q := sched.Queue{Service: l.service, Backlog: time.Duration(math.MaxInt64)}
+	q := sched.Queue{ServiceTime: l.service, Backlog: time.Duration(math.MaxInt64)}
 	for _, e := range l.engines {
 		if !l.usable(e, ask) {
 			continue
 		}
-		q.Places += max(1, e.limit.Limit())
+		q.Slots += max(1, e.limit.Limit())
 		q.Backlog = min(q.Backlog, e.backlog())
 	}
 	rank := sched.Rank(l.opts.Order, ask.Work)
 	for _, req := range l.queue {
 		if req.rank >= rank {
-			q.Before++
+			q.Ahead++
 		}
 	}
 	return q
@@ -132,6 +132,6 @@
 }
 
 // seat is what orders a request.
-func (l *Loop) seat(r *request) sched.Waiting {
-	return sched.Waiting{Arrived: r.arrived, Priority: r.ask.Work.Priority, Served: l.fair.Level(r.ask.Input.Workspace), Rank: r.rank}
+func (l *Loop) seat(r *request) sched.WaitingCall {
+	return sched.WaitingCall{Arrived: r.arrived, Priority: r.ask.Work.Priority, Served: l.fair.Level(r.ask.Input.Workspace), Rank: r.rank}
 }
--- a/gate/chain/chain.go
+++ b/gate/chain/chain.go
@@ -25,11 +25,11 @@
 	// each event of its answer, each followed by a line feed.
 	Text []byte
 
-	// Ran identifies the run of the replica that answered the turn (see work.Replica.Life); empty if
+	// RanOn identifies the run of the replica that answered the turn (see work.Replica.Life); empty if
 	// another owner saw it.
-	Ran string
-	// Cached is the number of tokens of the chain that the replica held after the turn.
-	Cached int
+	RanOn string
+	// CachedTokens is the number of tokens of the chain that the replica held after the turn.
+	CachedTokens int
 }
 
 // reservation is the number of tokens that one turn may spend.
@@ -84,8 +84,8 @@
 	return &State{programs: map[string]*program{}}
 }
 
-// Programs returns the number of programs in the state.
-func (s *State) Programs() int {
+// ProgramCount returns the number of programs in the state.
+func (s *State) ProgramCount() int {
 	return len(s.programs)
 }
 
@@ -246,34 +246,34 @@
 	return a
 }
 
-// Has reports whether the program has the turn.
-func (s *State) Has(name, id string) bool {
+// HasTurn reports whether the program has the turn.
+func (s *State) HasTurn(name, id string) bool {
 	prog, ok := s.programs[name]
 	return ok && prog.turns[id] != nil
 }
 
-// Begun reports whether a turn of the program has run or is in progress.
-func (s *State) Begun(name string) bool {
+// HasStarted reports whether a turn of the program has run or is in progress.
+func (s *State) HasStarted(name string) bool {
 	prog, ok := s.programs[name]
 	return ok && (prog.running > 0 || prog.committedTokens() > 0 || len(prog.turns) > 0)
 }
 
-// Fail counts a failed attempt of a turn that a replica may have run.
-func (s *State) Fail(o Open) {
+// CountFailure counts a failed attempt of a turn that a replica may have run.
+func (s *State) CountFailure(o OpenTurn) {
 	if prog, ok := s.programs[o.Program]; ok {
 		prog.failures[o.Previous]++
 	}
 }
 
-// Pass resets the failed attempts of a turn, which was answered completely.
-func (s *State) Pass(o Open) {
+// ResetFailures resets the failed attempts of a turn, which was answered completely.
+func (s *State) ResetFailures(o OpenTurn) {
 	if prog, ok := s.programs[o.Program]; ok {
 		delete(prog.failures, o.Previous)
 	}
 }
 
-// Failures returns the number of consecutive failed attempts of a turn that this owner has seen.
-func (s *State) Failures(o Open) int {
+// FailureCount returns the number of consecutive failed attempts of a turn that this owner has seen.
+func (s *State) FailureCount(o OpenTurn) int {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return 0
@@ -281,9 +281,9 @@
 	return prog.failures[o.Previous]
 }
 
-// Spent returns the tokens that the program has spent, including what turns in progress, and turns lost
+// SpentTokens returns the tokens that the program has spent, including what turns in progress, and turns lost
 // with a previous owner, may have spent.
-func (s *State) Spent(name string) int {
+func (s *State) SpentTokens(name string) int {
 	prog, ok := s.programs[name]
 	if !ok {
 		return 0
@@ -291,9 +291,9 @@
 	return prog.committedTokens()
 }
 
-// Line returns the turns that lead to the given one, oldest first, including it. An empty id yields
+// History returns the turns that lead to the given one, oldest first, including it. An empty id yields
 // none.
-func (s *State) Line(name, id string) ([]*Turn, error) {
+func (s *State) History(name, id string) ([]*Turn, error) {
 	if id == "" {
 		return nil, nil
 	}
@@ -314,13 +314,13 @@
 	return turns, nil
 }
 
-// Find returns the text of the chain that ends with the turn, in whichever program has it.
-func (s *State) Find(id string) ([]byte, bool) {
+// ChainText returns the text of the chain that ends with the turn, in whichever program has it.
+func (s *State) ChainText(id string) ([]byte, bool) {
 	for name, prog := range s.programs {
 		if prog.turns[id] == nil {
 			continue
 		}
-		line, err := s.Line(name, id)
+		line, err := s.History(name, id)
 		if err != nil {
 			continue
 		}
@@ -333,49 +333,49 @@
 	return nil, false
 }
 
-// Import stores a copy of another program's turn, whose text covers the whole chain up to it, for a
+// ImportCopy stores a copy of another program's turn, whose text covers the whole chain up to it, for a
 // program that continues from there. The copy's tokens are not counted again.
-func (s *State) Import(now time.Time, name, id string, text []byte, retention time.Duration) work.Record {
+func (s *State) ImportCopy(now time.Time, name, id string, text []byte, retention time.Duration) work.Record {
 	t := &Turn{id: id, program: name, expires: now.Add(retention), copied: true, Text: text}
 	s.storeTurn(t)
 	return turnRecord(t)
 }
 
-// Open describes a turn that begins or is in progress.
-type Open struct {
+// OpenTurn describes a turn that begins or is in progress.
+type OpenTurn struct {
 	ID, Program, Previous string
-	// Most is the maximum number of tokens of the answer.
-	Most int
+	// MaxTokens is the maximum number of tokens of the answer.
+	MaxTokens int
 	// Retention is how long the turn is kept after its end.
 	Retention time.Duration
-	// Granted is the size of the program's grant once the log holds the turn's record, for Confirm;
+	// GrantedTokens is the size of the program's grant once the log holds the turn's record, for Confirm;
 	// zero for a turn without such a record.
-	Granted int
+	GrantedTokens int
 }
 
-// Start begins a turn and reserves its tokens. It returns the record of the reservation, which must be
+// BeginStateful begins a turn and reserves its tokens. It returns the record of the reservation, which must be
 // in the log before any output is delivered, or none if the turn reuses a reservation that is in the
 // log. A negative budget means no limit.
-func (s *State) Start(now time.Time, o Open, budget int) ([]work.Record, error) {
+func (s *State) BeginStateful(now time.Time, o OpenTurn, budget int) ([]work.Record, error) {
 	prog := s.ensureProgram(o.Program)
-	if budget >= 0 && prog.committedTokens()+o.Most > budget {
+	if budget >= 0 && prog.committedTokens()+o.MaxTokens > budget {
 		s.removeIfEmpty(o.Program, prog)
 		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not allow another turn")
 	}
 	prog.running++
 	prog.expires = latest(prog.expires, now.Add(o.Retention))
-	if id, ok := prog.smallestFree(o.Most); ok {
+	if id, ok := prog.smallestFree(o.MaxTokens); ok {
 		prog.reservations[id].phase = phaseInUse
 		prog.reservationOf[o.ID] = id
 		return nil, nil
 	}
-	prog.reservations[o.ID] = &reservation{maxTokens: o.Most}
+	prog.reservations[o.ID] = &reservation{maxTokens: o.MaxTokens}
 	prog.reservationOf[o.ID] = o.ID
-	return []work.Record{startRecord(o.ID, o.Program, o.Most, now.Add(o.Retention))}, nil
+	return []work.Record{startRecord(o.ID, o.Program, o.MaxTokens, now.Add(o.Retention))}, nil
 }
 
 // Cancel ends a turn that no replica has run and returns the records to write.
-func (s *State) Cancel(o Open) []work.Record {
+func (s *State) Cancel(o OpenTurn) []work.Record {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return nil
@@ -392,8 +392,8 @@
 	return []work.Record{drop}
 }
 
-// Break ends a turn without a complete answer. Its reservation stays counted as spent.
-func (s *State) Break(o Open) {
+// Abort ends a turn without a complete answer. Its reservation stays counted as spent.
+func (s *State) Abort(o OpenTurn) {
 	if prog, ok := s.programs[o.Program]; ok {
 		prog.running--
 	}
@@ -401,7 +401,7 @@
 
 // Finish ends a turn with a complete answer and returns the records to write. The reservation is kept
 // for a later turn unless another of its size or more is free; Free makes it available.
-func (s *State) Finish(now time.Time, o Open, tokens int, text []byte) (*Turn, []work.Record) {
+func (s *State) Finish(now time.Time, o OpenTurn, tokens int, text []byte) (*Turn, []work.Record) {
 	t := &Turn{
 		id: o.ID, program: o.Program, previous: o.Previous,
 		expires: now.Add(o.Retention), tokens: tokens, Text: text,
@@ -423,10 +423,10 @@
 	return t, recs
 }
 
-// Free makes the reservation of a finished turn available to the program's next turn. It must only be
+// FreeReservation makes the reservation of a finished turn available to the program's next turn. It must only be
 // called once this owner has written the turn's end to the log: until then another owner may count the
 // reservation instead of the tokens that the turn has spent.
-func (s *State) Free(o Open) {
+func (s *State) FreeReservation(o OpenTurn) {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return
@@ -441,9 +441,9 @@
 	}
 }
 
-// Settle releases all reservations and grants that no turn uses and returns the records to write, for
+// ReleaseUnused releases all reservations and grants that no turn uses and returns the records to write, for
 // an owner that releases the slot: the next owner would count them as spent.
-func (s *State) Settle() []work.Record {
+func (s *State) ReleaseUnused() []work.Record {
 	var drops []work.Record
 	for name, prog := range s.programs {
 		for id, res := range prog.reservations {
--- a/gate/chain/chain_test.go
+++ b/gate/chain/chain_test.go
@@ -14,8 +14,8 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-func open(id, previous string, most int) Open {
-	return Open{ID: id, Program: "p", Previous: previous, Most: most, Retention: time.Minute}
+func open(id, previous string, most int) OpenTurn {
+	return OpenTurn{ID: id, Program: "p", Previous: previous, MaxTokens: most, Retention: time.Minute}
 }
 
 func joinText(turns []*Turn) string {
@@ -26,14 +26,14 @@
 	return b.String()
 }
 
-func answerTurn(t *testing.T, s *State, o Open, answerText string) []work.Record {
+func answerTurn(t *testing.T, s *State, o OpenTurn, answerText string) []work.Record {
 	t.Helper()
-	startRecs, err := s.Start(start, o, -1)
+	startRecs, err := s.BeginStateful(start, o, -1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, recs := s.Finish(start, o, 3, []byte(answerText))
-	s.Free(o)
+	s.FreeReservation(o)
 	return append(startRecs, recs...)
 }
 
@@ -51,8 +51,8 @@
 // its reservation.
 func TestNextTurnReusesReservation(t *testing.T) {
 	s := New()
-	starts := func(o Open) int {
-		recs, err := s.Start(start, o, 400)
+	starts := func(o OpenTurn) int {
+		recs, err := s.BeginStateful(start, o, 400)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,11 +62,11 @@
 	got := []int{starts(a)}
 	s.Finish(start, a, 10, nil)
 	got = append(got, starts(c)) // the log may not hold the end of turn a yet
-	s.Free(a)
+	s.FreeReservation(a)
 	got = append(got, starts(b))
 	s.Finish(start, b, 10, nil)
-	s.Free(b)
-	s.Break(c)
+	s.FreeReservation(b)
+	s.Abort(c)
 	got = append(got, starts(d), starts(open("e", "b", 60)))
 	if diff := cmp.Diff([]int{1, 1, 0, 0, 1}, got); diff != "" {
 		t.Errorf("start records (-want +got):\n%s", diff)
@@ -84,7 +84,7 @@
 func TestSettleDropsFreeReservations(t *testing.T) {
 	s, nextOwner := New(), New()
 	recs := answerTurn(t, s, open("a", "", 60), "one")
-	for _, rec := range append(recs, s.Settle()...) {
+	for _, rec := range append(recs, s.ReleaseUnused()...) {
 		if err := nextOwner.Apply(rec); err != nil {
 			t.Fatal(err)
 		}
@@ -119,16 +119,16 @@
 	s := New()
 	recs := answerTurn(t, s, open("a", "", 9), "one ")
 	recs = append(recs, answerTurn(t, s, open("b", "a", 9), "two ")...)
-	text1, _ := s.Find("a")
-	recs = append(recs, s.Import(start, "q", "a", text1, time.Minute))
+	text1, _ := s.ChainText("a")
+	recs = append(recs, s.ImportCopy(start, "q", "a", text1, time.Minute))
 	nextOwner := rebuild(t, recs)
 	for _, c := range []struct{ program, id, want string }{{"p", "b", "one two "}, {"q", "a", "one "}} {
-		turns, err := nextOwner.Line(c.program, c.id)
+		turns, err := nextOwner.History(c.program, c.id)
 		if err != nil || joinText(turns) != c.want {
 			t.Errorf("history of %s up to %s: %q, %v", c.program, c.id, joinText(turns), err)
 		}
 	}
-	if got, ok := nextOwner.Find("b"); !ok || string(got) != "one two " {
+	if got, ok := nextOwner.ChainText("b"); !ok || string(got) != "one two " {
 		t.Errorf("b is found as %q, %v", got, ok)
 	}
 	for _, drop := range s.Expire(start.Add(time.Hour), 100) {
@@ -136,8 +136,8 @@
 			t.Fatal(err)
 		}
 	}
-	if nextOwner.Programs() != 0 {
-		t.Errorf("%d programs are kept", nextOwner.Programs())
+	if nextOwner.ProgramCount() != 0 {
+		t.Errorf("%d programs are kept", nextOwner.ProgramCount())
 	}
 }
 
@@ -149,7 +149,7 @@
 	answerTurn(t, s, open("b", "a", 9), "two ")
 	answerTurn(t, s, open("c", "a", 9), "other ")
 	for _, c := range []struct{ id, want string }{{"b", "one two "}, {"c", "one other "}, {"", ""}} {
-		turns, err := s.Line("p", c.id)
+		turns, err := s.History("p", c.id)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,10 +157,10 @@
 			t.Errorf("history up to %q (-want +got):\n%s", c.id, diff)
 		}
 	}
-	if _, err := s.Line("p", "x"); !fault.Is(err, fault.NoTurn) {
+	if _, err := s.History("p", "x"); !fault.Is(err, fault.NoTurn) {
 		t.Errorf("unknown turn: %v", err)
 	}
-	if _, err := s.Line("q", "a"); !fault.Is(err, fault.NoTurn) {
+	if _, err := s.History("q", "a"); !fault.Is(err, fault.NoTurn) {
 		t.Errorf("turn of another program: %v", err)
 	}
 }
@@ -168,22 +168,22 @@
 // TestBudgetLimitsConcurrentTurns checks that concurrent turns can't exceed the budget together.
 func TestBudgetLimitsConcurrentTurns(t *testing.T) {
 	s := New()
-	if _, err := s.Start(start, open("a", "", 60), 100); err != nil {
+	if _, err := s.BeginStateful(start, open("a", "", 60), 100); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Start(start, open("b", "", 60), 100); !fault.Is(err, fault.BudgetSpent) {
+	if _, err := s.BeginStateful(start, open("b", "", 60), 100); !fault.Is(err, fault.BudgetSpent) {
 		t.Errorf("second turn: %v", err)
 	}
 	s.Finish(start, open("a", "", 60), 30, nil)
-	if _, err := s.Start(start, open("c", "", 60), 100); err != nil {
+	if _, err := s.BeginStateful(start, open("c", "", 60), 100); err != nil {
 		t.Errorf("after the first has ended: %v", err)
 	}
-	s.Break(open("c", "", 60))
-	if _, err := s.Start(start, open("d", "", 60), 100); !fault.Is(err, fault.BudgetSpent) {
+	s.Abort(open("c", "", 60))
+	if _, err := s.BeginStateful(start, open("d", "", 60), 100); !fault.Is(err, fault.BudgetSpent) {
 		t.Errorf("an aborted turn must count at its maximum: %v", err)
 	}
 	s.Cancel(open("c", "", 60))
-	if _, err := s.Start(start, open("e", "", 60), 100); err != nil {
+	if _, err := s.BeginStateful(start, open("e", "", 60), 100); err != nil {
 		t.Errorf("a turn that was not run must not count: %v", err)
 	}
 }
@@ -192,7 +192,7 @@
 func TestRebuildCountsUnfinishedTurns(t *testing.T) {
 	s, nextOwner := New(), New()
 	recs := answerTurn(t, s, open("a", "", 60), "one")
-	startRecs, err := s.Start(start, open("b", "a", 60), 200)
+	startRecs, err := s.BeginStateful(start, open("b", "a", 60), 200)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,10 +201,10 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := nextOwner.Start(start, open("c", "a", 60), 120); !fault.Is(err, fault.BudgetSpent) {
+	if _, err := nextOwner.BeginStateful(start, open("c", "a", 60), 120); !fault.Is(err, fault.BudgetSpent) {
 		t.Errorf("with the unfinished turn counted at its maximum: %v", err)
 	}
-	if _, err := nextOwner.Start(start, open("c", "a", 60), 123); err != nil {
+	if _, err := nextOwner.BeginStateful(start, open("c", "a", 60), 123); err != nil {
 		t.Errorf("3 + 60 + 60 of 123: %v", err)
 	}
 }
@@ -227,18 +227,18 @@
 		t.Errorf("dropped within its retention: %v", drops)
 	}
 	late := start.Add(2 * time.Minute)
-	if _, err := s.Start(late, open("b", "a", 9), -1); err != nil {
+	if _, err := s.BeginStateful(late, open("b", "a", 9), -1); err != nil {
 		t.Fatal(err)
 	}
 	if drops := s.Expire(late.Add(time.Hour), 100); len(drops) != 0 {
 		t.Errorf("dropped while it runs: %v", drops)
 	}
-	s.Break(open("b", "a", 9))
+	s.Abort(open("b", "a", 9))
 	drops := s.Expire(late.Add(time.Hour), 100)
 	if diff := cmp.Diff(2, len(drops)); diff != "" {
 		t.Errorf("drops (-want +got):\n%s", diff)
 	}
-	if s.Programs() != 0 {
+	if s.ProgramCount() != 0 {
 		t.Error("the program is still kept")
 	}
 }
@@ -258,28 +258,28 @@
 		done := []string{""}
 		for n := range rapid.IntRange(1, 30).Draw(rt, "turns") {
 			o := open(string(rune('A'+n)), rapid.SampledFrom(done).Draw(rt, "previous"), rapid.IntRange(1, 20).Draw(rt, "most"))
-			startRecs, err := s.Start(start, o, 200)
+			startRecs, err := s.BeginStateful(start, o, 200)
 			if err != nil {
 				continue
 			}
 			apply(startRecs...)
 			switch rapid.IntRange(0, 2).Draw(rt, "end") {
 			case 0:
-				_, recs := s.Finish(start, o, o.Most/2, []byte(o.ID+o.Previous))
+				_, recs := s.Finish(start, o, o.MaxTokens/2, []byte(o.ID+o.Previous))
 				apply(recs...)
 				done = append(done, o.ID)
 				if rapid.Bool().Draw(rt, "confirmed") {
-					s.Free(o)
+					s.FreeReservation(o)
 				}
 			case 1:
 				apply(s.Cancel(o)...)
 			default:
-				s.Break(o)
+				s.Abort(o)
 			}
 		}
 		for _, id := range done {
-			want, _ := s.Line("p", id)
-			got, err := rebuilt.Line("p", id)
+			want, _ := s.History("p", id)
+			got, err := rebuilt.History("p", id)
 			if err != nil || joinText(want) != joinText(got) {
 				rt.Fatalf("history up to %q: %q, want %q (%v)", id, joinText(got), joinText(want), err)
 			}
--- a/gate/chain/grant.go
+++ b/gate/chain/grant.go
@@ -69,28 +69,28 @@
 	return nil
 }
 
-// Draw begins a turn whose answer is not stored. It returns the record that must be in the log before
+// BeginStateless begins a turn whose answer is not stored. It returns the record that must be in the log before
 // any output is delivered, or none if the confirmed grant covers the turn. A negative budget means no
 // limit.
-func (s *State) Draw(now time.Time, o Open, budget int) ([]work.Record, error) {
+func (s *State) BeginStateless(now time.Time, o OpenTurn, budget int) ([]work.Record, error) {
 	prog := s.ensureProgram(o.Program)
 	used := prog.committedTokens()
-	if budget >= 0 && used+o.Most > budget {
+	if budget >= 0 && used+o.MaxTokens > budget {
 		s.removeIfEmpty(o.Program, prog)
 		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget does not allow another turn")
 	}
 	prog.running++
 	prog.expires = latest(prog.expires, now.Add(o.Retention))
 	g := &prog.grant
-	need := g.committedTokens() + o.Most
-	g.active[o.ID] = o.Most
+	need := g.committedTokens() + o.MaxTokens
+	g.active[o.ID] = o.MaxTokens
 	if need <= g.confirmed && g.expires.After(now.Add(o.Retention)) {
 		return nil, nil
 	}
 	if need > g.logged {
-		ahead := (turnsPerGrant - 1) * o.Most
+		ahead := (turnsPerGrant - 1) * o.MaxTokens
 		if budget >= 0 {
-			ahead = min(ahead, budget-used-o.Most)
+			ahead = min(ahead, budget-used-o.MaxTokens)
 		}
 		g.logged = need + ahead
 	}
@@ -99,25 +99,25 @@
 	return []work.Record{grantRecord(o.Program, g.logged, g.expires)}, nil
 }
 
-// Granted returns the size of the program's grant in the log once the queued records are written, for
+// GrantedTokens returns the size of the program's grant in the log once the queued records are written, for
 // Confirm.
-func (s *State) Granted(name string) int {
+func (s *State) GrantedTokens(name string) int {
 	if prog, ok := s.programs[name]; ok {
 		return prog.grant.logged
 	}
 	return 0
 }
 
-// Confirm notes that the log holds a grant of the given size, written by this owner.
-func (s *State) Confirm(name string, tokens int) {
+// ConfirmGrant notes that the log holds a grant of the given size, written by this owner.
+func (s *State) ConfirmGrant(name string, tokens int) {
 	if prog, ok := s.programs[name]; ok {
 		prog.grant.confirmed = max(prog.grant.confirmed, min(tokens, prog.grant.logged))
 	}
 }
 
-// Return ends a turn that began with Draw and delivered the given number of tokens. It returns a record
+// EndStateless ends a turn that began with Draw and delivered the given number of tokens. It returns a record
 // only if the slot is being released, for the next owner.
-func (s *State) Return(o Open, tokens int) []work.Record {
+func (s *State) EndStateless(o OpenTurn, tokens int) []work.Record {
 	prog, ok := s.programs[o.Program]
 	if !ok {
 		return nil
--- a/gate/chain/grant_test.go
+++ b/gate/chain/grant_test.go
@@ -13,13 +13,13 @@
 
 // beginStatelessTurn begins a turn whose answer is not stored and confirms its grant. It returns the
 // number of records that the turn has to wait for.
-func beginStatelessTurn(t *testing.T, s *State, o Open, budget int) int {
+func beginStatelessTurn(t *testing.T, s *State, o OpenTurn, budget int) int {
 	t.Helper()
-	recs, err := s.Draw(start, o, budget)
+	recs, err := s.BeginStateless(start, o, budget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Confirm(o.Program, s.Granted(o.Program))
+	s.ConfirmGrant(o.Program, s.GrantedTokens(o.Program))
 	return len(recs)
 }
 
@@ -31,13 +31,13 @@
 	for n := range 8 {
 		o := open(fmt.Sprint(n), "", 60)
 		waits = append(waits, beginStatelessTurn(t, s, o, 1000))
-		s.Return(o, 45)
+		s.EndStateless(o, 45)
 	}
 	// The grant covers four turns of 60 tokens; the first five turns leave 15 of its 240 tokens.
 	if diff := cmp.Diff([]int{1, 0, 0, 0, 0, 1, 0, 0}, waits); diff != "" {
 		t.Errorf("records (-want +got):\n%s", diff)
 	}
-	if got := s.Spent("p"); got != 8*45 {
+	if got := s.SpentTokens("p"); got != 8*45 {
 		t.Errorf("spent tokens: %d", got)
 	}
 }
@@ -46,12 +46,12 @@
 func TestUnconfirmedGrantCoversNoTurn(t *testing.T) {
 	s := New()
 	for _, id := range []string{"a", "b"} {
-		recs, err := s.Draw(start, open(id, "", 60), 1000)
+		recs, err := s.BeginStateless(start, open(id, "", 60), 1000)
 		if err != nil || len(recs) != 1 {
 			t.Errorf("turn %s: %d records, %v", id, len(recs), err)
 		}
 	}
-	s.Confirm("p", s.Granted("p"))
+	s.ConfirmGrant("p", s.GrantedTokens("p"))
 	if got := beginStatelessTurn(t, s, open("c", "", 60), 1000); got != 0 {
 		t.Errorf("%d records once the grant is confirmed", got)
 	}
@@ -65,12 +65,12 @@
 	answerTurn(t, s, open("a", "", 60), "one")
 	beginStatelessTurn(t, s, open("b", "", 60), budget)
 	beginStatelessTurn(t, s, open("c", "", 60), budget)
-	if _, err := s.Start(start, open("d", "a", 60), budget-3); err != nil {
+	if _, err := s.BeginStateful(start, open("d", "a", 60), budget-3); err != nil {
 		t.Errorf("a turn within the budget: %v", err)
 	}
 	for _, begin := range []func() ([]work.Record, error){
-		func() ([]work.Record, error) { return s.Draw(start, open("e", "", 60), budget) },
-		func() ([]work.Record, error) { return s.Start(start, open("f", "a", 60), budget) },
+		func() ([]work.Record, error) { return s.BeginStateless(start, open("e", "", 60), budget) },
+		func() ([]work.Record, error) { return s.BeginStateful(start, open("f", "a", 60), budget) },
 	} {
 		if _, err := begin(); !fault.Is(err, fault.BudgetSpent) || !fault.From(err).NotRun {
 			t.Errorf("a turn beyond the budget: %v", err)
@@ -83,28 +83,28 @@
 func TestNextOwnerCountsGrant(t *testing.T) {
 	s := New()
 	a, b := open("a", "", 60), open("b", "", 60)
-	recs, err := s.Draw(start, a, 1000)
+	recs, err := s.BeginStateless(start, a, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Confirm("p", s.Granted("p"))
-	s.Return(a, 7)
+	s.ConfirmGrant("p", s.GrantedTokens("p"))
+	s.EndStateless(a, 7)
 	beginStatelessTurn(t, s, b, 1000)
 	crashed := rebuild(t, recs)
-	recs = append(recs, s.Settle()...)
+	recs = append(recs, s.ReleaseUnused()...)
 	settled := rebuild(t, recs)
-	recs = append(recs, s.Return(b, 9)...)
+	recs = append(recs, s.EndStateless(b, 9)...)
 	ended := rebuild(t, recs)
-	got := []int{s.Spent("p"), crashed.Spent("p"), settled.Spent("p"), ended.Spent("p")}
+	got := []int{s.SpentTokens("p"), crashed.SpentTokens("p"), settled.SpentTokens("p"), ended.SpentTokens("p")}
 	if diff := cmp.Diff([]int{7, 4 * 60, 7 + 60, 7 + 9}, got); diff != "" {
 		t.Errorf("tokens counted by the owner, after a crash, after a handover, after the last turn (-want +got):\n%s", diff)
 	}
 	// The next owner writes its own grant under the same key, on top of the one that it found.
-	more, err := crashed.Draw(start, open("c", "", 60), 1000)
+	more, err := crashed.BeginStateless(start, open("c", "", 60), 1000)
 	if err != nil || len(more) != 1 {
 		t.Fatalf("%d records, %v", len(more), err)
 	}
-	if got := rebuild(t, append(recs, more...)).Spent("p"); got < 4*60+60 {
+	if got := rebuild(t, append(recs, more...)).SpentTokens("p"); got < 4*60+60 {
 		t.Errorf("the second next owner counts %d tokens", got)
 	}
 }
@@ -117,12 +117,12 @@
 	now := start
 	for n := range 10 {
 		o := open(fmt.Sprint(n), "", 1)
-		more, err := s.Draw(now, o, 1000)
+		more, err := s.BeginStateless(now, o, 1000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Confirm("p", s.Granted("p"))
-		s.Return(o, 1)
+		s.ConfirmGrant("p", s.GrantedTokens("p"))
+		s.EndStateless(o, 1)
 		recs = append(recs, more...)
 		now = now.Add(40 * time.Second)
 	}
@@ -132,7 +132,7 @@
 		t.Error("the program is dropped within its retention")
 	}
 	drops := nextOwner.Expire(last.Add(time.Hour), 10)
-	if len(drops) != 1 || rebuild(t, append(recs, drops...)).Programs() != 0 {
+	if len(drops) != 1 || rebuild(t, append(recs, drops...)).ProgramCount() != 0 {
 		t.Errorf("%d records drop the program", len(drops))
 	}
 }
--- a/gate/dial/confirm.go
+++ b/gate/dial/confirm.go
@@ -17,7 +17,7 @@
 // either.
 func (p *Pool) sendExpectContinue(ctx context.Context, req Request) (*Response, error) {
 	for {
-		c, err := p.acquire(ctx, req.MaxRest)
+		c, err := p.acquire(ctx, req.MaxIdle)
 		if err != nil {
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 	if _, err := r.conn.netConn.Write(requestHead(req, 0)); err != nil {
 		return err
 	}
-	wantsBody, err := r.awaitContinue(ctx, req.Confirm)
+	wantsBody, err := r.awaitContinue(ctx, req.ContinueTimeout)
 	if err != nil || !wantsBody {
 		return err
 	}
--- a/gate/dial/dial_test.go
+++ b/gate/dial/dial_test.go
@@ -187,7 +187,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := New(listen(t, c.peer), 2)
-			req := Request{Method: http.MethodPost, Target: "/", Host: "h", Body: []byte("body"), Confirm: within}
+			req := Request{Method: http.MethodPost, Target: "/", Host: "h", Body: []byte("body"), ContinueTimeout: within}
 			send := func() error {
 				resp, err := p.Send(context.Background(), req)
 				if err != nil {
@@ -240,14 +240,14 @@
 	isOwn := func(header http.Header) bool { return header.Get("Id") == "1" }
 	stale := strings.Replace(okResponse, "Id: 1", "Id: 0", 1)
 	p := New(serve(t, func(int, *http.Request) (string, bool) { return stale + okResponse, true }), 2)
-	if got, err := get(t, p, Request{Mine: isOwn}); got != "ok" || err != nil {
+	if got, err := get(t, p, Request{Matches: isOwn}); got != "ok" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if _, err := get(t, p, Request{Mine: isOwn}); err != nil || p.Dials() != 2 {
+	if _, err := get(t, p, Request{Matches: isOwn}); err != nil || p.Dials() != 2 {
 		t.Errorf("%v after %d connections", err, p.Dials())
 	}
 	p = New(serve(t, func(int, *http.Request) (string, bool) { return strings.Repeat(stale, 6), true }), 2)
-	if _, err := get(t, p, Request{Mine: isOwn}); !fault.Is(err, fault.TargetFailed) {
+	if _, err := get(t, p, Request{Matches: isOwn}); !fault.Is(err, fault.TargetFailed) {
 		t.Errorf("fault %v", err)
 	}
 }
@@ -338,7 +338,7 @@
 	for p.Dials() < 4 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	p.Limit(2)
+	p.SetLimit(2)
 	close(free)
 	for range 4 {
 		if err := <-done; err != nil {
@@ -351,7 +351,7 @@
 	if open != 2 {
 		t.Errorf("%d connections are open", open)
 	}
-	p.Limit(1)
+	p.SetLimit(1)
 	if p.Full() || len(p.idle) != 1 {
 		t.Errorf("%d idle connections", len(p.idle))
 	}
--- a/gate/dial/pool.go
+++ b/gate/dial/pool.go
@@ -56,9 +56,9 @@
 	return &Pool{addr: addr, limit: max(limit, 1), idleTimeout: maxIdleTime}
 }
 
-// Limit sets the maximum number of open connections. Idle ones above it are closed at once, those in use
+// SetLimit sets the maximum number of open connections. Idle ones above it are closed at once, those in use
 // when they become idle.
-func (p *Pool) Limit(connections int) {
+func (p *Pool) SetLimit(connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = max(connections, 1)
@@ -83,8 +83,8 @@
 	return len(p.idle) == 0 && p.open >= p.limit
 }
 
-// Connected reports whether a request could now reuse an idle connection, its MaxRest aside.
-func (p *Pool) Connected() bool {
+// HasIdle reports whether a request could now reuse an idle connection, its MaxRest aside.
+func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := len(p.idle) - 1
--- a/gate/dial/rest_test.go
+++ b/gate/dial/rest_test.go
@@ -23,7 +23,7 @@
 			response := strings.Replace(okResponse, "\r\n", "\r\n"+c.keepAlive, 1)
 			p := New(serve(t, func(int, *http.Request) (string, bool) { return response, true }), 2)
 			for range 2 {
-				if _, err := get(t, p, Request{MaxRest: bound}); err != nil {
+				if _, err := get(t, p, Request{MaxIdle: bound}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(3 * bound)
--- a/gate/dial/send.go
+++ b/gate/dial/send.go
@@ -28,16 +28,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxRest bounds how long a reused connection may have been idle if the peer does not announce how
+	// MaxIdle bounds how long a reused connection may have been idle if the peer does not announce how
 	// long it keeps one; zero means the pool's own bound. With a short time the request is less likely to
 	// be lost on a connection that the peer has just closed.
-	MaxRest time.Duration
-	// Confirm is how long the peer may take to ask for the body with 100 Continue, until which the body
+	MaxIdle time.Duration
+	// ContinueTimeout is how long the peer may take to ask for the body with 100 Continue, until which the body
 	// is held back; zero sends everything at once. The peer must not act before it has the body, so that
 	// a request which fails on a dead connection has not run.
-	Confirm time.Duration
-	// Mine reports whether a response belongs to this request; nil accepts any.
-	Mine func(header http.Header) bool
+	ContinueTimeout time.Duration
+	// Matches reports whether a response belongs to this request; nil accepts any.
+	Matches func(header http.Header) bool
 }
 
 // Response is a response whose head has been read.
@@ -65,13 +65,13 @@
 // Send sends the request once. A fault with NotRun means that the peer has not received the whole
 // request. The caller must call Close on the response. When ctx ends, the connection is cut.
 func (p *Pool) Send(ctx context.Context, req Request) (*Response, error) {
-	if req.MaxRest == 0 {
-		req.MaxRest = maxIdleTime
+	if req.MaxIdle == 0 {
+		req.MaxIdle = maxIdleTime
 	}
-	if req.Confirm > 0 {
+	if req.ContinueTimeout > 0 {
 		return p.sendExpectContinue(ctx, req)
 	}
-	c, err := p.acquire(ctx, req.MaxRest)
+	c, err := p.acquire(ctx, req.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	b.Grow(requestHeadSize + room)
 	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	_ = req.Header.Write(&b) // a buffer accepts all writes
-	if req.Confirm > 0 {
+	if req.ContinueTimeout > 0 {
 		b.WriteString("Expect: 100-continue\r\n")
 	}
 	if len(req.Body) > 0 || (req.Method != http.MethodGet && req.Method != http.MethodHead) {
@@ -147,7 +147,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if req.Mine == nil || req.Mine(resp.Header) {
+		if req.Matches == nil || req.Matches(resp.Header) {
 			r.setHead(resp, skipped)
 			return nil
 		}
--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -33,7 +33,7 @@
 
 // Feed provides the current configuration.
 type Feed interface {
-	Known() access.Known
+	Known() access.ConfigSnapshot
 }
 
 // Boxes tells which box should own a slot and which boxes are reachable.
@@ -43,19 +43,19 @@
 	// Owners returns at most n boxes: the one that should own the slot, followed by those that would own
 	// it if all boxes before them were gone.
 	Owners(slot string, n int) []work.Box
-	// Unreached records that a box could not be reached.
-	Unreached(box work.Box)
+	// MarkUnreachable records that a box could not be reached.
+	MarkUnreachable(box work.Box)
 	// TakeoverIn estimates how long it takes until another box owns the slots of the given one.
 	TakeoverIn(box work.Box) time.Duration
-	// JustUnreached reports whether a recent attempt to reach the box failed.
-	JustUnreached(box work.Box) bool
+	// RecentlyUnreachable reports whether a recent attempt to reach the box failed.
+	RecentlyUnreachable(box work.Box) bool
 }
 
-// Reach reports whether this box is cut off from the other boxes and from the log.
-type Reach interface {
+// Connectivity reports whether this box is cut off from the other boxes and from the log.
+type Connectivity interface {
 	CutOff() bool
-	// Elsewhere returns the delay after which a retry is likely to arrive at a box that is not cut off.
-	Elsewhere() time.Duration
+	// RetryDelay returns the delay after which a retry is likely to arrive at a box that is not cut off.
+	RetryDelay() time.Duration
 }
 
 // Slots holds the slots of this box.
@@ -85,12 +85,12 @@
 type Quotas interface {
 	// Take counts a call against the workspace's quota; begins is set if a program may start with it. A fault
 	// of Take says that the call has not run and when to retry.
-	Take(ctx context.Context, space work.Workspace, begins bool) (quota.Pass, error)
+	Take(ctx context.Context, space work.Workspace, begins bool) (quota.Permit, error)
 }
 
 // Relay sends calls that need no program owner to replicas.
 type Relay interface {
-	Carry(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error
+	Forward(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error
 }
 
 // Counts records metrics.
@@ -108,7 +108,7 @@
 	rules   access.Rules
 	quotas  Quotas
 	boxes   Boxes
-	reach   Reach
+	reach   Connectivity
 	slots   Slots
 	runner  Runner
 	peers   Peers
@@ -118,7 +118,7 @@
 }
 
 // New returns an Entry for the box self.
-func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, reach Reach, slots Slots, runner Runner,
+func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, reach Connectivity, slots Slots, runner Runner,
 	peers Peers, relay Relay, counts Counts, log *slog.Logger) *Entry {
 	return &Entry{
 		self: self, layout: layout, regions: regions, feed: feed, rules: rules, quotas: quotas, boxes: boxes, reach: reach, slots: slots, runner: runner,
@@ -141,10 +141,10 @@
 	if err != nil {
 		e.counts.Count("entry.caller_refused", 1)
 		if fault.Is(err, fault.StaleConfig) && e.reach.CutOff() {
-			err = fault.From(err).After(e.reach.Elsewhere()) // another box may have the newest configuration
+			err = fault.From(err).After(e.reach.RetryDelay()) // another box may have the newest configuration
 		}
 		e.log.Info("entry: caller refused", "id", call.ID, "route", route.Name, "version", known.Config.Version,
-			"proven", call.Arrived.Sub(known.Proven), "cause", err)
+			"proven", call.Arrived.Sub(known.ConfirmedAt), "cause", err)
 		return err
 	}
 	call.Workspace = space.Name
@@ -161,7 +161,7 @@
 
 // regionsOf returns the regions in which both the route and the workspace allow the call to be served.
 func (e *Entry) regionsOf(call *work.Call, route *work.Route, space work.Workspace) ([]string, error) {
-	regions, ok := work.BothRegions(route.Regions, space.Regions)
+	regions, ok := work.IntersectRegions(route.Regions, space.Regions)
 	if ok {
 		return regions, nil
 	}
@@ -193,7 +193,7 @@
 	}
 	err = e.run(ctx, call, route, out)
 	if err != nil && fault.From(err).NotRun {
-		pass.Return()
+		pass.Refund()
 	}
 	return err
 }
@@ -209,7 +209,7 @@
 	if needsOwner(call, route) {
 		return e.turn(ctx, call, route, out)
 	}
-	return e.relay.Carry(ctx, call, route, out)
+	return e.relay.Forward(ctx, call, route, out)
 }
 
 // needsOwner reports whether the call must run on the box that owns its program, since that box keeps the
@@ -241,9 +241,9 @@
 	if e.reach.CutOff() {
 		e.counts.Count("entry.cut_off", 1)
 		e.log.Info("entry: turn refused, this box is cut off", "id", call.ID, "program", call.Turn.Program, "route", route.Name)
-		return fault.Refuse(fault.OwnerUnknown, "this box is cut off from the others").After(e.reach.Elsewhere())
+		return fault.Refuse(fault.OwnerUnknown, "this box is cut off from the others").After(e.reach.RetryDelay())
 	}
-	home := e.layout.Home(call.Own(call.Turn.Program))
+	home := e.layout.SlotOf(call.QualifiedName(call.Turn.Program))
 	if box, ok := e.boxes.Owner(e.layout.Name(home)); ok && e.leavesRegions(call, box) {
 		return e.refuseNoRegion(call, route, box.Name, "the owner of the program is outside of the allowed regions")
 	}
@@ -330,13 +330,13 @@
 	if e.leavesRegions(call, box) {
 		return fault.Refuse(fault.OwnerUnknown, "the box is outside of the allowed regions")
 	}
-	if e.boxes.JustUnreached(box) {
+	if e.boxes.RecentlyUnreachable(box) {
 		return fault.Refuse(fault.PeerLost, "a recent attempt to reach the owner of the slot failed")
 	}
 	e.log.Info("entry: turn forwarded", "id", call.ID, "program", call.Turn.Program, "slot", slot, "owner", box.Name, "rank", rank)
 	err := e.peers.Turn(ctx, box, slot, call, route, out)
 	if fault.Is(err, fault.PeerLost) && ctx.Err() == nil {
-		e.boxes.Unreached(box)
+		e.boxes.MarkUnreachable(box)
 	}
 	return err
 }
--- a/gate/entry/entry_test.go
+++ b/gate/entry/entry_test.go
@@ -49,10 +49,12 @@
 	err   error
 }
 
-func (w *fakeBox) Known() access.Known { return access.Known{Config: w.conf, Proven: time.Now()} }
-func (w *fakeBox) Take(_ context.Context, space work.Workspace, begins bool) (quota.Pass, error) {
+func (w *fakeBox) Known() access.ConfigSnapshot {
+	return access.ConfigSnapshot{Config: w.conf, ConfirmedAt: time.Now()}
+}
+func (w *fakeBox) Take(_ context.Context, space work.Workspace, begins bool) (quota.Permit, error) {
 	w.quotaCalls = append(w.quotaCalls, fmt.Sprintf("%s %v", space.Name, begins))
-	return quota.Pass{}, w.quotaErr
+	return quota.Permit{}, w.quotaErr
 }
 func (w *fakeBox) Owner(string) (work.Box, bool) { return w.owner, w.owner.Name != "" }
 func (w *fakeBox) Owners(_ string, n int) []work.Box {
@@ -62,11 +64,11 @@
 	all := append([]work.Box{w.owner}, w.nextOwners...)
 	return all[:min(n, len(all))]
 }
-func (w *fakeBox) Unreached(work.Box)                { w.calls = append(w.calls, "unreached") }
-func (w *fakeBox) JustUnreached(work.Box) bool       { return w.recentlyUnreached }
+func (w *fakeBox) MarkUnreachable(work.Box)          { w.calls = append(w.calls, "unreached") }
+func (w *fakeBox) RecentlyUnreachable(work.Box) bool { return w.recentlyUnreached }
 func (w *fakeBox) TakeoverIn(work.Box) time.Duration { return w.takeoverDelay }
 func (w *fakeBox) CutOff() bool                      { return w.cutOff }
-func (w *fakeBox) Elsewhere() time.Duration          { return 100 * time.Millisecond }
+func (w *fakeBox) RetryDelay() time.Duration         { return 100 * time.Millisecond }
 func (w *fakeBox) Holds(int) bool                    { return w.holds }
 func (w *fakeBox) All() []*shard.Slot                { return nil }
 func (w *fakeBox) Count(string, int64)               {}
@@ -103,7 +105,7 @@
 	return got.text, got.slots, got.err
 }
 
-func (w *fakeBox) Carry(context.Context, *work.Call, *work.Route, work.Answer) error {
+func (w *fakeBox) Forward(context.Context, *work.Call, *work.Route, work.Answer) error {
 	w.calls = append(w.calls, "carried")
 	return nil
 }
--- a/gate/entry/find.go
+++ b/gate/entry/find.go
@@ -52,7 +52,7 @@
 	boxes := s.nextBoxes(ranks)
 	answers := make(chan findResult, len(boxes))
 	for _, box := range boxes {
-		go func() { answers <- s.askBox(ctx, box, s.call.Own(s.call.Turn.Previous), s.home) }()
+		go func() { answers <- s.askBox(ctx, box, s.call.QualifiedName(s.call.Turn.Previous), s.home) }()
 	}
 	for range boxes {
 		got := <-answers
@@ -105,15 +105,15 @@
 // also any other slot that another box may have claimed.
 func (e *Entry) Find(ctx context.Context, turn string, home int) (text []byte, ruledOut []int) {
 	for _, slot := range e.slots.All() {
-		slot.Change(func(state *chain.State) { text, _ = state.Find(turn) })
+		slot.Update(func(state *chain.State) { text, _ = state.ChainText(turn) })
 		if text != nil {
 			return text, nil
 		}
-		if slot.Number() != home && slot.Fresh() {
+		if slot.Number() != home && slot.OwnershipFresh() {
 			ruledOut = append(ruledOut, slot.Number())
 			continue
 		}
-		if err := slot.Confirm(ctx); err != nil {
+		if err := slot.ConfirmOwnership(ctx); err != nil {
 			e.log.Info("entry: slot ownership not confirmed", "slot", slot.Number(), "cause", err)
 			continue
 		}
--- a/gate/feed/feed.go
+++ b/gate/feed/feed.go
@@ -44,9 +44,9 @@
 
 // Log is the part of the log that a feed reads.
 type Log interface {
-	// All returns the newest record of each key of a topic. It bounds the time of each of its calls
+	// Snapshot returns the newest record of each key of a topic. It bounds the time of each of its calls
 	// itself.
-	All(ctx context.Context, topic work.Topic) (work.Whole, error)
+	Snapshot(ctx context.Context, topic work.Topic) (work.Snapshot, error)
 	// Read returns the records from the offset on, as soon as there are any or after wait. It fails with
 	// HistoryGone if they are no longer kept.
 	Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error)
@@ -66,12 +66,12 @@
 type Targets interface {
 	Configure(conf *work.Config)
 	Put(rep work.Replica)
-	// Miss marks a replica whose entry disappeared but may come back.
-	Miss(id string)
+	// MarkMissing marks a replica whose entry disappeared but may come back.
+	MarkMissing(id string)
 	Drop(id string)
-	Listed() []string
-	// Evacuate sets the availability zones whose replicas get no new calls.
-	Evacuate(zones map[string]bool)
+	ListedIDs() []string
+	// SetEvacuated sets the availability zones whose replicas get no new calls.
+	SetEvacuated(zones map[string]bool)
 }
 
 // Feed is a service that follows the configuration and the list of replicas.
@@ -119,10 +119,10 @@
 }
 
 // Known returns the newest configuration and when it was last shown to be the newest.
-func (f *Feed) Known() access.Known {
-	known := access.Known{}
+func (f *Feed) Known() access.ConfigSnapshot {
+	known := access.ConfigSnapshot{}
 	if proven := f.proven.Load(); proven != nil {
-		known.Proven = *proven
+		known.ConfirmedAt = *proven
 	}
 	known.Config = f.conf.Load() // loaded after proven, so that it is no older than that
 	return known
@@ -229,7 +229,7 @@
 		delete(zones, zone)
 	}
 	f.evacuated = zones
-	f.targets.Evacuate(zones)
+	f.targets.SetEvacuated(zones)
 	f.logger.Warn("feed: availability zone evacuation changed", "zone", zone, "evacuated", on)
 }
 
@@ -390,7 +390,7 @@
 }
 
 func (t *follower) reload(ctx context.Context, start time.Time) error {
-	snapshot, err := t.feed.log.All(ctx, t.topic)
+	snapshot, err := t.feed.log.Snapshot(ctx, t.topic)
 	if err != nil {
 		return err
 	}
@@ -470,7 +470,7 @@
 	defer l.mu.Unlock()
 	if _, ok := l.missing[id]; !ok {
 		l.missing[id] = until
-		l.feed.targets.Miss(id)
+		l.feed.targets.MarkMissing(id)
 		l.feed.logger.Info("feed: replica entry expired during a log outage", "replica", id)
 	}
 }
@@ -480,7 +480,7 @@
 	for _, rec := range recs {
 		listed[rec.Key] = len(rec.Value) > 0
 	}
-	for _, id := range l.feed.targets.Listed() {
+	for _, id := range l.feed.targets.ListedIDs() {
 		if !listed[id] {
 			l.remove(id, until)
 		}
--- a/gate/feed/feed_test.go
+++ b/gate/feed/feed_test.go
@@ -55,18 +55,18 @@
 	}
 }
 
-func (s *fakeLog) All(_ context.Context, topic work.Topic) (work.Whole, error) {
+func (s *fakeLog) Snapshot(_ context.Context, topic work.Topic) (work.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable {
-		return work.Whole{}, fault.Refuse(fault.LogUnavailable, "away")
+		return work.Snapshot{}, fault.Refuse(fault.LogUnavailable, "away")
 	}
 	recs := s.topics[topic]
 	newest := map[string]int{}
 	for i, rec := range recs {
 		newest[rec.Key] = i
 	}
-	all := work.Whole{Next: int64(len(recs)), Age: s.age}
+	all := work.Snapshot{Next: int64(len(recs)), Age: s.age}
 	for i, rec := range recs {
 		if newest[rec.Key] == i && len(rec.Value) > 0 {
 			all.Records = append(all.Records, rec)
@@ -128,7 +128,7 @@
 	evacuated map[string]bool
 }
 
-func (l *fakeTargets) Evacuate(zones map[string]bool) {
+func (l *fakeTargets) SetEvacuated(zones map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evacuated = zones
@@ -140,14 +140,14 @@
 	defer l.mu.Unlock()
 	l.ids[rep.ID] = true
 }
-func (l *fakeTargets) Miss(string) {}
+func (l *fakeTargets) MarkMissing(string) {}
 
 func (l *fakeTargets) Drop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.ids, id)
 }
-func (l *fakeTargets) Listed() []string {
+func (l *fakeTargets) ListedIDs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ids := []string{}
@@ -178,7 +178,7 @@
 
 func expect(t *testing.T, l *fakeTargets, want ...string) {
 	t.Helper()
-	if diff := cmp.Diff(want, l.Listed()); diff != "" {
+	if diff := cmp.Diff(want, l.ListedIDs()); diff != "" {
 		t.Errorf("replicas (-want +got):\n%s", diff)
 	}
 }
@@ -261,7 +261,7 @@
 			s.put(work.Replicas, id, "x")
 			s.put(work.Settings, "config", strconv.FormatInt(version, 10))
 			time.Sleep(known)
-			if !slices.Contains(l.Listed(), id) || f.Config().Version != version {
+			if !slices.Contains(l.ListedIDs(), id) || f.Config().Version != version {
 				t.Errorf("step %d: not known %v after the change", step, known)
 				return
 			}
--- a/gate/feed/proof_test.go
+++ b/gate/feed/proof_test.go
@@ -11,10 +11,10 @@
 func sinceProven(t *testing.T, f *Feed) time.Duration {
 	t.Helper()
 	known := f.Known()
-	if known.Proven.IsZero() {
+	if known.ConfirmedAt.IsZero() {
 		t.Fatal("no configuration was confirmed")
 	}
-	return time.Since(known.Proven)
+	return time.Since(known.ConfirmedAt)
 }
 
 // TestProvenTimeIsRequestTime checks that a read confirms nothing about the time in which it waits for
@@ -31,9 +31,9 @@
 		s.delay = 3 * time.Second // the answer to a request sent now comes late
 		s.mu.Unlock()
 		time.Sleep(2 * readWait)
-		before := f.Known().Proven
+		before := f.Known().ConfirmedAt
 		time.Sleep(time.Second)
-		if f.Known().Proven.After(before) {
+		if f.Known().ConfirmedAt.After(before) {
 			t.Error("a waiting read confirmed the configuration")
 		}
 		time.Sleep(4 * time.Second)
@@ -69,7 +69,7 @@
 		for range 40 {
 			time.Sleep(37 * time.Millisecond)
 			known := f.Known()
-			if time.Since(known.Proven) < 37*time.Millisecond && known.Config.Version != 7 {
+			if time.Since(known.ConfirmedAt) < 37*time.Millisecond && known.Config.Version != 7 {
 				t.Errorf("version %d confirmed", known.Config.Version)
 			}
 		}
@@ -90,10 +90,10 @@
 		s.first[work.Settings] = 1000 // the history is gone, and the newest record is outdated
 		s.mu.Unlock()
 		time.Sleep(2 * readWait)
-		before := f.Known().Proven
+		before := f.Known().ConfirmedAt
 		time.Sleep(3 * readWait)
 		known := f.Known()
-		if known.Config.Version != 9 || known.Proven.After(before) {
+		if known.Config.Version != 9 || known.ConfirmedAt.After(before) {
 			t.Errorf("version %d confirmed", known.Config.Version)
 		}
 	})
--- a/gate/lease/lease.go
+++ b/gate/lease/lease.go
@@ -11,7 +11,7 @@
 type Ask struct {
 	Input    types.RuleInput
 	Program  string
-	Work     sched.Work
+	Work     sched.ProgramProgress
 	Prompt   int
 	Expected int
 	// Fresh says that the program has done no work yet, so that refusing it wastes none.
--- a/gate/load/load.go
+++ b/gate/load/load.go
@@ -40,21 +40,21 @@
 	// Models returns the model replicas in this box's availability zone that accept work and whose
 	// load this box needs.
 	Models() []work.Replica
-	// Loaded updates the load of a replica.
-	Loaded(id string, load work.Load)
-	// Failing updates the share of calls that a replica fails, as reported by another box.
-	Failing(id string, share float64)
+	// UpdateLoad updates the load of a replica.
+	UpdateLoad(id string, load work.Load)
+	// UpdateFailureRate updates the share of calls that a replica fails, as reported by another box.
+	UpdateFailureRate(id string, share float64)
 }
 
 // Boxes returns the boxes that need reports on replicas.
 type Boxes interface {
 	Live() []work.Box
-	// Placing returns the boxes of this box's availability zone that place turns.
-	Placing() []work.Box
+	// PlacingBoxes returns the boxes of this box's availability zone that place turns.
+	PlacingBoxes() []work.Box
 	// Knows reports whether the box has the replica in its subset.
 	Knows(box work.Box, rep work.Replica) bool
-	// All reports whether all boxes know the replica.
-	All(rep work.Replica) bool
+	// KnownToAll reports whether all boxes know the replica.
+	KnownToAll(rep work.Replica) bool
 }
 
 // message is a report on a replica from one box to another.
@@ -123,7 +123,7 @@
 // turns on a replica, one polls it and sends the load to the others. Boxes that place no turns need
 // no load reports.
 func (w *Watch) pollDue(ctx context.Context) {
-	placing := w.boxes.Placing()
+	placing := w.boxes.PlacingBoxes()
 	if !slices.ContainsFunc(placing, func(box work.Box) bool { return box.Name == w.self.Name }) {
 		return
 	}
@@ -141,7 +141,7 @@
 // hashing selects one of the given boxes; otherwise each box that needs the load polls the replica
 // itself.
 func (w *Watch) isPoller(rep work.Replica, knowing []work.Box) bool {
-	if !w.boxes.All(rep) {
+	if !w.boxes.KnownToAll(rep) {
 		return true
 	}
 	names := make([]string, 0, len(knowing))
@@ -204,13 +204,13 @@
 	w.mu.Lock()
 	w.polls[rep.ID] = poll{at: w.polls[rep.ID].at, idle: float64(load.Running+load.Waiting) < busyShare*float64(rep.Slots)}
 	w.mu.Unlock()
-	w.targets.Loaded(rep.ID, load)
+	w.targets.UpdateLoad(rep.ID, load)
 	w.sendAll(recipients, message{Replica: rep.ID, Load: &load})
 }
 
-// Tell sends the share of calls that a replica fails to all live boxes that know the replica. It
+// SendFailureRate sends the share of calls that a replica fails to all live boxes that know the replica. It
 // does not wait.
-func (w *Watch) Tell(rep work.Replica, share float64) {
+func (w *Watch) SendFailureRate(rep work.Replica, share float64) {
 	go w.sendAll(w.boxesKnowing(w.boxes.Live(), rep), message{Replica: rep.ID, Failing: share})
 }
 
@@ -246,9 +246,9 @@
 			continue
 		}
 		if msg.Load != nil {
-			w.targets.Loaded(msg.Replica, *msg.Load)
+			w.targets.UpdateLoad(msg.Replica, *msg.Load)
 			continue
 		}
-		w.targets.Failing(msg.Replica, msg.Failing)
+		w.targets.UpdateFailureRate(msg.Replica, msg.Failing)
 	}
 }
--- a/gate/load/load_test.go
+++ b/gate/load/load_test.go
@@ -26,12 +26,12 @@
 }
 
 func (b *fakeTargets) Models() []work.Replica { return b.models }
-func (b *fakeTargets) Loaded(id string, load work.Load) {
+func (b *fakeTargets) UpdateLoad(id string, load work.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loads[id] = load
 }
-func (b *fakeTargets) Failing(id string, share float64) {
+func (b *fakeTargets) UpdateFailureRate(id string, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failing[id] = share
@@ -42,11 +42,11 @@
 
 func (f fleet) Live() []work.Box { return f }
 
-func (f fleet) Placing() []work.Box {
+func (f fleet) PlacingBoxes() []work.Box {
 	return slices.DeleteFunc(slices.Clone(f), func(box work.Box) bool { return box.Zone != "z" })
 }
 
-func (f fleet) All(work.Replica) bool { return true }
+func (f fleet) KnownToAll(work.Replica) bool { return true }
 
 // Knows reports false for boxes whose names begin with "un".
 func (f fleet) Knows(box work.Box, _ work.Replica) bool { return !strings.HasPrefix(box.Name, "un") }
@@ -91,7 +91,7 @@
 		all[box.Name], watches[box.Name] = b, w
 	}
 	watches["a"].send(boxes[2].Peer, []byte("{"))
-	watches["a"].Tell(work.Replica{ID: "r"}, 0.5)
+	watches["a"].SendFailureRate(work.Replica{ID: "r"}, 0.5)
 	wants := map[string]string{"a": "load", "b": "load failing", "c": "failing", "unaware": ""}
 	var got map[string]string
 	for range 40 {
--- a/gate/mirror/copy.go
+++ b/gate/mirror/copy.go
@@ -54,7 +54,7 @@
 	changed chan struct{}
 }
 
-func newCopy(groupOf func(work.Record) string, whole work.Whole, asked time.Time) *topicCopy {
+func newCopy(groupOf func(work.Record) string, whole work.Snapshot, asked time.Time) *topicCopy {
 	c := &topicCopy{
 		groupOf: groupOf, newest: map[string]groupedRecord{}, groupSizes: map[string]int{}, sizeChangedAt: map[string]time.Time{}, first: whole.Next, next: whole.Next, verifiedAt: asked,
 		changed: make(chan struct{}),
@@ -96,8 +96,8 @@
 	}
 }
 
-// At reports whether the copy ends at the offset.
-func (c *topicCopy) At(offset int64) bool {
+// EndsAt reports whether the copy ends at the offset.
+func (c *topicCopy) EndsAt(offset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.next == offset
@@ -141,7 +141,7 @@
 	now := time.Now()
 	for group, n := range c.groupSizes {
 		level := levels[group]
-		if n == 0 || subset.Fits(n, boxes, level) {
+		if n == 0 || subset.LevelFits(n, boxes, level) {
 			continue
 		}
 		if level < subset.Level(n, boxes) || now.Sub(c.sizeChangedAt[group]) >= stableAfter {
@@ -168,17 +168,17 @@
 }
 
 // All returns the box's part of the copy and the levels at which the part was drawn.
-func (c *topicCopy) All(box string, boxes int) (work.Whole, subset.Levels, error) {
+func (c *topicCopy) All(box string, boxes int) (work.Snapshot, subset.Levels, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age, err := c.ageIfFresh(time.Now())
 	if err != nil {
-		return work.Whole{}, nil, err
+		return work.Snapshot{}, nil, err
 	}
 	levels := c.levels(boxes)
-	whole := work.Whole{Next: c.next, Age: age}
+	whole := work.Snapshot{Next: c.next, Age: age}
 	for _, rec := range c.newest {
-		if levels.Holds(box, rec.Key, rec.group) {
+		if levels.Knows(box, rec.Key, rec.group) {
 			whole.Records = append(whole.Records, rec.Record)
 		}
 	}
@@ -206,7 +206,7 @@
 			continue
 		}
 		for _, rec := range seg.records {
-			if levels.Holds(box, rec.Key, rec.group) {
+			if levels.Knows(box, rec.Key, rec.group) {
 				page.Records = append(page.Records, rec.Record)
 			}
 		}
--- a/gate/mirror/hosts.go
+++ b/gate/mirror/hosts.go
@@ -46,8 +46,8 @@
 	return time.Now().Before(h.servesUntil)
 }
 
-// Look reads the announced sources from the log; none if the log can't be read.
-func (h *sourceDirectory) Look(ctx context.Context) []work.Box {
+// ReadAnnounced reads the announced sources from the log; none if the log can't be read.
+func (h *sourceDirectory) ReadAnnounced(ctx context.Context) []work.Box {
 	var known []work.Box
 	_, err := work.AllNewest(ctx, h.log, h.shard, logCallTimeout, func(rec work.Record) {
 		if box, err := work.ParseMember(string(rec.Value)); err == nil && box.Zone == h.self.Zone {
@@ -81,9 +81,9 @@
 	return h.log.Append(ctx, h.shard, work.Writer{}, recs)
 }
 
-// Tend announces this box if it ranks as a source and withdraws it if it no longer does. A box that becomes a
+// UpdateAnnouncement announces this box if it ranks as a source and withdraws it if it no longer does. A box that becomes a
 // source also withdraws the sources that are dead.
-func (h *sourceDirectory) Tend(ctx context.Context, isRanked bool, live []work.Box) {
+func (h *sourceDirectory) UpdateAnnouncement(ctx context.Context, isRanked bool, live []work.Box) {
 	h.mu.Lock()
 	wasAnnounced, serves := h.announced, time.Now().Before(h.servesUntil)
 	h.mu.Unlock()
@@ -99,7 +99,7 @@
 // deadSources returns the names of the announced sources that are not live.
 func (h *sourceDirectory) deadSources(ctx context.Context, live []work.Box) []string {
 	var dead []string
-	for _, box := range h.Look(ctx) {
+	for _, box := range h.ReadAnnounced(ctx) {
 		if !contains(live, box.Name) {
 			dead = append(dead, box.Name)
 		}
--- a/gate/mirror/members.go
+++ b/gate/mirror/members.go
@@ -30,7 +30,7 @@
 
 // Members implements view.Log.
 func (m *Mirror) Members(ctx context.Context, generation int64) ([]string, error) {
-	if m.Serving() {
+	if m.IsSource() {
 		got, err := m.roster.Get(ctx, generation)
 		return m.recordMembers(got.members, err)
 	}
@@ -112,7 +112,7 @@
 
 // askAnnounced asks the sources that are announced in the log.
 func (m *Mirror) askAnnounced(ctx context.Context, generation int64) (members []string, announced []work.Box) {
-	announced = m.directory.Look(ctx)
+	announced = m.directory.ReadAnnounced(ctx)
 	ordered := m.backoff.order(m.self.Name, announced)
 	members, _ = m.askMembers(ctx, ordered[:min(len(ordered), maxAnnouncedAsked)], generation)
 	return members, announced
@@ -143,7 +143,7 @@
 // the first or the first fails.
 func (m *Mirror) readMembers(ctx context.Context, generation int64) ([]string, error) {
 	sources, _ := m.sources()
-	if m.boxes.Trusted() && len(sources) > 0 && sources[0].Name != m.self.Name {
+	if m.boxes.HasSettled() && len(sources) > 0 && sources[0].Name != m.self.Name {
 		if members, ok := m.askMembers(ctx, sources[:1], generation); ok {
 			return members, nil
 		}
@@ -183,7 +183,7 @@
 	ctx, stop := context.WithTimeout(ctx, answerTimeout)
 	defer stop()
 	have := m.lastMembersFrom(box)
-	answer, err := m.peers.Roster(ctx, box, RosterAsk{Generation: generation, Have: have.digest})
+	answer, err := m.peers.Roster(ctx, box, RosterRequest{Generation: generation, KnownDigest: have.digest})
 	if err != nil {
 		return memberList{}, err
 	}
@@ -198,9 +198,9 @@
 }
 
 // Roster answers another box's request for the members, as a source.
-func (m *Mirror) Roster(ctx context.Context, ask RosterAsk) (RosterAnswer, error) {
-	if !m.Serving() {
-		return RosterAnswer{}, errNotSource()
+func (m *Mirror) Roster(ctx context.Context, ask RosterRequest) (RosterResponse, error) {
+	if !m.IsSource() {
+		return RosterResponse{}, errNotSource()
 	}
 	return m.roster.Answer(ctx, ask)
 }
--- a/gate/mirror/mirror.go
+++ b/gate/mirror/mirror.go
@@ -27,14 +27,14 @@
 type Boxes interface {
 	// Live returns the live boxes. A changed list is a new slice.
 	Live() []work.Box
-	// Trusted reports whether the view has settled at least once since the start.
-	Trusted() bool
+	// HasSettled reports whether the view has settled at least once since the start.
+	HasSettled() bool
 }
 
 // Peers sends requests to sources.
 type Peers interface {
-	Copy(ctx context.Context, box work.Box, ask CopyAsk) (CopyAnswer, error)
-	Roster(ctx context.Context, box work.Box, ask RosterAsk) (RosterAnswer, error)
+	Copy(ctx context.Context, box work.Box, ask CopyRequest) (CopyResponse, error)
+	Roster(ctx context.Context, box work.Box, ask RosterRequest) (RosterResponse, error)
 }
 
 // Decoder decodes the records of replicas.
@@ -90,9 +90,9 @@
 	return m
 }
 
-// OnDrawn sets a callback that gets the levels of this box's part of the replicas whenever the part is read anew.
+// OnLevels sets a callback that gets the levels of this box's part of the replicas whenever the part is read anew.
 // It must be called before Start.
-func (m *Mirror) OnDrawn(callback func(levels subset.Levels)) {
+func (m *Mirror) OnLevels(callback func(levels subset.Levels)) {
 	m.onLevels = callback
 }
 
@@ -114,15 +114,15 @@
 // updateAnnouncement announces this box while it ranks as a source, so that starting boxes find it, and drops the
 // copies once this box is no longer a source.
 func (m *Mirror) updateAnnouncement(ctx context.Context) {
-	if !m.boxes.Trusted() {
+	if !m.boxes.HasSettled() {
 		return
 	}
 	ctx, stop := context.WithTimeout(ctx, logCallTimeout)
 	defer stop()
 	live := m.boxes.Live()
-	sources, _ := m.ranking.Of(live)
-	m.directory.Tend(ctx, contains(sources, m.self.Name), live)
-	if m.Serving() {
+	sources, _ := m.ranking.Sources(live)
+	m.directory.UpdateAnnouncement(ctx, contains(sources, m.self.Name), live)
+	if m.IsSource() {
 		return
 	}
 	m.mu.Lock()
@@ -142,8 +142,8 @@
 	return false
 }
 
-// Serving reports whether this box is a source.
-func (m *Mirror) Serving() bool {
+// IsSource reports whether this box is a source.
+func (m *Mirror) IsSource() bool {
 	if m.directory.Serving() {
 		return true
 	}
@@ -154,8 +154,8 @@
 // sources returns the sources of this box's zone and the number of live boxes in it. They are ranked once the
 // view has settled; before that they are the announced ones.
 func (m *Mirror) sources() (sources []work.Box, zoneSize int) {
-	sources, zoneSize = m.ranking.Of(m.boxes.Live())
-	if m.boxes.Trusted() {
+	sources, zoneSize = m.ranking.Sources(m.boxes.Live())
+	if m.boxes.HasSettled() {
 		return sources, zoneSize
 	}
 	return m.directory.Known(), zoneSize
--- a/gate/mirror/mirror_test.go
+++ b/gate/mirror/mirror_test.go
@@ -56,7 +56,7 @@
 // step reads once from the offset next, or the whole part if next is negative, and returns the next offset.
 func (f *follower) step(ctx context.Context, next int64) int64 {
 	if next < 0 {
-		all, err := f.box.mirror.All(ctx, work.Replicas)
+		all, err := f.box.mirror.Snapshot(ctx, work.Replicas)
 		if err != nil {
 			return -1
 		}
@@ -305,7 +305,7 @@
 		z.addReplicas(500)
 		z.settleViews()
 		for name, b := range z.boxes {
-			all, err := b.mirror.All(context.Background(), work.Replicas)
+			all, err := b.mirror.Snapshot(context.Background(), work.Replicas)
 			if err != nil || len(all.Records) != 500 || all.Age != 0 {
 				t.Fatalf("%s: %d records, age %v, %v", name, len(all.Records), all.Age, err)
 			}
@@ -403,7 +403,7 @@
 		z.log.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		for _, one := range z.sources() {
-			ask := CopyAsk{Topic: work.Replicas, Box: "x", Whole: true}
+			ask := CopyRequest{Topic: work.Replicas, Box: "x", Whole: true}
 			if _, err := z.boxes[one.Name].mirror.Copy(context.Background(), ask); err == nil {
 				t.Errorf("%s served a copy though it had been cut off from the log for 10 s", one.Name)
 			}
--- a/gate/mirror/roster.go
+++ b/gate/mirror/roster.go
@@ -21,22 +21,22 @@
 	maxKeptLists = 8
 )
 
-// RosterAsk requests the members of the fleet from a source.
-type RosterAsk struct {
+// RosterRequest requests the members of the fleet from a source.
+type RosterRequest struct {
 	// Generation is the newest generation that the asking box got from the log.
 	Generation int64 `json:"generation"`
-	// Have is the digest of the list that the box last got from this source; zero without one.
-	Have uint64 `json:"have,omitempty"`
+	// KnownDigest is the digest of the list that the box last got from this source; zero without one.
+	KnownDigest uint64 `json:"have,omitempty"`
 }
 
-// RosterAnswer is the list of members or its difference from the list that the asking box has.
-type RosterAnswer struct {
+// RosterResponse is the list of members or its difference from the list that the asking box has.
+type RosterResponse struct {
 	// Digest is the digest of the whole list, to check the result of applying a difference.
 	Digest uint64 `json:"digest"`
 	// Whole reports that Came is the whole list. Otherwise Came holds the added and Went the removed members.
-	Whole bool     `json:"whole,omitempty"`
-	Came  []string `json:"came,omitempty"`
-	Went  []string `json:"went,omitempty"`
+	Whole   bool     `json:"whole,omitempty"`
+	Added   []string `json:"came,omitempty"`
+	Removed []string `json:"went,omitempty"`
 }
 
 // memberList is a sorted list of members with its digest.
@@ -51,31 +51,31 @@
 }
 
 // diff returns the difference from an earlier list.
-func (l memberList) diff(earlier memberList) RosterAnswer {
-	out := RosterAnswer{Digest: l.digest}
+func (l memberList) diff(earlier memberList) RosterResponse {
+	out := RosterResponse{Digest: l.digest}
 	old := earlier.members
 	for _, member := range l.members {
 		for len(old) > 0 && old[0] < member {
-			out.Went = append(out.Went, old[0])
+			out.Removed = append(out.Removed, old[0])
 			old = old[1:]
 		}
 		if len(old) > 0 && old[0] == member {
 			old = old[1:]
 			continue
 		}
-		out.Came = append(out.Came, member)
+		out.Added = append(out.Added, member)
 	}
-	out.Went = append(out.Went, old...)
+	out.Removed = append(out.Removed, old...)
 	return out
 }
 
 // apply returns the list that results from an answer; false if its digest is not the one in the answer.
-func (l memberList) apply(answer RosterAnswer) (memberList, bool) {
+func (l memberList) apply(answer RosterResponse) (memberList, bool) {
 	if answer.Whole {
-		return newList(answer.Came), true
+		return newList(answer.Added), true
 	}
-	members := slices.DeleteFunc(slices.Clone(l.members), func(member string) bool { return slices.Contains(answer.Went, member) })
-	next := newList(append(members, answer.Came...))
+	members := slices.DeleteFunc(slices.Clone(l.members), func(member string) bool { return slices.Contains(answer.Removed, member) })
+	next := newList(append(members, answer.Added...))
 	return next, next.digest == answer.Digest
 }
 
@@ -175,17 +175,17 @@
 
 // Answer returns the members for another box: the difference from the list that the box has if that is still
 // kept, otherwise the whole list.
-func (r *roster) Answer(ctx context.Context, ask RosterAsk) (RosterAnswer, error) {
+func (r *roster) Answer(ctx context.Context, ask RosterRequest) (RosterResponse, error) {
 	current, err := r.Get(ctx, ask.Generation)
 	if err != nil {
-		return RosterAnswer{}, err
+		return RosterResponse{}, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, before := range r.lists {
-		if before.digest == ask.Have {
+		if before.digest == ask.KnownDigest {
 			return current.diff(before), nil
 		}
 	}
-	return RosterAnswer{Digest: current.digest, Whole: true, Came: current.members}, nil
+	return RosterResponse{Digest: current.digest, Whole: true, Added: current.members}, nil
 }
--- a/gate/mirror/sources.go
+++ b/gate/mirror/sources.go
@@ -60,8 +60,8 @@
 	sources  []work.Box
 }
 
-// Of returns the sources among the live boxes and the number of live boxes in the zone.
-func (r *sourceRanking) Of(live []work.Box) (sources []work.Box, zoneSize int) {
+// Sources returns the sources among the live boxes and the number of live boxes in the zone.
+func (r *sourceRanking) Sources(live []work.Box) (sources []work.Box, zoneSize int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(live) == len(r.live) && len(live) > 0 && &live[0] == &r.live[0] {
--- a/gate/mirror/topics.go
+++ b/gate/mirror/topics.go
@@ -25,8 +25,8 @@
 	membersTimeout = time.Second
 )
 
-// CopyAsk requests records of a topic from a source.
-type CopyAsk struct {
+// CopyRequest requests records of a topic from a source.
+type CopyRequest struct {
 	Topic work.Topic `json:"topic"`
 	// Box is the name of the box that asks.
 	Box string `json:"box"`
@@ -38,19 +38,19 @@
 	Levels subset.Levels `json:"levels,omitempty"`
 }
 
-// CopyAnswer is a source's answer to a CopyAsk.
-type CopyAnswer struct {
+// CopyResponse is a source's answer to a CopyAsk.
+type CopyResponse struct {
 	Page   work.Page     `json:"page"`
 	Levels subset.Levels `json:"levels,omitempty"`
 }
 
-// All implements feed.Log.
-func (m *Mirror) All(ctx context.Context, topic work.Topic) (work.Whole, error) {
+// Snapshot implements feed.Log.
+func (m *Mirror) Snapshot(ctx context.Context, topic work.Topic) (work.Snapshot, error) {
 	m.awaitMembers(ctx)
 	_, zoneSize := m.sources()
 	deadline := time.Now().Add(minSourceWait + rand.N(sourceWaitPerBox*time.Duration(zoneSize+1)))
 	for ctx.Err() == nil {
-		if m.Serving() {
+		if m.IsSource() {
 			return m.ownPart(ctx, topic)
 		}
 		boxes := m.sourcesToAsk()
@@ -89,9 +89,9 @@
 }
 
 // askWhole asks the sources for this box's part of a topic, one after the other, until one returns it.
-func (m *Mirror) askWhole(ctx context.Context, boxes []work.Box, topic work.Topic) (work.Whole, bool) {
+func (m *Mirror) askWhole(ctx context.Context, boxes []work.Box, topic work.Topic) (work.Snapshot, bool) {
 	for _, box := range boxes {
-		answer, err := m.askCopy(ctx, box, CopyAsk{Topic: topic, Box: m.self.Name, Whole: true}, partTimeout)
+		answer, err := m.askCopy(ctx, box, CopyRequest{Topic: topic, Box: m.self.Name, Whole: true}, partTimeout)
 		if err != nil {
 			m.logger.Debug("mirror: topic not received", "source", box.Name, "topic", topic, "cause", err)
 			continue
@@ -99,13 +99,13 @@
 		if topic == work.Replicas {
 			m.setLevels(answer.Levels)
 		}
-		return work.Whole{Records: answer.Page.Records, Next: answer.Page.Next, Age: answer.Page.Age}, true
+		return work.Snapshot{Records: answer.Page.Records, Next: answer.Page.Next, Age: answer.Page.Age}, true
 	}
-	return work.Whole{}, false
+	return work.Snapshot{}, false
 }
 
 // askCopy sends the request to one source.
-func (m *Mirror) askCopy(ctx context.Context, box work.Box, ask CopyAsk, wait time.Duration) (CopyAnswer, error) {
+func (m *Mirror) askCopy(ctx context.Context, box work.Box, ask CopyRequest, wait time.Duration) (CopyResponse, error) {
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	return m.peers.Copy(ctx, box, ask)
@@ -122,7 +122,7 @@
 // readTopic reads a whole topic from the log.
 func (m *Mirror) readTopic(ctx context.Context, topic work.Topic) (*topicCopy, error) {
 	asked := time.Now()
-	var whole work.Whole
+	var whole work.Snapshot
 	next, err := work.AllNewest(ctx, m.log, work.Shard{Topic: topic}, logCallTimeout, func(rec work.Record) { whole.Records = append(whole.Records, rec) })
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 }
 
 // ownPart returns this box's own part as a source, from its copy, which it reads from the log if it has none.
-func (m *Mirror) ownPart(ctx context.Context, topic work.Topic) (work.Whole, error) {
+func (m *Mirror) ownPart(ctx context.Context, topic work.Topic) (work.Snapshot, error) {
 	m.mu.Lock()
 	cached := m.copies[topic]
 	m.mu.Unlock()
@@ -157,10 +157,10 @@
 }
 
 // loadCopy reads a topic from the log as a source, keeps the copy to serve others and returns this box's part.
-func (m *Mirror) loadCopy(ctx context.Context, topic work.Topic) (work.Whole, error) {
+func (m *Mirror) loadCopy(ctx context.Context, topic work.Topic) (work.Snapshot, error) {
 	loaded, err := m.readTopic(ctx, topic)
 	if err != nil {
-		return work.Whole{}, err
+		return work.Snapshot{}, err
 	}
 	m.mu.Lock()
 	m.copies[topic] = loaded
@@ -170,30 +170,30 @@
 }
 
 // readOwnPart reads this box's part of a topic from the log without keeping a copy for others.
-func (m *Mirror) readOwnPart(ctx context.Context, topic work.Topic) (work.Whole, error) {
+func (m *Mirror) readOwnPart(ctx context.Context, topic work.Topic) (work.Snapshot, error) {
 	loaded, err := m.readTopic(ctx, topic)
 	if err != nil {
-		return work.Whole{}, err
+		return work.Snapshot{}, err
 	}
 	return m.freshPartOf(topic, loaded)
 }
 
 // freshPartOf returns this box's part of a copy that was read after the caller asked; its age is therefore zero.
-func (m *Mirror) freshPartOf(topic work.Topic, cached *topicCopy) (work.Whole, error) {
+func (m *Mirror) freshPartOf(topic work.Topic, cached *topicCopy) (work.Snapshot, error) {
 	part, err := m.partOf(topic, cached)
 	part.Age = 0
 	return part, err
 }
 
 // partOf returns this box's part of a copy.
-func (m *Mirror) partOf(topic work.Topic, cached *topicCopy) (work.Whole, error) {
+func (m *Mirror) partOf(topic work.Topic, cached *topicCopy) (work.Snapshot, error) {
 	sources, zoneSize := m.sources()
 	if len(sources) == 0 {
 		zoneSize = 0 // in a small zone every box gets the whole topic
 	}
 	part, levels, err := cached.All(m.self.Name, zoneSize)
 	if err != nil {
-		return work.Whole{}, err
+		return work.Snapshot{}, err
 	}
 	if topic == work.Replicas {
 		m.setLevels(levels)
@@ -203,14 +203,14 @@
 
 // Read implements feed.Log.
 func (m *Mirror) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
-	if m.Serving() {
+	if m.IsSource() {
 		return m.readAsSource(ctx, topic, from, wait)
 	}
 	m.mu.Lock()
 	levels := m.levels
 	m.mu.Unlock()
 	for _, box := range m.sourcesToAsk() {
-		ask := CopyAsk{Topic: topic, Box: m.self.Name, From: from, Wait: wait, Levels: levels}
+		ask := CopyRequest{Topic: topic, Box: m.self.Name, From: from, Wait: wait, Levels: levels}
 		answer, err := m.askCopy(ctx, box, ask, wait+answerTimeout)
 		if err == nil || fault.Is(err, fault.HistoryGone) {
 			return answer.Page, err
@@ -234,7 +234,7 @@
 	group := m.groupFunc(topic)
 	var recs []work.Record
 	for _, rec := range page.Records {
-		if len(rec.Value) == 0 || levels.Holds(m.self.Name, rec.Key, group(rec)) {
+		if len(rec.Value) == 0 || levels.Knows(m.self.Name, rec.Key, group(rec)) {
 			recs = append(recs, rec)
 		}
 	}
@@ -255,7 +255,7 @@
 	m.mu.Lock()
 	cached, levels := m.copies[topic], m.levels
 	m.mu.Unlock()
-	if cached == nil || !cached.At(from) {
+	if cached == nil || !cached.EndsAt(from) {
 		m.dropCopy(topic)
 		return work.Page{}, fault.Refuse(fault.HistoryGone, "the source must read the topic whole")
 	}
@@ -275,30 +275,30 @@
 }
 
 // Copy answers another box's request for a topic, as a source.
-func (m *Mirror) Copy(ctx context.Context, ask CopyAsk) (CopyAnswer, error) {
+func (m *Mirror) Copy(ctx context.Context, ask CopyRequest) (CopyResponse, error) {
 	m.mu.Lock()
 	cached := m.copies[ask.Topic]
 	m.mu.Unlock()
 	// Before the view has settled, it holds too few boxes, and the parts would be far too large.
-	if cached == nil || !m.boxes.Trusted() {
-		return CopyAnswer{}, errNotSource()
+	if cached == nil || !m.boxes.HasSettled() {
+		return CopyResponse{}, errNotSource()
 	}
 	_, zoneSize := m.sources()
 	if ask.Whole {
 		part, levels, err := cached.All(ask.Box, zoneSize)
-		return CopyAnswer{Page: work.Page{Records: part.Records, Next: part.Next, Age: part.Age}, Levels: levels}, err
+		return CopyResponse{Page: work.Page{Records: part.Records, Next: part.Next, Age: part.Age}, Levels: levels}, err
 	}
 	return m.waitForRecords(ctx, cached, ask, zoneSize)
 }
 
 // waitForRecords waits for records of the box's part, for ask.Wait at most.
-func (m *Mirror) waitForRecords(ctx context.Context, cached *topicCopy, ask CopyAsk, zoneSize int) (CopyAnswer, error) {
+func (m *Mirror) waitForRecords(ctx context.Context, cached *topicCopy, ask CopyRequest, zoneSize int) (CopyResponse, error) {
 	ctx, stop := context.WithTimeout(ctx, ask.Wait)
 	defer stop()
 	for {
 		page, changed, err := cached.Since(ask.From, ask.Box, zoneSize, ask.Levels)
 		if err != nil || len(page.Records) > 0 || ctx.Err() != nil {
-			return CopyAnswer{Page: page}, err
+			return CopyResponse{Page: page}, err
 		}
 		select {
 		case <-changed:
--- a/gate/mirror/world_test.go
+++ b/gate/mirror/world_test.go
@@ -183,7 +183,7 @@
 	b.live = live
 }
 
-func (b *testBox) Trusted() bool { return b.trusted.Load() }
+func (b *testBox) HasSettled() bool { return b.trusted.Load() }
 
 // testZone holds the boxes of one availability zone and their log.
 type testZone struct {
@@ -210,7 +210,7 @@
 	for _, one := range z.all {
 		b := &testBox{Box: one, zone: z}
 		b.mirror = New(one, []string{"a"}, boxLog{z.log, one.Name}, b, b, plainDecoder{}, logger)
-		b.mirror.OnDrawn(func(levels subset.Levels) {
+		b.mirror.OnLevels(func(levels subset.Levels) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.levels = levels
@@ -244,18 +244,18 @@
 	return to, nil
 }
 
-func (b *testBox) Copy(ctx context.Context, to work.Box, ask CopyAsk) (CopyAnswer, error) {
+func (b *testBox) Copy(ctx context.Context, to work.Box, ask CopyRequest) (CopyResponse, error) {
 	other, err := b.send(ctx, to.Name)
 	if err != nil {
-		return CopyAnswer{}, err
+		return CopyResponse{}, err
 	}
 	return other.mirror.Copy(ctx, ask)
 }
 
-func (b *testBox) Roster(ctx context.Context, to work.Box, ask RosterAsk) (RosterAnswer, error) {
+func (b *testBox) Roster(ctx context.Context, to work.Box, ask RosterRequest) (RosterResponse, error) {
 	other, err := b.send(ctx, to.Name)
 	if err != nil {
-		return RosterAnswer{}, err
+		return RosterResponse{}, err
 	}
 	return other.mirror.Roster(ctx, ask)
 }
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -70,7 +70,7 @@
 	Regions work.Regions
 	Access  access.Bounds
 	Quota   quota.Bounds
-	Cold    sched.ColdBounds
+	Cold    sched.ColdLimits
 }
 
 // Node is a box.
@@ -81,7 +81,7 @@
 	view    *view.View
 	mirror  *mirror.Mirror
 	feed    *feed.Feed
-	shards  *shard.Shards
+	shards  *shard.Manager
 	entry   *entry.Entry
 	peers   *remote.Client
 	targets *target.Targets
@@ -103,13 +103,13 @@
 	n.mirror = mirror.New(deps.Self, deps.Zones, reached, boxes{n}, n.peers, deps.Decoder, log)
 	n.feed = feed.New(n.mirror, deps.Decoder, n.targets, log)
 	n.view = view.New(deps.Self, n.mirror, deps.Timing, log)
-	n.targets.Bind(target.Bounds{Regions: deps.Regions, Cold: deps.Cold})
-	n.targets.OnWarming(n.places.Warms)
+	n.targets.SetBounds(target.Bounds{Regions: deps.Regions, Cold: deps.Cold})
+	n.targets.SetWarmingCheck(n.places.Warms)
 	n.shards = shard.New(deps.Self, layout, reached, n.view, n.peers, deps.Meter, log)
 	n.places = newPlaces(deps.Self, n.view, layout.Names())
-	n.mirror.OnDrawn(func(levels subset.Levels) {
+	n.mirror.OnLevels(func(levels subset.Levels) {
 		n.places.Draw(levels)
-		n.targets.Draw(levels)
+		n.targets.SetLevels(levels)
 	})
 	n.watch = load.New(deps.Self, deps.Replicas, n.targets, n.places, log)
 	n.reach = newReach(deps.Self.Name, n.view, n.peers, log)
@@ -121,7 +121,7 @@
 	n.server = remote.NewServer(deps.Self.Peer, n.entry, n.shards, n.view, n.counter, n.mirror, deps.Log, log)
 	n.feed.OnConfig(func(conf *work.Config) { n.counter.Update(time.Now(), conf) })
 	n.view.OnChange(n.boxesChanged)
-	n.targets.OnFailing(n.watch.Tell)
+	n.targets.OnFailing(n.watch.SendFailureRate)
 	return n
 }
 
@@ -131,8 +131,8 @@
 // Live implements mirror.Boxes.
 func (b boxes) Live() []work.Box { return b.node.view.Live() }
 
-// Trusted implements mirror.Boxes.
-func (b boxes) Trusted() bool { return b.node.view.Trusted() }
+// HasSettled implements mirror.Boxes.
+func (b boxes) HasSettled() bool { return b.node.view.HasSettled() }
 
 // others are the boxes by whose way the log may be called.
 type others struct{ node *Node }
@@ -156,9 +156,9 @@
 
 func (n *Node) boxesChanged() {
 	live := n.view.Live()
-	n.targets.Boxes(len(live))
+	n.targets.SetBoxCount(len(live))
 	n.places.Renew()
-	n.targets.Placers(n.places.Placers())
+	n.targets.SetPlacerCount(n.places.Placers())
 	n.peers.Keep(live)
 	n.counter.Update(time.Now(), n.feed.Config())
 	n.shards.Rebalance()
@@ -238,16 +238,16 @@
 
 // Ready reports whether callers should be sent here.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.feed.Ready() && n.view.Trusted() && !n.reach.CutOff()
+	return !n.leaving.Load() && n.feed.Ready() && n.view.HasSettled() && !n.reach.CutOff()
 }
 
 // Figures writes what the box measures, in the usual text exposition format.
 func (n *Node) Figures(out io.Writer) error {
 	figures := n.deps.Meter
-	figures.Gauge("node.slots", int64(n.shards.Held()))
+	figures.Gauge("node.slots", int64(n.shards.HeldCount()))
 	figures.Gauge("node.boxes", int64(len(n.view.Live())))
 	figures.Gauge("node.ready", flag(n.Ready()))
-	figures.Gauge("node.source", flag(n.mirror.Serving()))
+	figures.Gauge("node.source", flag(n.mirror.IsSource()))
 	figures.Gauge("node.cut_off", flag(n.reach.CutOff()))
 	figures.Gauge("node.log_age_ms", n.view.ReadAge().Milliseconds())
 	figures.Gauge("node.memory_bytes", memory())
@@ -255,7 +255,7 @@
 	figures.Gauge("node.config_age_ms", n.feed.ConfigAge().Milliseconds())
 	figures.Gauge("node.configs_refused", n.feed.ConfigsRefused())
 	figures.Gauge("node.entries_refused", n.feed.EntriesRefused())
-	figures.Gauge("node.replicas", int64(len(n.targets.Listed())))
+	figures.Gauge("node.replicas", int64(len(n.targets.ListedIDs())))
 	if conf := n.feed.Config(); conf != nil {
 		figures.Gauge("node.config_version", conf.Version)
 	}
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -70,7 +70,7 @@
 func (p *places) Placers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return sched.Placers(len(p.placing), p.far)
+	return sched.EffectivePlacers(len(p.placing), p.far)
 }
 
 // Warms reports whether this box is the one of its availability zone that sends calls to a cold replica. A box that does
@@ -85,7 +85,7 @@
 	if model {
 		senders = names(p.placing)
 	}
-	knows := func(name string) bool { return p.levels.Holds(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
+	knows := func(name string) bool { return p.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
 	senders = slices.DeleteFunc(slices.Clone(senders), func(name string) bool { return !knows(name) })
 	return ident.Winner(rep.ID, senders) == p.self.Name
 }
@@ -103,8 +103,8 @@
 	return p.fleet.Live()
 }
 
-// Placing implements load.Boxes.
-func (p *places) Placing() []work.Box {
+// PlacingBoxes implements load.Boxes.
+func (p *places) PlacingBoxes() []work.Box {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.placing
@@ -114,11 +114,11 @@
 func (p *places) Knows(box work.Box, rep work.Replica) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.levels.Holds(box.Name, rep.ID, subset.Group(rep.Service, rep.Zone))
+	return p.levels.Knows(box.Name, rep.ID, subset.Group(rep.Service, rep.Zone))
 }
 
-// All implements load.Boxes.
-func (p *places) All(rep work.Replica) bool {
+// KnownToAll implements load.Boxes.
+func (p *places) KnownToAll(rep work.Replica) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.levels[subset.Group(rep.Service, rep.Zone)] == 0
--- a/gate/node/reach.go
+++ b/gate/node/reach.go
@@ -68,8 +68,8 @@
 	return r.cut.Load()
 }
 
-// Elsewhere is when a caller that comes again is likely to meet a box that is not cut off.
-func (r *reach) Elsewhere() time.Duration {
+// RetryDelay is when a caller that comes again is likely to meet a box that is not cut off.
+func (r *reach) RetryDelay() time.Duration {
 	if r.alone.Load() {
 		return aloneRetry
 	}
--- a/gate/node/reach_test.go
+++ b/gate/node/reach_test.go
@@ -49,16 +49,16 @@
 		look(false, "the log is away, most boxes answer")
 		w.mates = []string{"b"}
 		look(true, "few boxes answer")
-		if got := r.Elsewhere(); got != balancerMoves {
+		if got := r.RetryDelay(); got != balancerMoves {
 			t.Errorf("advice at once: %v", got)
 		}
 		time.Sleep(balancerMoves - 500*time.Millisecond)
 		look(true, "still")
-		if got := r.Elsewhere(); got != 500*time.Millisecond {
+		if got := r.RetryDelay(); got != 500*time.Millisecond {
 			t.Errorf("advice shortly before the balancer moves: %v", got)
 		}
 		time.Sleep(time.Second)
-		if got := r.Elsewhere(); got != aloneRetry {
+		if got := r.RetryDelay(); got != aloneRetry {
 			t.Errorf("advice after it: %v", got)
 		}
 		w.mates = nil
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -125,7 +125,7 @@
 func (p *Prog) try(ctx context.Context, j *job, run *Run, id string, avoid []string) (types.EngineEvent, string, error) {
 	in := input(j.begin)
 	in.Turn = int64(j.ask.Body.Turn)
-	work := sched.Work{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
+	work := sched.ProgramProgress{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
 	place, err := p.queue.Acquire(ctx, lease.Ask{
 		Input: in, Program: j.ask.Program, Work: work, Prompt: j.known + tokens(j.ask.Body.Messages),
 		Expected: int(float64(j.maxTokens) * expectShare), Fresh: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
--- a/gate/quota/counter.go
+++ b/gate/quota/counter.go
@@ -10,29 +10,29 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Ask is a request to the counter of a part of a workspace's quota.
-type Ask struct {
+// GrantRequest is a request to the counter of a part of a workspace's quota.
+type GrantRequest struct {
 	Workspace string `json:"workspace"`
 	// Want is the number of calls requested, at least 1.
 	Want int `json:"want"`
-	// Begins says that a program may begin with the first of these calls.
-	Begins bool `json:"begins,omitempty"`
-	// Back cancels the plan for a program that has not begun. Nothing is granted then.
-	Back bool `json:"back,omitempty"`
+	// MayStartProgram says that a program may begin with the first of these calls.
+	MayStartProgram bool `json:"begins,omitempty"`
+	// CancelProgram cancels the plan for a program that has not begun. Nothing is granted then.
+	CancelProgram bool `json:"back,omitempty"`
 }
 
-// Answer is a counter's answer to a request.
-type Answer struct {
-	// Counts says that the box is a counter of the workspace.
-	Counts bool `json:"counts"`
+// GrantReply is a counter's answer to a request.
+type GrantReply struct {
+	// IsCounter says that the box is a counter of the workspace.
+	IsCounter bool `json:"counts"`
 	// Granted is the number of calls that may be made.
 	Granted int `json:"granted,omitempty"`
 	// AfterMillis is the delay in milliseconds after which to ask again if nothing is granted.
 	AfterMillis int64 `json:"after_ms,omitempty"`
 }
 
-// Winners finds the counters of workspaces.
-type Winners interface {
+// CounterLocator finds the counters of workspaces.
+type CounterLocator interface {
 	// Counter returns the box that counts the workspace's quota in an availability zone.
 	Counter(workspace, zone string) (work.Box, bool)
 }
@@ -42,7 +42,7 @@
 	self    work.Box
 	zones   []string
 	bounds  Bounds
-	locator Winners
+	locator CounterLocator
 
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -58,7 +58,7 @@
 }
 
 // NewCounter returns the Counter of the box self; zones are all availability zones.
-func NewCounter(self work.Box, zones []string, bounds Bounds, locator Winners) *Counter {
+func NewCounter(self work.Box, zones []string, bounds Bounds, locator CounterLocator) *Counter {
 	return &Counter{self: self, zones: zones, bounds: bounds, locator: locator, parts: map[string]*part{}, countingSince: map[string]time.Time{}}
 }
 
@@ -147,35 +147,35 @@
 	if before.Callers == nil {
 		return time.Time{}
 	}
-	if _, known := before.Callers.Workspace(name); known {
+	if _, known := before.Callers.WorkspaceByName(name); known {
 		return now.Add(handoverOverlap)
 	}
 	return time.Time{}
 }
 
 // Grant answers a request for calls.
-func (c *Counter) Grant(now time.Time, ask Ask) Answer {
+func (c *Counter) Grant(now time.Time, ask GrantRequest) GrantReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.resetAfterFreeze(now)
 	since, counts := c.countingSince[ask.Workspace]
 	if !counts {
-		return Answer{}
+		return GrantReply{}
 	}
-	space, known := c.conf.Callers.Workspace(ask.Workspace)
+	space, known := c.conf.Callers.WorkspaceByName(ask.Workspace)
 	zones := c.bounds.countingZones(space, c.zones)
 	if !known || !slices.Contains(zones, c.self.Zone) {
-		return Answer{}
+		return GrantReply{}
 	}
 	p, ok := c.parts[ask.Workspace]
 	if !ok {
 		p = newPart(since)
 		c.parts[ask.Workspace] = p
 	}
-	if ask.Back {
+	if ask.CancelProgram {
 		p.cancelProgram()
-		return Answer{Counts: true}
+		return GrantReply{IsCounter: true}
 	}
-	granted, after := p.grant(now, c.bounds.partLimits(space, len(zones)), ask.Want, ask.Begins)
-	return Answer{Counts: true, Granted: granted, AfterMillis: after.Milliseconds()}
+	granted, after := p.grant(now, c.bounds.partLimits(space, len(zones)), ask.Want, ask.MayStartProgram)
+	return GrantReply{IsCounter: true, Granted: granted, AfterMillis: after.Milliseconds()}
 }
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -31,7 +31,7 @@
 
 // grantAll returns how many calls the counter grants at once.
 func grantAll(c *Counter) int {
-	return c.Grant(time.Now(), Ask{Workspace: "w", Want: 1000}).Granted
+	return c.Grant(time.Now(), GrantRequest{Workspace: "w", Want: 1000}).Granted
 }
 
 // TestStartsEmpty checks that a counter that just took over or was frozen starts with an empty part, since
@@ -72,10 +72,10 @@
 		conf := work.NewConfig(2, nil, nil, work.Limits{})
 		conf.Callers = work.NewCallers([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}, {Name: "new", Rate: 10, Burst: 10}})
 		c.Update(time.Now(), conf)
-		if got := c.Grant(time.Now(), Ask{Workspace: "new", Want: 10}).Granted; got != 10 {
+		if got := c.Grant(time.Now(), GrantRequest{Workspace: "new", Want: 10}).Granted; got != 10 {
 			t.Errorf("%d of 10 calls granted", got)
 		}
-		if got := c.Grant(time.Now(), Ask{Workspace: "gone", Want: 10}); got.Counts {
+		if got := c.Grant(time.Now(), GrantRequest{Workspace: "gone", Want: 10}); got.IsCounter {
 			t.Errorf("unknown workspace: %+v", got)
 		}
 	})
@@ -87,7 +87,7 @@
 		c := newFullCounter(t)
 		defer func() { _ = c.Stop(context.Background()) }()
 		c.Update(time.Now(), work.NewConfig(2, nil, nil, work.Limits{}))
-		if got := c.Grant(time.Now(), Ask{Workspace: "w", Want: 1}); got.Counts {
+		if got := c.Grant(time.Now(), GrantRequest{Workspace: "w", Want: 1}); got.IsCounter {
 			t.Errorf("counted without workspaces: %+v", got)
 		}
 	})
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -45,13 +45,13 @@
 }
 
 // Quota implements Peers.
-func (f boxView) Quota(ctx context.Context, box work.Box, ask Ask) (Answer, error) {
+func (f boxView) Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error) {
 	f.mu.Lock()
 	cut := f.dead[box.Name] || f.side[box.Name] != f.side[f.self.Name]
 	f.mu.Unlock()
 	if cut {
 		<-ctx.Done()
-		return Answer{}, fault.Fail(fault.PeerLost, "silent")
+		return GrantReply{}, fault.Fail(fault.PeerLost, "silent")
 	}
 	time.Sleep(askDelay)
 	for i, other := range f.boxes {
@@ -59,7 +59,7 @@
 			return f.counters[i].Grant(time.Now(), ask), nil
 		}
 	}
-	return Answer{}, nil
+	return GrantReply{}, nil
 }
 
 func (f boxView) Count(string, int64) {}
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -33,7 +33,7 @@
 // Peers sends requests to other boxes.
 type Peers interface {
 	// Quota asks the counter on a box for calls.
-	Quota(ctx context.Context, box work.Box, ask Ask) (Answer, error)
+	Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error)
 }
 
 // Counts records metrics.
@@ -46,7 +46,7 @@
 	self    work.Box
 	zones   []string
 	bounds  Bounds
-	locator Winners
+	locator CounterLocator
 	counter *Counter
 	peers   Peers
 	counts  Counts
@@ -76,15 +76,15 @@
 }
 
 // New returns the Quotas of the box self, which ask the counters of all zones.
-func New(self work.Box, zones []string, bounds Bounds, locator Winners, counter *Counter, peers Peers, counts Counts) *Quotas {
+func New(self work.Box, zones []string, bounds Bounds, locator CounterLocator, counter *Counter, peers Peers, counts Counts) *Quotas {
 	return &Quotas{
 		self: self, zones: zones, bounds: bounds, locator: locator, counter: counter, peers: peers, counts: counts,
 		workspaces: map[string]*workspaceState{}, lostUntil: map[string]time.Time{},
 	}
 }
 
-// Pass is a call that was counted against a quota.
-type Pass struct {
+// Permit is a call that was counted against a quota.
+type Permit struct {
 	quotas *Quotas
 	space  work.Workspace
 	// plannedBy is the counter that has planned a program's calls with this one; empty if none has.
@@ -94,9 +94,9 @@
 // Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its fault
 // says that the call has not run and when to retry. A call that begins no program may wait briefly instead of
 // being refused.
-func (q *Quotas) Take(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
+func (q *Quotas) Take(ctx context.Context, space work.Workspace, begins bool) (Permit, error) {
 	if space.Rate <= 0 {
-		return Pass{}, nil
+		return Permit{}, nil
 	}
 	pass, err := q.tryTake(ctx, space, begins)
 	if begins || !fault.Is(err, fault.QuotaReached) || fault.From(err).RetryAfter > maxQuotaWait {
@@ -111,8 +111,8 @@
 }
 
 // tryTake counts a call if a grant is available now.
-func (q *Quotas) tryTake(ctx context.Context, space work.Workspace, begins bool) (Pass, error) {
-	pass := Pass{quotas: q, space: space}
+func (q *Quotas) tryTake(ctx context.Context, space work.Workspace, begins bool) (Permit, error) {
+	pass := Permit{quotas: q, space: space}
 	if !begins && q.usePrefetched(space.Name) {
 		return pass, nil
 	}
@@ -120,7 +120,7 @@
 	for _, zone := range q.zoneOrder(space) {
 		answer, box, asked := q.askZone(ctx, space, zone, begins)
 		switch {
-		case !asked || !answer.Counts:
+		case !asked || !answer.IsCounter:
 			unknown = true
 		case answer.Granted > 0:
 			q.addPrefetched(space.Name, answer.Granted-1)
@@ -141,8 +141,8 @@
 	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").After(max(after, minRetryDelay))
 }
 
-// Return gives back the quota of a call that has not run.
-func (p Pass) Return() {
+// Refund gives back the quota of a call that has not run.
+func (p Permit) Refund() {
 	if p.quotas == nil || p.space.Rate <= 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 func (q *Quotas) cancelProgram(box work.Box, workspace string) {
 	ctx, stop := context.WithTimeout(context.Background(), askTimeout)
 	defer stop()
-	if _, err := q.send(ctx, box, Ask{Workspace: workspace, Back: true}); err != nil {
+	if _, err := q.send(ctx, box, GrantRequest{Workspace: workspace, CancelProgram: true}); err != nil {
 		q.counts.Count("quota.not_returned", 1)
 	}
 }
@@ -229,23 +229,23 @@
 
 // askZone asks the counter of a zone, unless it is known to be exhausted or lost. asked is false if there is
 // no answer.
-func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer Answer, box work.Box, asked bool) {
+func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer GrantReply, box work.Box, asked bool) {
 	box, ok := q.locator.Counter(space.Name, zone)
 	if !ok {
-		return Answer{}, box, false
+		return GrantReply{}, box, false
 	}
 	now := time.Now()
 	kind := grantKind{zone: zone, begins: begins}
 	q.mu.Lock()
 	p := q.stateOf(space.Name)
 	wait, lost := p.exhaustedUntil[kind].Sub(now), now.Before(q.lostUntil[box.Name])
-	msg := Ask{Workspace: space.Name, Want: 1 + p.prefetchCount(), Begins: begins}
+	msg := GrantRequest{Workspace: space.Name, Want: 1 + p.prefetchCount(), MayStartProgram: begins}
 	q.mu.Unlock()
 	if wait > 0 {
-		return Answer{Counts: true, AfterMillis: 1 + wait.Milliseconds()}, box, true
+		return GrantReply{IsCounter: true, AfterMillis: 1 + wait.Milliseconds()}, box, true
 	}
 	if lost {
-		return Answer{}, box, false
+		return GrantReply{}, box, false
 	}
 	askCtx, stop := context.WithTimeout(ctx, askTimeout)
 	defer stop()
@@ -257,7 +257,7 @@
 }
 
 // send sends a request to the counter on a box, which may be this one.
-func (q *Quotas) send(ctx context.Context, box work.Box, msg Ask) (Answer, error) {
+func (q *Quotas) send(ctx context.Context, box work.Box, msg GrantRequest) (GrantReply, error) {
 	if box.Name == q.self.Name {
 		return q.counter.Grant(time.Now(), msg), nil
 	}
@@ -266,7 +266,7 @@
 }
 
 // recordAnswer remembers an exhausted or lost counter, so that it is not asked again for a while.
-func (q *Quotas) recordAnswer(box work.Box, workspace string, kind grantKind, answer Answer, err error) {
+func (q *Quotas) recordAnswer(box work.Box, workspace string, kind grantKind, answer GrantReply, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
@@ -274,7 +274,7 @@
 	case err != nil:
 		q.counts.Count("quota.counter_lost", 1)
 		q.lostUntil[box.Name] = now.Add(lostPause)
-	case answer.Counts && answer.Granted == 0:
+	case answer.IsCounter && answer.Granted == 0:
 		q.stateOf(workspace).exhaustedUntil[kind] = now.Add(time.Duration(answer.AfterMillis) * time.Millisecond)
 	}
 }
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -88,9 +88,9 @@
 	end func(out target.Outcome)
 }
 
-// Carry runs the call. It returns nil after a complete answer; a fault with NotRun if no replica has run the
+// Forward runs the call. It returns nil after a complete answer; a fault with NotRun if no replica has run the
 // call or will; and any other fault if one may have run it.
-func (r *Relay) Carry(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
+func (r *Relay) Forward(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
 	a := &attempts{Relay: r, call: call, route: route}
@@ -150,14 +150,14 @@
 
 // try sends the call to one replica.
 func (a *attempts) try(ctx context.Context) (answer, error) {
-	lease, err := a.targets.Take(target.Ask{Work: a.route.Name, Services: a.route.Splits, Regions: a.call.Regions, Avoid: a.avoid})
+	lease, err := a.targets.Take(target.Ask{WorkKind: a.route.Name, Services: a.route.Splits, Regions: a.call.Regions, Exclude: a.avoid})
 	if err != nil {
 		return answer{}, noReplicaError{cause: err}
 	}
 	a.sent++
 	a.avoid = append(a.avoid, lease.Replica.ID)
 	limit := time.Until(a.call.Deadline)
-	replicaCtx, stopGuard := lease.Guard(ctx)
+	replicaCtx, stopGuard := lease.CancelOnRestart(ctx)
 	tryCtx, cancel := context.WithTimeout(replicaCtx, a.attemptTimeout(limit))
 	stop := func() {
 		cancel()
@@ -200,10 +200,10 @@
 	}
 	a.runs++
 	if ctx.Err() != nil && time.Since(start) < silenceThreshold {
-		lease.Done(target.Dropped, 0)
+		lease.Done(target.Abandoned, 0)
 		return err
 	}
-	lease.Done(target.Broken, 0)
+	lease.Done(target.Incomplete, 0)
 	a.log.Info("relay: replica gave no answer", "id", a.call.ID, "replica", lease.Replica.ID, "cause", err)
 	return err
 }
@@ -226,13 +226,13 @@
 		a.runs--
 		return answer{}, a.endFailed(ctx, lease, start, fault.Fail(fault.TargetFailed, "the answer broke off").Because(err))
 	}
-	if reply.Head.Status < http.StatusMultipleChoices && !reply.Sound {
-		end(target.Broken)
+	if reply.Head.Status < http.StatusMultipleChoices && !reply.Signed {
+		end(target.Incomplete)
 		return answer{}, fault.Fail(fault.Protocol, "the answer lacks the replica's proof of origin")
 	}
 	end(replyOutcome(reply))
 	a.log.Info("relay: call answered", "id", a.call.ID, "route", a.route.Name, "replica", lease.Replica.ID, "status", reply.Head.Status,
-		"score", lease.Score, "among", lease.Among, "sent", a.sent, "took", time.Since(a.call.Arrived))
+		"score", lease.ExpectedCost, "among", lease.Candidates, "sent", a.sent, "took", time.Since(a.call.Arrived))
 	if a.retriesFailure(reply) {
 		return answer{}, fault.Fail(fault.TargetFailed, "the replica failed the call")
 	}
@@ -271,20 +271,20 @@
 func (a *attempts) forward(got answer, out work.Answer) error {
 	a.counts.Time("relay.time{class="+a.route.Name+"}", time.Since(a.call.Arrived))
 	if err := out.Begin(got.head); err != nil {
-		got.close(target.Dropped)
+		got.close(target.Abandoned)
 		return err
 	}
 	if len(got.body) > 0 {
 		if err := out.Write(got.body); err != nil {
-			got.close(target.Dropped)
+			got.close(target.Abandoned)
 			return err
 		}
 	}
 	if got.rest == nil {
 		return nil
 	}
-	if err := work.Copy(got.rest, out, fault.TargetFailed); err != nil {
-		got.close(target.Broken)
+	if err := work.CopyBody(got.rest, out, fault.TargetFailed); err != nil {
+		got.close(target.Incomplete)
 		return err
 	}
 	got.close(target.Answered)
--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	resp, err := c.pool(box.Peer).Send(ctx, dial.Request{
-		Method: http.MethodPost, Target: turnPath, Host: box.Peer.String(), Body: append(raw, call.Body...), Confirm: confirmWait,
+		Method: http.MethodPost, Target: turnPath, Host: box.Peer.String(), Body: append(raw, call.Body...), ContinueTimeout: confirmWait,
 	})
 	if err != nil {
 		return notSent(err)
@@ -120,7 +120,7 @@
 	if err := out.Begin(*head.Head); err != nil {
 		return err
 	}
-	return work.Copy(resp, out, fault.PeerLost)
+	return work.CopyBody(resp, out, fault.PeerLost)
 }
 
 // lost keeps a box's failure apart from a target's.
@@ -200,10 +200,10 @@
 }
 
 // Quota implements quota.Peers.
-func (c *Client) Quota(ctx context.Context, box work.Box, msg quota.Ask) (quota.Answer, error) {
-	var out quota.Answer
+func (c *Client) Quota(ctx context.Context, box work.Box, msg quota.GrantRequest) (quota.GrantReply, error) {
+	var out quota.GrantReply
 	if err := c.exchange(ctx, box, quotaPath, msg, &out); err != nil {
-		return quota.Answer{}, err
+		return quota.GrantReply{}, err
 	}
 	return out, nil
 }
--- a/gate/remote/mirror.go
+++ b/gate/remote/mirror.go
@@ -12,31 +12,31 @@
 
 // told is a source's answer or its refusal.
 type told struct {
-	Copy    *mirror.CopyAnswer   `json:"copy,omitempty"`
-	Roster  *mirror.RosterAnswer `json:"roster,omitempty"`
-	Problem *fault.Problem       `json:"problem,omitempty"`
+	Copy    *mirror.CopyResponse   `json:"copy,omitempty"`
+	Roster  *mirror.RosterResponse `json:"roster,omitempty"`
+	Problem *fault.Problem         `json:"problem,omitempty"`
 }
 
 // Copy implements mirror.Peers.
-func (c *Client) Copy(ctx context.Context, box work.Box, ask mirror.CopyAsk) (mirror.CopyAnswer, error) {
+func (c *Client) Copy(ctx context.Context, box work.Box, ask mirror.CopyRequest) (mirror.CopyResponse, error) {
 	out, err := c.source(ctx, box, copyPath, ask)
 	if err != nil {
-		return mirror.CopyAnswer{}, err
+		return mirror.CopyResponse{}, err
 	}
 	if out.Copy == nil {
-		return mirror.CopyAnswer{}, fault.Fail(fault.Protocol, "a source's answer lacks the topic")
+		return mirror.CopyResponse{}, fault.Fail(fault.Protocol, "a source's answer lacks the topic")
 	}
 	return *out.Copy, nil
 }
 
 // Roster implements mirror.Peers.
-func (c *Client) Roster(ctx context.Context, box work.Box, ask mirror.RosterAsk) (mirror.RosterAnswer, error) {
+func (c *Client) Roster(ctx context.Context, box work.Box, ask mirror.RosterRequest) (mirror.RosterResponse, error) {
 	out, err := c.source(ctx, box, rosterPath, ask)
 	if err != nil {
-		return mirror.RosterAnswer{}, err
+		return mirror.RosterResponse{}, err
 	}
 	if out.Roster == nil {
-		return mirror.RosterAnswer{}, fault.Fail(fault.Protocol, "a source's answer lacks the members")
+		return mirror.RosterResponse{}, fault.Fail(fault.Protocol, "a source's answer lacks the members")
 	}
 	return *out.Roster, nil
 }
@@ -53,7 +53,7 @@
 }
 
 func (s *Server) copy(w http.ResponseWriter, r *http.Request) {
-	var ask mirror.CopyAsk
+	var ask mirror.CopyRequest
 	if !decode(w, r, &ask) {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 func (s *Server) roster(w http.ResponseWriter, r *http.Request) {
-	var ask mirror.RosterAsk
+	var ask mirror.RosterRequest
 	if !decode(w, r, &ask) {
 		return
 	}
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -41,13 +41,13 @@
 
 // Quotas counts the quotas that this box was chosen for.
 type Quotas interface {
-	Grant(now time.Time, ask quota.Ask) quota.Answer
+	Grant(now time.Time, ask quota.GrantRequest) quota.GrantReply
 }
 
 // Sources tells what this box has read, as a source.
 type Sources interface {
-	Copy(ctx context.Context, ask mirror.CopyAsk) (mirror.CopyAnswer, error)
-	Roster(ctx context.Context, ask mirror.RosterAsk) (mirror.RosterAnswer, error)
+	Copy(ctx context.Context, ask mirror.CopyRequest) (mirror.CopyResponse, error)
+	Roster(ctx context.Context, ask mirror.RosterRequest) (mirror.RosterResponse, error)
 }
 
 // Boxes hears of boxes that leave.
@@ -140,7 +140,7 @@
 }
 
 func (s *Server) quota(w http.ResponseWriter, r *http.Request) {
-	var msg quota.Ask
+	var msg quota.GrantRequest
 	if !decode(w, r, &msg) {
 		return
 	}
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	return work.Push(r.w, nil, raw, callerGone)
+	return work.WriteToCaller(r.w, nil, raw, callerGone)
 }
 
 // Begin implements work.Answer. The head goes out with the first bytes of the body.
@@ -234,5 +234,5 @@
 
 // Write implements work.Answer.
 func (r *reply) Write(data []byte) error {
-	return work.Push(r.w, r.flush, data, callerGone)
+	return work.WriteToCaller(r.w, r.flush, data, callerGone)
 }
--- a/gate/replay/engine_test.go
+++ b/gate/replay/engine_test.go
@@ -239,5 +239,5 @@
 	for _, entry := range e.cache {
 		used += entry.tokens
 	}
-	return work.Load{Running: len(e.running), Waiting: len(e.waiting), Used: used, Total: e.cacheSize}
+	return work.Load{Running: len(e.running), Waiting: len(e.waiting), UsedTokens: used, TotalTokens: e.cacheSize}
 }
--- a/gate/replay/fleet_test.go
+++ b/gate/replay/fleet_test.go
@@ -39,7 +39,7 @@
 		return s.placers
 	}
 	near := max(1, s.owners/s.zones)
-	return sched.Placers(near, s.owners-near)
+	return sched.EffectivePlacers(near, s.owners-near)
 }
 
 // zone returns the availability zone of the i-th box or engine.
@@ -57,8 +57,8 @@
 type noPool struct{}
 
 func (noPool) Close()                             {}
-func (noPool) Limit(int)                          {}
-func (noPool) Connected() bool                    { return true }
+func (noPool) SetLimit(int)                       {}
+func (noPool) HasIdle() bool                      { return true }
 func (noPool) Open(work.Replica, int) target.Pool { return noPool{} }
 
 // placeFunc takes a place for a turn.
@@ -96,8 +96,8 @@
 	for i := range layout.owners {
 		t := target.New(layout.zone(i), noPool{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		t.Configure(conf)
-		t.Boxes(layout.boxes)
-		t.Placers(layout.placerCount())
+		t.SetBoxCount(layout.boxes)
+		t.SetPlacerCount(layout.placerCount())
 		for _, e := range f.ordered {
 			t.Put(e.rep)
 		}
@@ -121,7 +121,7 @@
 		time.Sleep(reportLag)
 		for i, box := range f.boxes {
 			if f.size.zone(i) == e.rep.Zone {
-				box.Loaded(e.rep.ID, load)
+				box.UpdateLoad(e.rep.ID, load)
 			}
 		}
 		time.Sleep(reportEvery - reportLag)
--- a/gate/replay/programs_test.go
+++ b/gate/replay/programs_test.go
@@ -226,11 +226,11 @@
 	arrived := time.Now()
 	time.Sleep(transitTime / 2)
 	ask := target.Ask{
-		Work: p.name, Services: []work.Split{{Service: service, Weight: 1}},
-		Prompt: &work.Prompt{Tokens: prompt, Most: 36 * p.spec.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
-		Seen:   p.cachedFor(conv),
+		WorkKind: p.name, Services: []work.Split{{Service: service, Weight: 1}},
+		Prompt:       &work.Prompt{Tokens: prompt, Most: 36 * p.spec.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
+		CachedTokens: p.cachedFor(conv),
 		Turn: sched.Turn{
-			Program: p.id, Kind: p.name, Fresh: !p.begun.Load(), Priority: p.priority, Left: time.Until(p.deadline), Arrived: arrived,
+			Program: p.id, Kind: p.name, NewProgram: !p.begun.Load(), Priority: p.priority, TimeLeft: time.Until(p.deadline), Arrived: arrived,
 		},
 	}
 	lease, err := p.place(p.box, ask)
@@ -246,10 +246,10 @@
 	firstEvent := time.Duration(0)
 	err = e.send(ctx, call, firstEventTimeout-time.Since(arrived), func() {
 		firstEvent = time.Since(sent)
-		lease.First(firstEvent)
+		lease.RecordFirstEvent(firstEvent)
 	})
 	if err != nil {
-		outcome := target.Dropped
+		outcome := target.Abandoned
 		if fault.From(err).NotRun {
 			outcome = target.Refused
 		}
--- a/gate/replay/replay_test.go
+++ b/gate/replay/replay_test.go
@@ -172,9 +172,9 @@
 
 // placeAdmitted places turns as boxes do: programs must be admitted to start.
 func placeAdmitted(box *target.Targets, ask target.Ask) (*target.Lease, error) {
-	if ask.Turn.Fresh {
+	if ask.Turn.NewProgram {
 		if verdict := box.Admit(ask); verdict.Refuse {
-			return nil, fault.Refuse(fault.Overloaded, "not admitted").After(verdict.After)
+			return nil, fault.Refuse(fault.Overloaded, "not admitted").After(verdict.RetryAfter)
 		}
 	}
 	return box.Take(ask)
--- a/gate/sched/admission.go
+++ b/gate/sched/admission.go
@@ -10,29 +10,29 @@
 	Program string
 	// Kind is the kind of program; load statistics are kept by kind.
 	Kind string
-	// Fresh is set if the program has not started, so that a refusal wastes no work.
-	Fresh bool
+	// NewProgram is set if the program has not started, so that a refusal wastes no work.
+	NewProgram bool
 	// Priority is the configured priority; 0 is the most urgent.
 	Priority int
-	// Left is the time from Arrived until the program's deadline: negative if the deadline has
+	// TimeLeft is the time from Arrived until the program's deadline: negative if the deadline has
 	// passed, zero if it is unknown.
-	Left    time.Duration
-	Arrived time.Time
+	TimeLeft time.Duration
+	Arrived  time.Time
 }
 
 // late reports whether the program's deadline has passed.
 func (t Turn) late(now time.Time) bool {
-	return t.Left != 0 && now.Sub(t.Arrived) >= t.Left
+	return t.TimeLeft != 0 && now.Sub(t.Arrived) >= t.TimeLeft
 }
 
-// Verdict is the admission decision on a turn.
-type Verdict struct {
+// AdmissionDecision is the admission decision on a turn.
+type AdmissionDecision struct {
 	// Refuse is set if the turn is refused before any of it has run.
 	Refuse bool
-	// After is how long the caller should wait before it retries.
-	After time.Duration
-	// Stretch and Taken are the load figures that the decision was based on; see Overload.
-	Stretch, Taken float64
+	// RetryAfter is how long the caller should wait before it retries.
+	RetryAfter time.Duration
+	// Slowdown and Utilization are the load figures that the decision was based on; see Overload.
+	Slowdown, Utilization float64
 }
 
 // Admission decides which programs may start. Under sustained overload every program that starts
@@ -40,10 +40,10 @@
 // Turns of running programs are never refused, since the work that they have done would be lost.
 // Admission does not queue turns.
 type Admission struct {
-	Figures  Figures
-	Overload Overload
-	profiles profiles
-	active   map[string]*activeProgram
+	Estimates EngineEstimates
+	Overload  Overload
+	profiles  profiles
+	active    map[string]*activeProgram
 	// refused holds the programs that were refused before they started, by name.
 	refused map[string]refusal
 }
@@ -84,9 +84,9 @@
 }
 
 // Admit decides on a turn that has just arrived.
-func (a *Admission) Admit(now time.Time, turn Turn) Verdict {
-	verdict := Verdict{Stretch: a.Overload.Stretch(now), Taken: a.Overload.Taken()}
-	if !turn.Fresh {
+func (a *Admission) Admit(now time.Time, turn Turn) AdmissionDecision {
+	verdict := AdmissionDecision{Slowdown: a.Overload.Slowdown(now), Utilization: a.Overload.Utilization()}
+	if !turn.NewProgram {
 		return verdict
 	}
 	share := a.Overload.admitShare(now, turn.Priority, a.unlikelyInTime(now, turn))
@@ -94,7 +94,7 @@
 		return verdict
 	}
 	a.rememberRefusal(now, turn)
-	verdict.Refuse, verdict.After = true, jitter(a.Figures.turnTime())
+	verdict.Refuse, verdict.RetryAfter = true, jitter(a.Estimates.turnTime())
 	return verdict
 }
 
@@ -106,13 +106,13 @@
 }
 
 func (a *Admission) rememberRefusal(now time.Time, turn Turn) {
-	if _, ok := a.refused[turn.Program]; ok || turn.Left <= 0 {
+	if _, ok := a.refused[turn.Program]; ok || turn.TimeLeft <= 0 {
 		return
 	}
 	if len(a.refused) >= maxRefused {
 		clear(a.refused)
 	}
-	a.refused[turn.Program] = refusal{at: now, timeLeft: turn.Left}
+	a.refused[turn.Program] = refusal{at: now, timeLeft: turn.TimeLeft}
 }
 
 // unlikelyInTime reports whether a program that has not started is unlikely to meet its deadline.
@@ -124,11 +124,11 @@
 	return ok && float64(now.Sub(first.at)) > maxLostTimeShare*float64(first.timeLeft)
 }
 
-// Begin records that a turn has got its place.
-func (a *Admission) Begin(now time.Time, turn Turn) {
+// TurnStarted records that a turn has got its place.
+func (a *Admission) TurnStarted(now time.Time, turn Turn) {
 	kindProfile := a.profiles.get(turn.Kind)
-	if _, again := a.refused[turn.Program]; turn.Fresh && turn.Left > 0 && !again {
-		kindProfile.timeLeft = updateMean(kindProfile.timeLeft, turn.Left)
+	if _, again := a.refused[turn.Program]; turn.NewProgram && turn.TimeLeft > 0 && !again {
+		kindProfile.timeLeft = updateMean(kindProfile.timeLeft, turn.TimeLeft)
 	}
 	delete(a.refused, turn.Program)
 	p, ok := a.active[turn.Program]
@@ -161,22 +161,22 @@
 	}
 }
 
-// End records that a turn has ended.
-func (a *Admission) End(now time.Time, turn Turn) {
+// TurnEnded records that a turn has ended.
+func (a *Admission) TurnEnded(now time.Time, turn Turn) {
 	if p, ok := a.active[turn.Program]; ok {
 		p.inFlight--
 		p.lastTurnEnd = now
 	}
 }
 
-// Answered records a turn that was answered completely. Ideal is the estimated time of the turn at
+// TurnAnswered records a turn that was answered completely. Ideal is the estimated time of the turn at
 // an engine without other load, zero if it is unknown.
-func (a *Admission) Answered(now time.Time, turn Turn, ideal time.Duration) {
+func (a *Admission) TurnAnswered(now time.Time, turn Turn, ideal time.Duration) {
 	if ideal <= 0 {
 		return
 	}
-	a.Figures.Turn(ideal)
+	a.Estimates.ObserveTurn(ideal)
 	k := a.profiles.get(turn.Kind)
 	k.unloadedTurn = updateMean(k.unloadedTurn, ideal)
-	a.Overload.Seen(now, float64(now.Sub(turn.Arrived))/float64(ideal), k.allowedSlowdown())
+	a.Overload.ObserveTurn(now, float64(now.Sub(turn.Arrived))/float64(ideal), k.allowedSlowdown())
 }
--- a/gate/sched/admission_test.go
+++ b/gate/sched/admission_test.go
@@ -29,8 +29,8 @@
 	now := testStart
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
-		in.Overload.Seen(now, stretch, 1)
-		in.Overload.Reported(now, taken)
+		in.Overload.ObserveTurn(now, stretch, 1)
+		in.Overload.SetUtilization(now, taken)
 	}
 	return in, now
 }
@@ -38,7 +38,7 @@
 // TestAdmitByLoad checks that all programs start under usual load, none under sustained overload,
 // and that running programs are never refused.
 func TestAdmitByLoad(t *testing.T) {
-	starting, running := Turn{Kind: "k", Fresh: true}, Turn{Kind: "k"}
+	starting, running := Turn{Kind: "k", NewProgram: true}, Turn{Kind: "k"}
 	cases := []struct {
 		name           string
 		stretch, taken float64
@@ -67,9 +67,9 @@
 	in, now := newLoadedAdmission(0.5, 0.4)
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		in.Overload.Reported(now, 1.1)
+		in.Overload.SetUtilization(now, 1.1)
 	}
-	if got := countAdmitted(in, now, Turn{Kind: "k", Fresh: true}); got != 100 {
+	if got := countAdmitted(in, now, Turn{Kind: "k", NewProgram: true}); got != 100 {
 		t.Errorf("%d of 100 programs admitted, want all", got)
 	}
 }
@@ -77,8 +77,8 @@
 // TestAdmitByPriority checks that less urgent programs are refused first.
 func TestAdmitByPriority(t *testing.T) {
 	in, now := newLoadedAdmission(0.5, 0.93)
-	first := countAdmitted(in, now, Turn{Kind: "first", Fresh: true})
-	third := countAdmitted(in, now, Turn{Kind: "third", Fresh: true, Priority: 2})
+	first := countAdmitted(in, now, Turn{Kind: "first", NewProgram: true})
+	third := countAdmitted(in, now, Turn{Kind: "third", NewProgram: true, Priority: 2})
 	if first < 40 || third != 0 {
 		t.Errorf("%d programs of priority 0 admitted, want at least 40; %d of priority 2, want 0", first, third)
 	}
@@ -88,11 +88,11 @@
 // its time is lost, unless the load is low, and that a new one is admitted.
 func TestAdmitAfterLostTime(t *testing.T) {
 	in, now := newLoadedAdmission(0.9, 0.8)
-	turn := Turn{Program: "p", Kind: "k", Fresh: true, Left: 2 * time.Second, Arrived: now}
+	turn := Turn{Program: "p", Kind: "k", NewProgram: true, TimeLeft: 2 * time.Second, Arrived: now}
 	in.rememberRefusal(now, turn)
 	later := now.Add(500 * time.Millisecond)
-	in.Overload.Seen(later, 0.9, 1)
-	turn.Left, turn.Arrived = turn.Left-500*time.Millisecond, later
+	in.Overload.ObserveTurn(later, 0.9, 1)
+	turn.TimeLeft, turn.Arrived = turn.TimeLeft-500*time.Millisecond, later
 	if !in.Admit(later, turn).Refuse {
 		t.Error("a program that has lost a quarter of its time is admitted")
 	}
@@ -102,7 +102,7 @@
 	}
 	for _, taken := range []float64{0.1, 0.45} {
 		calm, now := newLoadedAdmission(0.5, taken)
-		turn.Left, turn.Arrived, turn.Priority = -time.Second, now, 1
+		turn.TimeLeft, turn.Arrived, turn.Priority = -time.Second, now, 1
 		if calm.Admit(now, turn).Refuse {
 			t.Errorf("a late program is refused at a utilization of %.2f", taken)
 		}
@@ -112,7 +112,7 @@
 // TestSlowdownDecays checks that a box that refuses all programs admits them again after a while.
 func TestSlowdownDecays(t *testing.T) {
 	in, now := newLoadedAdmission(5, -1)
-	turn := Turn{Kind: "k", Fresh: true}
+	turn := Turn{Kind: "k", NewProgram: true}
 	if countAdmitted(in, now, turn) != 0 || countAdmitted(in, now.Add(4*slowdownHalfLife), turn) != 100 {
 		t.Errorf("%d of 100 programs admitted at first, want 0; %d later, want 100", countAdmitted(in, now, turn), countAdmitted(in, now.Add(4*slowdownHalfLife), turn))
 	}
@@ -123,7 +123,7 @@
 	in, now := newLoadedAdmission(5, 2)
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		after := in.Admit(now, Turn{Kind: "k", Fresh: true}).After
+		after := in.Admit(now, Turn{Kind: "k", NewProgram: true}).RetryAfter
 		if after < minRetryAfter || after > 2*defaultTurnTime {
 			t.Fatalf("retry delay %v is out of range", after)
 		}
@@ -137,17 +137,17 @@
 // TestFiguresIdeal checks that the prefill rate, the time to the first event and the time between
 // events are learned from turns, and that there is no estimate before the first turn.
 func TestFiguresIdeal(t *testing.T) {
-	var f Figures
-	if got := f.Ideal(1000, 10); got != 0 {
+	var f EngineEstimates
+	if got := f.UnloadedTurnTime(1000, 10); got != 0 {
 		t.Errorf("time of a turn before any was observed: %v, want 0", got)
 	}
 	for i := range 100 {
 		missing := 100 + 37*i%900
-		f.First(30*time.Millisecond+time.Duration(missing)*time.Millisecond/50, missing)
-		f.Gap(25 * time.Millisecond)
+		f.ObserveFirstEvent(30*time.Millisecond+time.Duration(missing)*time.Millisecond/50, missing)
+		f.ObserveEventGap(25 * time.Millisecond)
 	}
 	want := 30*time.Millisecond + 20*time.Millisecond + 9*25*time.Millisecond
-	if got := f.Ideal(1000, 10); got < want-time.Millisecond || got > want+time.Millisecond {
+	if got := f.UnloadedTurnTime(1000, 10); got < want-time.Millisecond || got > want+time.Millisecond {
 		t.Errorf("time of a turn: %v, want %v", got, want)
 	}
 }
@@ -161,15 +161,15 @@
 	}
 	now := testStart
 	for n := range 200 {
-		turn := Turn{Program: fmt.Sprint(n), Kind: "k", Fresh: true, Left: 2 * time.Second}
+		turn := Turn{Program: fmt.Sprint(n), Kind: "k", NewProgram: true, TimeLeft: 2 * time.Second}
 		for range 4 {
 			turn.Arrived = now
-			in.Begin(now, turn)
+			in.TurnStarted(now, turn)
 			now = now.Add(200 * time.Millisecond)
-			in.End(now, turn)
-			in.Answered(now, turn, 200*time.Millisecond)
+			in.TurnEnded(now, turn)
+			in.TurnAnswered(now, turn, 200*time.Millisecond)
 			now = now.Add(100 * time.Millisecond)
-			turn.Fresh = false
+			turn.NewProgram = false
 		}
 		now = now.Add(2 * programIdleTimeout)
 	}
--- a/gate/sched/cold.go
+++ b/gate/sched/cold.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ColdBounds are the operators' limits on the calls that all boxes together send to a cold replica,
+// ColdLimits are the operators' limits on the calls that all boxes together send to a cold replica,
 // one that has just started.
-type ColdBounds struct {
+type ColdLimits struct {
 	// Overshoot multiplies the service's rate for cold replicas, and Slack is added to the product,
 	// in calls a second.
 	Overshoot, Slack float64
 }
 
-// Share returns how many calls one box may send to a cold replica within a second, where the
+// CallsPerBox returns how many calls one box may send to a cold replica within a second, where the
 // service's rate for cold replicas is rate calls a second. One box in each availability zone sends
 // such calls; during a partition two boxes of a zone may each take themselves for that one, so the
 // limit is divided by two senders a zone.
-func (b ColdBounds) Share(rate float64, zones int) int {
+func (b ColdLimits) CallsPerBox(rate float64, zones int) int {
 	const sendersPerZone = 2
 	return int((rate*max(b.Overshoot, 1) + b.Slack) / float64(sendersPerZone*max(zones, 1)))
 }
@@ -25,16 +25,16 @@
 // coldWindow is a second plus the longest time that a call may be in transit to the replica.
 const coldWindow = 1250 * time.Millisecond
 
-// Sent records when calls were sent to one cold replica.
-type Sent struct{ times []time.Time }
+// SendLog records when calls were sent to one cold replica.
+type SendLog struct{ times []time.Time }
 
-// Free reports whether one more call may be sent under a limit of calls within a second.
-func (s *Sent) Free(now time.Time, limit int) bool {
+// Allows reports whether one more call may be sent under a limit of calls within a second.
+func (s *SendLog) Allows(now time.Time, limit int) bool {
 	s.times = slices.DeleteFunc(s.times, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
 	return len(s.times) < limit
 }
 
-// Note records that a call is sent.
-func (s *Sent) Note(now time.Time) {
+// Record records that a call is sent.
+func (s *SendLog) Record(now time.Time) {
 	s.times = append(s.times, now)
 }
--- a/gate/sched/cold_test.go
+++ b/gate/sched/cold_test.go
@@ -10,19 +10,19 @@
 // limit within any second, with one or two senders a zone, and that one sender a zone uses at least
 // half of the rate.
 func TestColdShare(t *testing.T) {
-	bounds := ColdBounds{Overshoot: 1.5, Slack: 5}
+	bounds := ColdLimits{Overshoot: 1.5, Slack: 5}
 	const rate, zones = 23.0, 3
 	for senders := 1; senders <= 2; senders++ {
 		rng := rand.New(rand.NewPCG(1, uint64(senders)))
-		boxes := make([]Sent, zones*senders)
-		limit := bounds.Share(rate, zones)
+		boxes := make([]SendLog, zones*senders)
+		limit := bounds.CallsPerBox(rate, zones)
 		now := time.Unix(0, 0)
 		var arrived []time.Time
 		for range 4000 {
 			now = now.Add(time.Duration(rng.IntN(5)) * time.Millisecond)
 			box := &boxes[rng.IntN(len(boxes))]
-			if box.Free(now, limit) {
-				box.Note(now)
+			if box.Allows(now, limit) {
+				box.Record(now)
 				arrived = append(arrived, now)
 			}
 		}
--- a/gate/sched/cost.go
+++ b/gate/sched/cost.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Belief is what a box knows of a replica whose engine reports no performance figures.
-type Belief struct {
-	// Busy is the number of this box's calls in flight there, BusyThen that number at the newest
+// ReplicaState is what a box knows of a replica whose engine reports no performance figures.
+type ReplicaState struct {
+	// InFlight is the number of this box's calls in flight there, InFlightAtReport that number at the newest
 	// report.
-	Busy, BusyThen int
+	InFlight, InFlightAtReport int
 	// Slots is the number of calls that the replica runs at once, 0 if unknown.
 	Slots int
 	// Reported is set if the newest load report is recent enough to use. Running and Waiting are
 	// the calls in that report.
 	Reported         bool
 	Running, Waiting int
-	// Age is the age of that report.
-	Age time.Duration
+	// ReportAge is the age of that report.
+	ReportAge time.Duration
 	// Placers is the number of boxes that place calls at the same replicas, this one included.
 	Placers int
-	// UsualLoad is the share of slots in use at the replicas that report, 0 if none reports.
-	UsualLoad float64
-	// Slow is the time of a unit of work there relative to the usual time.
-	Slow float64
-	// Failing is the share of recent calls that failed.
-	Failing float64
-	// Cached is how much of the prompt the replica is estimated to hold in its cache, in tokens.
-	Cached int
-	// Far is set if the replica is in another availability zone.
-	Far bool
+	// AverageUtilization is the share of slots in use at the replicas that report, 0 if none reports.
+	AverageUtilization float64
+	// Slowdown is the time of a unit of work there relative to the usual time.
+	Slowdown float64
+	// FailureRate is the share of recent calls that failed.
+	FailureRate float64
+	// CachedTokens is how much of the prompt the replica is estimated to hold in its cache, in tokens.
+	CachedTokens int
+	// OtherZone is set if the replica is in another availability zone.
+	OtherZone bool
 	// Connected is set if a call needs no new connection.
 	Connected bool
 }
 
 // Call is a call that needs a replica.
 type Call struct {
-	// Model is set if the call runs a model.
-	Model bool
-	// Prompt is the length of its prompt, in tokens.
-	Prompt int
-	// Usual is the usual time of a unit of this kind of work: a whole call of a plain service, or
+	// RunsModel is set if the call runs a model.
+	RunsModel bool
+	// PromptTokens is the length of its prompt, in tokens.
+	PromptTokens int
+	// UnitTime is the usual time of a unit of this kind of work: a whole call of a plain service, or
 	// the time between two events of a model's answer.
-	Usual time.Duration
+	UnitTime time.Duration
 }
 
 const (
@@ -81,29 +81,29 @@
 
 // Cost returns the expected time of the call at the replica, plus the delay that it causes other
 // calls there.
-func (f *Figures) Cost(call Call, b Belief) time.Duration {
-	if !call.Model {
-		calls := float64(b.Busy + 1)
-		if b.Far {
+func (f *EngineEstimates) Cost(call Call, b ReplicaState) time.Duration {
+	if !call.RunsModel {
+		calls := float64(b.InFlight + 1)
+		if b.OtherZone {
 			calls += otherZoneCalls
 		}
 		if !b.Connected {
 			calls += dialCalls
 		}
-		return time.Duration(b.Failing*float64(callFailureCost)) + time.Duration(b.Slow*calls*float64(call.Usual))
+		return time.Duration(b.FailureRate*float64(callFailureCost)) + time.Duration(b.Slowdown*calls*float64(call.UnitTime))
 	}
-	cost := time.Duration(b.Failing * float64(turnFailureCost))
-	if b.Far {
+	cost := time.Duration(b.FailureRate * float64(turnFailureCost))
+	if b.OtherZone {
 		cost += otherZoneTime
 	}
-	cost += prefillWeight * f.prefillTime(max(0, call.Prompt-b.Cached))
+	cost += prefillWeight * f.prefillTime(max(0, call.PromptTokens-b.CachedTokens))
 	cost += f.contention(b)
-	return cost + time.Duration(b.Slow*eventWeight*float64(call.Usual))
+	return cost + time.Duration(b.Slowdown*eventWeight*float64(call.UnitTime))
 }
 
 // contention estimates the delay from the other calls at the replica. The wait for a free slot is
 // the time of a turn, times the calls in excess of the slots, divided by the slots.
-func (f *Figures) contention(b Belief) time.Duration {
+func (f *EngineEstimates) contention(b ReplicaState) time.Duration {
 	calls, unreported := b.estimateCalls()
 	cost := callShare*calls + unreportedCallShare*float64(unreported)
 	if b.Slots > 0 {
@@ -116,26 +116,26 @@
 // of this box's calls are there. Each placing box, up to the number of slots, is assumed to have
 // placed as many calls since the report as this one; otherwise all boxes would fill the same
 // replica. A replica without a report is assumed to be as busy as those that report.
-func (b Belief) estimateCalls() (all float64, unreported int) {
+func (b ReplicaState) estimateCalls() (all float64, unreported int) {
 	if !b.Reported || b.Slots == 0 {
-		return b.UsualLoad * float64(b.Slots), b.Busy
+		return b.AverageUtilization * float64(b.Slots), b.InFlight
 	}
-	sinceReport := max(1, min(b.Placers, b.Slots)) * max(0, b.Busy-b.BusyThen)
+	sinceReport := max(1, min(b.Placers, b.Slots)) * max(0, b.InFlight-b.InFlightAtReport)
 	return float64(b.Running + b.Waiting + sinceReport), 0
 }
 
-// Placers returns how many boxes count as placing calls on the same reports: near in this
+// EffectivePlacers returns how many boxes count as placing calls on the same reports: near in this
 // availability zone, and half of the far ones in other zones, which get no reports of this zone's
 // replicas and use them only when their own are full.
-func Placers(near, far int) int {
+func EffectivePlacers(near, far int) int {
 	return near + (far+1)/2
 }
 
-// Calm reports whether the replica was so lightly loaded by a recent report that a turn there shows
+// LightlyLoaded reports whether the replica was so lightly loaded by a recent report that a turn there shows
 // the engine's own speed.
-func (b Belief) Calm() bool {
-	return b.Reported && b.Age <= maxLightLoadAge && b.Waiting == 0 &&
-		(b.Running+max(0, b.Busy-b.BusyThen))*lightLoadDivisor < b.Slots
+func (b ReplicaState) LightlyLoaded() bool {
+	return b.Reported && b.ReportAge <= maxLightLoadAge && b.Waiting == 0 &&
+		(b.Running+max(0, b.InFlight-b.InFlightAtReport))*lightLoadDivisor < b.Slots
 }
 
 const (
@@ -145,9 +145,9 @@
 	lightLoadDivisor = 4
 )
 
-// PickNear returns the index of a random cost among those within drawMargin of the lowest, or -1 if
+// PickNearCheapest returns the index of a random cost among those within drawMargin of the lowest, or -1 if
 // costs is empty.
-func PickNear(costs []time.Duration, rng *rand.Rand) int {
+func PickNearCheapest(costs []time.Duration, rng *rand.Rand) int {
 	if len(costs) == 0 {
 		return -1
 	}
--- a/gate/sched/engine.go
+++ b/gate/sched/engine.go
@@ -14,24 +14,24 @@
 
 // The strategies. Scored is the one for production; the others are baselines.
 const (
-	Scored Strategy = "scored"
-	Random Strategy = "random"
-	Least  Strategy = "least"
-	Sticky Strategy = "sticky"
+	Scored      Strategy = "scored"
+	Random      Strategy = "random"
+	LeastLoaded Strategy = "least"
+	Sticky      Strategy = "sticky"
 )
 
 // Strategies returns all strategies.
 func Strategies() []Strategy {
-	return []Strategy{Scored, Random, Least, Sticky}
+	return []Strategy{Scored, Random, LeastLoaded, Sticky}
 }
 
-// Ask is a call that needs a target.
-type Ask struct {
+// PlacementRequest is a call that needs a target.
+type PlacementRequest struct {
 	Program string
-	// Prompt is the length of the prompt, in tokens.
-	Prompt int
-	// Expected is the expected length of the answer, in tokens.
-	Expected int
+	// PromptTokens is the length of the prompt, in tokens.
+	PromptTokens int
+	// ExpectedTokens is the expected length of the answer, in tokens.
+	ExpectedTokens int
 }
 
 // Candidate is a target that the call may use, with its state as this box knows it.
@@ -46,18 +46,18 @@
 	Step                        time.Duration
 	CacheUsed                   int64
 	CacheSize                   int64
-	// Mine is the number of this box's streams in flight, MineThen that number at the report.
-	Mine, MineThen int
-	// Others is the number of other boxes' streams, from their heartbeats.
-	Others int
-	// Cached is how much of the prompt the target is estimated to hold in its cache, in tokens.
-	Cached int
-	// Slow is the observed step time relative to the step time that the target reports, at least 1.
-	Slow float64
-	// Room is set if the target's concurrency limit allows another call.
-	Room bool
-	// Far is set if the target is in another availability zone.
-	Far bool
+	// InFlight is the number of this box's streams in flight, InFlightAtReport that number at the report.
+	InFlight, InFlightAtReport int
+	// OthersInFlight is the number of other boxes' streams, from their heartbeats.
+	OthersInFlight int
+	// CachedTokens is how much of the prompt the target is estimated to hold in its cache, in tokens.
+	CachedTokens int
+	// Slowdown is the observed step time relative to the step time that the target reports, at least 1.
+	Slowdown float64
+	// HasRoom is set if the target's concurrency limit allows another call.
+	HasRoom bool
+	// OtherZone is set if the target is in another availability zone.
+	OtherZone bool
 }
 
 const (
@@ -88,26 +88,26 @@
 // the last report corrected by this box's streams since, and the streams that all boxes say they
 // have in flight.
 func (c Candidate) Load() int {
-	reported := c.Running + c.Queued + c.Mine - c.MineThen
-	return max(reported, c.Mine+c.Others, 0)
+	reported := c.Running + c.Queued + c.InFlight - c.InFlightAtReport
+	return max(reported, c.InFlight+c.OthersInFlight, 0)
 }
 
 // Score returns the expected cost of the call at the candidate: the time to the complete answer,
 // plus the delay that its prefill causes other programs there.
-func Score(ask Ask, c Candidate) time.Duration {
+func Score(ask PlacementRequest, c Candidate) time.Duration {
 	load := float64(c.Load())
 	batch := math.Min(load+1, float64(c.MaxBatch))
-	step := c.Step.Seconds() * c.Slow * (1 + stepGrowth*batch)
-	wait := float64(c.PrefillTokens) / c.PrefillRate * c.Slow
+	step := c.Step.Seconds() * c.Slowdown * (1 + stepGrowth*batch)
+	wait := float64(c.PrefillTokens) / c.PrefillRate * c.Slowdown
 	if excess := load + 1 - float64(c.MaxBatch); excess > 0 {
 		perSlot := math.Max(float64(c.OutputTokens)/math.Max(load, 1), defaultOutputSteps)
 		wait += excess / float64(c.MaxBatch) * perSlot * step
 	}
-	prefill := float64(max(0, ask.Prompt-c.Cached)) / c.PrefillRate * c.Slow
+	prefill := float64(max(0, ask.PromptTokens-c.CachedTokens)) / c.PrefillRate * c.Slowdown
 	othersDelay := prefill * (prefillDelayWeight*(batch-1) + evictionWeight*evictionPressure(c))
-	answer := float64(ask.Expected) * step
+	answer := float64(ask.ExpectedTokens) * step
 	total := time.Duration((wait + prefill + othersDelay + answer) * float64(time.Second))
-	if c.Far {
+	if c.OtherZone {
 		total += otherZoneCost
 	}
 	return total
@@ -124,15 +124,15 @@
 
 // Pick chooses one of the candidates with room and returns its index, or -1 if there is none or if
 // the call should wait for a full one. It also returns the score of every candidate.
-func Pick(strategy Strategy, ask Ask, cands []Candidate, rng *rand.Rand) (int, []types.Weighed) {
+func Pick(strategy Strategy, ask PlacementRequest, cands []Candidate, rng *rand.Rand) (int, []types.Weighed) {
 	weighed := make([]types.Weighed, len(cands))
 	for i, c := range cands {
-		weighed[i] = types.Weighed{Name: c.Name, Score: Score(ask, c), Load: c.Load(), Cached: c.Cached, Room: c.Room}
+		weighed[i] = types.Weighed{Name: c.Name, Score: Score(ask, c), Load: c.Load(), Cached: c.CachedTokens, Room: c.HasRoom}
 	}
 	switch strategy {
 	case Random:
 		return pickRandom(cands, rng), weighed
-	case Least:
+	case LeastLoaded:
 		return pickLeast(cands), weighed
 	case Sticky:
 		return pickSticky(ask, cands), weighed
@@ -148,7 +148,7 @@
 	best, worst, bestOfAll := time.Duration(math.MaxInt64), time.Duration(0), time.Duration(math.MaxInt64)
 	for i := range cands {
 		bestOfAll = min(bestOfAll, weighed[i].Score)
-		if cands[i].Room {
+		if cands[i].HasRoom {
 			best = min(best, weighed[i].Score)
 			worst = max(worst, weighed[i].Score)
 		}
@@ -157,11 +157,11 @@
 		return -1
 	}
 	bound := best + max(time.Duration(float64(worst-best)*drawShare), minDrawMargin)
-	return drawAmong(len(cands), func(i int) bool { return cands[i].Room && weighed[i].Score <= bound }, rng)
+	return drawAmong(len(cands), func(i int) bool { return cands[i].HasRoom && weighed[i].Score <= bound }, rng)
 }
 
 func pickRandom(cands []Candidate, rng *rand.Rand) int {
-	return drawAmong(len(cands), func(i int) bool { return cands[i].Room }, rng)
+	return drawAmong(len(cands), func(i int) bool { return cands[i].HasRoom }, rng)
 }
 
 // drawAmong returns a random eligible index below n, each with the same probability, or -1 if there
@@ -184,7 +184,7 @@
 func pickLeast(cands []Candidate) int {
 	chosen := -1
 	for i := range cands {
-		if cands[i].Room && (chosen < 0 || cands[i].Mine < cands[chosen].Mine) {
+		if cands[i].HasRoom && (chosen < 0 || cands[i].InFlight < cands[chosen].InFlight) {
 			chosen = i
 		}
 	}
@@ -192,10 +192,10 @@
 }
 
 // pickSticky chooses a target by rendezvous hashing of the program's name.
-func pickSticky(ask Ask, cands []Candidate) int {
+func pickSticky(ask PlacementRequest, cands []Candidate) int {
 	names := make([]string, 0, len(cands))
 	for _, c := range cands {
-		if c.Room {
+		if c.HasRoom {
 			names = append(names, c.Name)
 		}
 	}
--- a/gate/sched/engine_test.go
+++ b/gate/sched/engine_test.go
@@ -14,12 +14,12 @@
 
 func candidate(name string, running, cached int) Candidate {
 	return Candidate{
-		Name: name, Running: running, MaxBatch: 8, PrefillRate: 10_000, Step: 5 * time.Millisecond, Slow: 1,
-		CacheUsed: 10, CacheSize: 100, Cached: cached, Room: true, OutputTokens: int64(20 * running),
+		Name: name, Running: running, MaxBatch: 8, PrefillRate: 10_000, Step: 5 * time.Millisecond, Slowdown: 1,
+		CacheUsed: 10, CacheSize: 100, CachedTokens: cached, HasRoom: true, OutputTokens: int64(20 * running),
 	}
 }
 
-func pick(ask Ask, cands ...Candidate) string {
+func pick(ask PlacementRequest, cands ...Candidate) string {
 	i, _ := Pick(Scored, ask, cands, rand.New(rand.NewPCG(1, 2)))
 	if i < 0 {
 		return ""
@@ -28,9 +28,9 @@
 }
 
 func TestPickWeighsPrefixAgainstQueue(t *testing.T) {
-	ask := Ask{Program: "p", Prompt: 2000, Expected: 20}
+	ask := PlacementRequest{Program: "p", PromptTokens: 2000, ExpectedTokens: 20}
 	full := candidate("held", 8, 2000)
-	full.Room = false
+	full.HasRoom = false
 	cases := []struct {
 		name string
 		want string
@@ -57,7 +57,7 @@
 	for box := range 12 {
 		rng := rand.New(rand.NewPCG(uint64(box), 1))
 		cands := []Candidate{candidate("a", 2, 0), candidate("b", 2, 0), candidate("c", 2, 0)}
-		i, _ := Pick(Scored, Ask{Prompt: 100, Expected: 10}, cands, rng)
+		i, _ := Pick(Scored, PlacementRequest{PromptTokens: 100, ExpectedTokens: 10}, cands, rng)
 		got[cands[i].Name]++
 	}
 	for name, n := range got {
@@ -80,14 +80,14 @@
 		room := false
 		for i := range cands {
 			c := candidate(string(rune('a'+i)), rapid.IntRange(0, 20).Draw(rt, "running"), rapid.IntRange(0, 500).Draw(rt, "cached"))
-			c.Room = rapid.Bool().Draw(rt, "room")
-			room = room || c.Room
+			c.HasRoom = rapid.Bool().Draw(rt, "room")
+			room = room || c.HasRoom
 			cands[i] = c
 		}
-		ask := Ask{Program: "p", Prompt: 500, Expected: 20}
+		ask := PlacementRequest{Program: "p", PromptTokens: 500, ExpectedTokens: 20}
 		for _, strategy := range Strategies() {
 			i, weighed := Pick(strategy, ask, cands, rand.New(rand.NewPCG(3, 4)))
-			if i >= 0 && !cands[i].Room {
+			if i >= 0 && !cands[i].HasRoom {
 				rt.Fatalf("%s chose %s, which has no room", strategy, cands[i].Name)
 			}
 			if i < 0 && room && strategy != Scored {
@@ -102,14 +102,14 @@
 
 func TestRank(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	old := Work{Started: now, Arrived: now.Add(time.Minute), Attained: 5000}
-	young := Work{Started: now.Add(time.Second), Arrived: now.Add(2 * time.Second), Attained: 10}
+	old := ProgramProgress{Started: now, Arrived: now.Add(time.Minute), Attained: 5000}
+	young := ProgramProgress{Started: now.Add(time.Second), Arrived: now.Add(2 * time.Second), Attained: 10}
 	urgent := young
 	urgent.Priority = 1
 	cases := []struct {
 		order Order
-		first Work
-		then  Work
+		first ProgramProgress
+		then  ProgramProgress
 	}{
 		{Age, old, young},
 		{Attained, young, old},
--- a/gate/sched/figures.go
+++ b/gate/sched/figures.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Figures estimates the speed of a service's engines. First and Gap take only turns that ran on
+// EngineEstimates estimates the speed of a service's engines. First and Gap take only turns that ran on
 // lightly loaded engines: under load their times show mostly queueing.
-type Figures struct {
+type EngineEstimates struct {
 	// firstEvent fits the time to the first event, in milliseconds, to the number of prefilled
 	// tokens.
 	firstEvent linearFit
@@ -27,7 +27,7 @@
 )
 
 // prefillTime estimates the time to prefill the tokens.
-func (f *Figures) prefillTime(tokens int) time.Duration {
+func (f *EngineEstimates) prefillTime(tokens int) time.Duration {
 	slope, ok := f.firstEvent.slope()
 	if !ok {
 		slope = 1.0 / defaultPrefillRate
@@ -36,30 +36,30 @@
 }
 
 // turnTime returns the mean time of a turn on a lightly loaded engine.
-func (f *Figures) turnTime() time.Duration {
+func (f *EngineEstimates) turnTime() time.Duration {
 	if f.unloadedTurn == 0 {
 		return defaultTurnTime
 	}
 	return f.unloadedTurn
 }
 
-// Turn records how long a turn would have taken on a lightly loaded engine.
-func (f *Figures) Turn(ideal time.Duration) {
+// ObserveTurn records how long a turn would have taken on a lightly loaded engine.
+func (f *EngineEstimates) ObserveTurn(ideal time.Duration) {
 	f.unloadedTurn = updateMean(f.unloadedTurn, ideal)
 }
 
-// First records the time to the first event of a turn that had to prefill the missing tokens.
-func (f *Figures) First(took time.Duration, missing int) {
+// ObserveFirstEvent records the time to the first event of a turn that had to prefill the missing tokens.
+func (f *EngineEstimates) ObserveFirstEvent(took time.Duration, missing int) {
 	f.firstEvent.add(float64(missing), float64(took)/float64(time.Millisecond))
 }
 
-// Gap records the mean time between the events of an answer.
-func (f *Figures) Gap(gap time.Duration) {
+// ObserveEventGap records the mean time between the events of an answer.
+func (f *EngineEstimates) ObserveEventGap(gap time.Duration) {
 	f.gap = updateMean(f.gap, gap)
 }
 
-// Ideal returns the time that a turn takes on a lightly loaded engine, zero if it is unknown.
-func (f *Figures) Ideal(missing, events int) time.Duration {
+// UnloadedTurnTime returns the time that a turn takes on a lightly loaded engine, zero if it is unknown.
+func (f *EngineEstimates) UnloadedTurnTime(missing, events int) time.Duration {
 	if _, ok := f.firstEvent.slope(); !ok || f.gap == 0 {
 		return 0
 	}
--- a/gate/sched/hold.go
+++ b/gate/sched/hold.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// HoldAsk describes a turn that is about to run and whose cached prefix could be held for the
+// HoldRequest describes a turn that is about to run and whose cached prefix could be held for the
 // program's next turn.
-type HoldAsk struct {
+type HoldRequest struct {
 	// Tokens is the length of the prefix.
 	Tokens int
 	// Pause is the expected time until the next turn.
 	Pause time.Duration
-	// Again is the probability of a next turn, 0 to 1.
-	Again float64
+	// NextTurnProbability is the probability of a next turn, 0 to 1.
+	NextTurnProbability float64
 	// Weight is the value of a token of this program relative to others; 1 is usual.
 	Weight float64
 }
@@ -25,9 +25,9 @@
 	holdCost = 0.02
 )
 
-// Hold reports whether to hold the prefix: whether the prefill that this is likely to save
+// ShouldHold reports whether to hold the prefix: whether the prefill that this is likely to save
 // outweighs the cache that it occupies during the pause.
-func Hold(ask HoldAsk, c Candidate) bool {
+func ShouldHold(ask HoldRequest, c Candidate) bool {
 	if ask.Tokens < minHoldTokens || c.CacheSize == 0 {
 		return false
 	}
@@ -35,7 +35,7 @@
 	if pressure < minHoldPressure {
 		return false
 	}
-	saved := float64(ask.Tokens) * ask.Again * ask.Weight
+	saved := float64(ask.Tokens) * ask.NextTurnProbability * ask.Weight
 	cost := float64(ask.Tokens) * ask.Pause.Seconds() * holdCost * pressure
 	return saved > cost
 }
--- a/gate/sched/order.go
+++ b/gate/sched/order.go
@@ -17,8 +17,8 @@
 	Fifo     Order = "fifo"
 )
 
-// Work describes the program of a waiting call.
-type Work struct {
+// ProgramProgress describes the program of a waiting call.
+type ProgramProgress struct {
 	// Priority is set by the policy; higher runs first.
 	Priority int64
 	Started  time.Time
@@ -35,7 +35,7 @@
 )
 
 // Rank returns the number by which boxes and engines order waiting calls; higher runs first.
-func Rank(order Order, w Work) int64 {
+func Rank(order Order, w ProgramProgress) int64 {
 	base := max(-maxPriority, min(w.Priority, maxPriority)) * priorityStep
 	switch order {
 	case Attained:
--- a/gate/sched/overload.go
+++ b/gate/sched/overload.go
@@ -54,21 +54,21 @@
 	return max(0, min(1, (s.to-at)/(s.to-s.from)))
 }
 
-// Seen records a turn. Stretch is its time relative to the time on a lightly loaded engine, and
+// ObserveTurn records a turn. Stretch is its time relative to the time on a lightly loaded engine, and
 // allowed the largest stretch with which its program meets its deadline.
-func (p *Overload) Seen(now time.Time, stretch, allowed float64) {
+func (p *Overload) ObserveTurn(now time.Time, stretch, allowed float64) {
 	p.slowdown += slowdownWeight * (stretch/allowed - p.slowdown)
 	p.slowdownAt = now
 }
 
-// Stretch returns the mean time of turns relative to the allowed time, decayed until now.
-func (p *Overload) Stretch(now time.Time) float64 {
+// Slowdown returns the mean time of turns relative to the allowed time, decayed until now.
+func (p *Overload) Slowdown(now time.Time) float64 {
 	return p.slowdown * math.Exp2(-now.Sub(p.slowdownAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// Reported records the utilization of all slots by the replicas' own reports, negative if it is
+// SetUtilization records the utilization of all slots by the replicas' own reports, negative if it is
 // unknown.
-func (p *Overload) Reported(now time.Time, taken float64) {
+func (p *Overload) SetUtilization(now time.Time, taken float64) {
 	p.utilization = taken
 	if taken < 0 {
 		return
@@ -78,8 +78,8 @@
 	p.utilizationAt = now
 }
 
-// Taken returns the last reported utilization of all slots, negative if it is unknown.
-func (p *Overload) Taken() float64 {
+// Utilization returns the last reported utilization of all slots, negative if it is unknown.
+func (p *Overload) Utilization() float64 {
 	return p.utilization
 }
 
@@ -89,7 +89,7 @@
 	if unlikely {
 		penalty += unlikelyPenalty
 	}
-	share := slowdownRange.share(p.Stretch(now) + penalty)
+	share := slowdownRange.share(p.Slowdown(now) + penalty)
 	if p.utilization < 0 {
 		return share
 	}
--- a/gate/sched/pauses.go
+++ b/gate/sched/pauses.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Pauses estimates, by kind of program, the pause between turns, the probability of another turn
+// TurnStats estimates, by kind of program, the pause between turns, the probability of another turn
 // and the length of answers.
-type Pauses struct {
+type TurnStats struct {
 	kinds map[string]*kindStats
 	last  map[string]lastTurn
 }
@@ -32,12 +32,12 @@
 	countDecay = 0.999
 )
 
-// NewPauses returns Pauses without any history.
-func NewPauses() *Pauses {
-	return &Pauses{kinds: map[string]*kindStats{}, last: map[string]lastTurn{}}
+// NewTurnStats returns Pauses without any history.
+func NewTurnStats() *TurnStats {
+	return &TurnStats{kinds: map[string]*kindStats{}, last: map[string]lastTurn{}}
 }
 
-func (p *Pauses) kind(name string) *kindStats {
+func (p *TurnStats) kind(name string) *kindStats {
 	k, ok := p.kinds[name]
 	if !ok {
 		k = &kindStats{meanPause: defaultPause, turns: 1}
@@ -48,12 +48,12 @@
 
 // NextTurn is the expected pause after a turn, and the probability of another turn, 0 to 1.
 type NextTurn struct {
-	Pause  time.Duration
-	Chance float64
+	Pause       time.Duration
+	Probability float64
 }
 
-// Begins records the start of a turn and returns what is expected after it.
-func (p *Pauses) Begins(now time.Time, program, kind string) NextTurn {
+// TurnStarted records the start of a turn and returns what is expected after it.
+func (p *TurnStats) TurnStarted(now time.Time, program, kind string) NextTurn {
 	k := p.kind(kind)
 	if last, ok := p.last[program]; ok && !last.endedAt.IsZero() {
 		pause := now.Sub(last.endedAt)
@@ -61,11 +61,11 @@
 	}
 	k.turns = k.turns*countDecay + 1
 	p.last[program] = lastTurn{kind: kind}
-	return NextTurn{Pause: k.meanPause, Chance: 1 - k.ends/math.Max(k.turns, 1)}
+	return NextTurn{Pause: k.meanPause, Probability: 1 - k.ends/math.Max(k.turns, 1)}
 }
 
-// Answered records the end of a turn and the length of its answer in tokens.
-func (p *Pauses) Answered(now time.Time, program string, tokens int) {
+// TurnAnswered records the end of a turn and the length of its answer in tokens.
+func (p *TurnStats) TurnAnswered(now time.Time, program string, tokens int) {
 	last, ok := p.last[program]
 	if !ok {
 		return
@@ -82,16 +82,16 @@
 	k.meanAnswer += meanPauseWeight * (float64(tokens) - k.meanAnswer)
 }
 
-// Length returns the mean length of an answer of the kind, in tokens, or guess before the first.
-func (p *Pauses) Length(kind string, guess int) int {
+// AnswerLength returns the mean length of an answer of the kind, in tokens, or guess before the first.
+func (p *TurnStats) AnswerLength(kind string, guess int) int {
 	if k, ok := p.kinds[kind]; ok && k.meanAnswer > 0 {
 		return int(k.meanAnswer)
 	}
 	return guess
 }
 
-// End records that a program has ended.
-func (p *Pauses) End(program string) {
+// ProgramEnded records that a program has ended.
+func (p *TurnStats) ProgramEnded(program string) {
 	last, ok := p.last[program]
 	if !ok {
 		return
@@ -106,8 +106,8 @@
 	Share(workspace string) int
 }
 
-// Fair tracks the service of each workspace, divided by its share, for weighted fair queueing.
-type Fair struct {
+// FairShare tracks the service of each workspace, divided by its share, for weighted fair queueing.
+type FairShare struct {
 	shares Shares
 	used   map[string]float64
 	// floor is the least use that any workspace is counted with, so that an idle workspace can't
@@ -122,13 +122,13 @@
 	maxCredit = 10 * quantum
 )
 
-// NewFair returns a Fair without any recorded use.
-func NewFair(shares Shares) *Fair {
-	return &Fair{shares: shares, used: map[string]float64{}}
+// NewFairShare returns a Fair without any recorded use.
+func NewFairShare(shares Shares) *FairShare {
+	return &FairShare{shares: shares, used: map[string]float64{}}
 }
 
-// Used adds tokens to the use of a workspace.
-func (f *Fair) Used(workspace string, tokens int64) {
+// Charge adds tokens to the use of a workspace.
+func (f *FairShare) Charge(workspace string, tokens int64) {
 	f.used[workspace] = math.Max(f.used[workspace], f.floor) + float64(tokens)/float64(f.shares.Share(workspace))
 	highest := 0.0
 	for _, used := range f.used {
@@ -138,6 +138,6 @@
 }
 
 // Level returns the workspace's weighted use in quanta; the lowest is served first.
-func (f *Fair) Level(workspace string) int64 {
+func (f *FairShare) Level(workspace string) int64 {
 	return int64(math.Max(f.used[workspace], f.floor) / quantum)
 }
--- a/gate/sched/queue.go
+++ b/gate/sched/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Waiting is a call in a box's queue.
-type Waiting struct {
+// WaitingCall is a call in a box's queue.
+type WaitingCall struct {
 	Arrived time.Time
 	// Priority is set by the policy; higher runs first.
 	Priority int64
@@ -16,7 +16,7 @@
 
 // Before reports whether a runs before b. Calls that have waited longer than starve run before all
 // others, oldest first, so that a queue full of urgent calls can't starve them.
-func Before(now time.Time, starve time.Duration, a, b Waiting) bool {
+func Before(now time.Time, starve time.Duration, a, b WaitingCall) bool {
 	aStarved, bStarved := now.Sub(a.Arrived) > starve, now.Sub(b.Arrived) > starve
 	switch {
 	case aStarved != bStarved:
@@ -37,47 +37,47 @@
 
 // Queue is the state of a queue as a call finds it on arrival.
 type Queue struct {
-	// Before is the number of calls ahead, Places the number of the engines' slots, and Service the
+	// Ahead is the number of calls ahead, Slots the number of the engines' slots, and Service the
 	// mean time that a call occupies one.
-	Before, Places int
-	Service        time.Duration
+	Ahead, Slots int
+	ServiceTime  time.Duration
 	// Backlog is the time for which the least busy engine has queued work of its own.
 	Backlog time.Duration
 }
 
 // Wait returns the expected wait of the call, zero if no engine's slots are known.
 func (q Queue) Wait() time.Duration {
-	if q.Places == 0 {
+	if q.Slots == 0 {
 		return 0
 	}
-	return time.Duration(q.Before)*q.Service/time.Duration(q.Places) + q.Backlog
+	return time.Duration(q.Ahead)*q.ServiceTime/time.Duration(q.Slots) + q.Backlog
 }
 
-// Early is the decision on a call that is to be queued.
-type Early int
+// QueueDecision is the decision on a call that is to be queued.
+type QueueDecision int
 
 // The decisions.
 const (
-	// Enter queues the call.
-	Enter Early = iota
-	// NotBegun refuses a call of a program that has not started, since it would wait longer than
+	// Enqueue queues the call.
+	Enqueue QueueDecision = iota
+	// RejectNewProgram refuses a call of a program that has not started, since it would wait longer than
 	// allowed.
-	NotBegun
-	// TooLate refuses a call that could not run before its deadline.
-	TooLate
+	RejectNewProgram
+	// RejectLate refuses a call that could not run before its deadline.
+	RejectLate
 )
 
 // Decide decides on a call, and returns the retry delay of one that is refused. A call of a program
 // that has not started is refused if it would wait longer than maxWait.
 func (q Queue) Decide(
 	now, deadline time.Time, newProgram bool, maxWait time.Duration,
-) (decision Early, after time.Duration) {
+) (decision QueueDecision, after time.Duration) {
 	wait := q.Wait()
 	if newProgram && wait > maxWait {
-		return NotBegun, max(wait-maxWait, minQueueRetry)
+		return RejectNewProgram, max(wait-maxWait, minQueueRetry)
 	}
 	if now.Add(wait).After(deadline) {
-		return TooLate, max(wait, minQueueRetry)
+		return RejectLate, max(wait, minQueueRetry)
 	}
-	return Enter, 0
+	return Enqueue, 0
 }
--- a/gate/sched/queue_test.go
+++ b/gate/sched/queue_test.go
@@ -12,7 +12,7 @@
 // rank.
 func TestBefore(t *testing.T) {
 	now := testStart
-	calls := map[string]Waiting{
+	calls := map[string]WaitingCall{
 		"starved":  {Arrived: now.Add(-3 * time.Second)},
 		"urgent":   {Arrived: now, Priority: 2, Served: 9},
 		"modest":   {Arrived: now, Priority: 1, Served: 1},
@@ -34,20 +34,20 @@
 
 // TestQueueDecide checks which calls are refused before they are queued, and their retry delays.
 func TestQueueDecide(t *testing.T) {
-	full := Queue{Before: 40, Places: 10, Service: 500 * time.Millisecond, Backlog: 100 * time.Millisecond}
+	full := Queue{Ahead: 40, Slots: 10, ServiceTime: 500 * time.Millisecond, Backlog: 100 * time.Millisecond}
 	cases := []struct {
 		name  string
 		queue Queue
 		left  time.Duration
 		fresh bool
-		want  Early
+		want  QueueDecision
 		after time.Duration
 	}{
-		{"free slots", Queue{Places: 10, Service: time.Second}, time.Second, true, Enter, 0},
-		{"no known engine", Queue{Before: 5, Backlog: time.Hour}, time.Second, true, Enter, 0},
-		{"running program", full, 3 * time.Second, false, Enter, 0},
-		{"new program", full, 3 * time.Second, true, NotBegun, 1100 * time.Millisecond},
-		{"deadline too near", full, 2 * time.Second, false, TooLate, 2100 * time.Millisecond},
+		{"free slots", Queue{Slots: 10, ServiceTime: time.Second}, time.Second, true, Enqueue, 0},
+		{"no known engine", Queue{Ahead: 5, Backlog: time.Hour}, time.Second, true, Enqueue, 0},
+		{"running program", full, 3 * time.Second, false, Enqueue, 0},
+		{"new program", full, 3 * time.Second, true, RejectNewProgram, 1100 * time.Millisecond},
+		{"deadline too near", full, 2 * time.Second, false, RejectLate, 2100 * time.Millisecond},
 	}
 	for _, c := range cases {
 		got, after := c.queue.Decide(testStart, testStart.Add(c.left), c.fresh, time.Second)
--- a/gate/shard/claim.go
+++ b/gate/shard/claim.go
@@ -28,14 +28,14 @@
 	maxFenceAttempts = 12
 )
 
-func (s *Shards) newEpoch(count int64) int64 {
+func (s *Manager) newEpoch(count int64) int64 {
 	claimant := int64(xxhash.Sum64String(s.self.Name+s.self.Incarnation) & (1<<claimantBits - 1))
 	return count<<claimantBits | claimant
 }
 
 // acquire makes this box the owner of a slot. It asks the previous owner to release the slot, fences it
 // off, and only then reads the records that the previous owner wrote last.
-func (s *Shards) acquire(number int) (*Slot, error) {
+func (s *Manager) acquire(number int) (*Slot, error) {
 	shard := work.Shard{Topic: work.Turns, Number: number}
 	loader := &slotLoader{state: chain.New(), shards: s}
 	// Only single reads have a timeout: with a limit on the whole load, a slot too large to load in
@@ -67,7 +67,7 @@
 
 // requestHandover asks the previous owner to release the slot, if it is alive. The claim continues
 // without an answer, since the fence prevents further writes by the previous owner.
-func (s *Shards) requestHandover(ctx context.Context, number int, previous ownerRecord) bool {
+func (s *Manager) requestHandover(ctx context.Context, number int, previous ownerRecord) bool {
 	box, ok := s.boxes.Find(previous.Box, previous.Incarnation)
 	if !ok || box.Name == s.self.Name {
 		return false
@@ -83,7 +83,7 @@
 
 // fence opens an epoch above count in the log and returns it. While the log holds a newer epoch, it
 // retries with larger counts, maxFenceAttempts times at most.
-func (s *Shards) fence(ctx context.Context, shard work.Shard, count int64) (int64, error) {
+func (s *Manager) fence(ctx context.Context, shard work.Shard, count int64) (int64, error) {
 	var err error
 	step := int64(1)
 	for range maxFenceAttempts {
@@ -103,7 +103,7 @@
 
 // catchUp applies the records written since offset next. If the log no longer keeps them, it loads the
 // slot anew.
-func (s *Shards) catchUp(ctx context.Context, shard work.Shard, next int64, loader *slotLoader) error {
+func (s *Manager) catchUp(ctx context.Context, shard work.Shard, next int64, loader *slotLoader) error {
 	for {
 		page, err := s.log.Read(ctx, shard, next, 0)
 		if fault.Is(err, fault.HistoryGone) {
@@ -128,7 +128,7 @@
 type slotLoader struct {
 	state  *chain.State
 	owner  ownerRecord
-	shards *Shards
+	shards *Manager
 }
 
 func (l *slotLoader) apply(rec work.Record) {
--- a/gate/shard/claim_test.go
+++ b/gate/shard/claim_test.go
@@ -38,8 +38,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		slot.Change(func(state *chain.State) {
-			if text, ok := state.Find(last); !ok || text == nil {
+		slot.Update(func(state *chain.State) {
+			if text, ok := state.ChainText(last); !ok || text == nil {
 				t.Errorf("the next owner does not have the last turn")
 			}
 		})
--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -184,7 +184,7 @@
 	mu sync.Mutex
 	// ownerByBox is the box that each box considers the owner of all slots.
 	ownerByBox map[string]string
-	shards     map[string]*Shards
+	shards     map[string]*Manager
 	// unreachable holds boxes that can't be contacted and can't contact others, hung those that never
 	// answer a delivery.
 	unreachable, hung map[string]bool
@@ -256,7 +256,7 @@
 	return to.Deliver(ctx, slot, recs)
 }
 
-func (e boxView) connect(box work.Box) (*Shards, error) {
+func (e boxView) connect(box work.Box) (*Manager, error) {
 	time.Sleep(time.Millisecond)
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
@@ -272,7 +272,7 @@
 func (noCounts) Time(string, time.Duration) {}
 
 func newFleet(log Log, names ...string) *fleet {
-	f := &fleet{ownerByBox: map[string]string{}, shards: map[string]*Shards{}, unreachable: map[string]bool{}, hung: map[string]bool{}}
+	f := &fleet{ownerByBox: map[string]string{}, shards: map[string]*Manager{}, unreachable: map[string]bool{}, hung: map[string]bool{}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, name := range names {
 		f.ownerByBox[name] = names[0]
--- a/gate/shard/forward.go
+++ b/gate/shard/forward.go
@@ -23,7 +23,7 @@
 )
 
 // forward delivers records to the current owner of the slot, retrying until ctx ends.
-func (s *Shards) forward(ctx context.Context, number int, recs []work.Record) error {
+func (s *Manager) forward(ctx context.Context, number int, recs []work.Record) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	f := &forwarder{shards: s, number: number, recs: recs, results: make(chan deliverResult), pending: map[string]bool{}}
@@ -47,7 +47,7 @@
 
 // forwarder delivers the records of one turn to the owner of a slot.
 type forwarder struct {
-	shards *Shards
+	shards *Manager
 	number int
 	recs   []work.Record
 	// results receives the outcomes; a delivery gives up sending its outcome once its context ends.
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *Shards) deliverTo(ctx context.Context, box work.Box, number int, recs []work.Record) error {
+func (s *Manager) deliverTo(ctx context.Context, box work.Box, number int, recs []work.Record) error {
 	ctx, stop := context.WithTimeout(ctx, deliverTimeout)
 	defer stop()
 	if box.Name == s.self.Name {
--- a/gate/shard/layout.go
+++ b/gate/shard/layout.go
@@ -35,8 +35,8 @@
 	return "slot-" + strconv.Itoa(slot)
 }
 
-// Home returns the slot of a program. It never changes, since two slots would count the program's
+// SlotOf returns the slot of a program. It never changes, since two slots would count the program's
 // budget separately.
-func (l Layout) Home(program string) int {
+func (l Layout) SlotOf(program string) int {
 	return int(xxhash.Sum64String(program) % uint64(l.slots))
 }
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -70,8 +70,8 @@
 	Time(name string, d time.Duration)
 }
 
-// Shards claims, holds and releases the slots of this box.
-type Shards struct {
+// Manager claims, holds and releases the slots of this box.
+type Manager struct {
 	self       work.Box
 	layout     Layout
 	log        Log
@@ -93,22 +93,22 @@
 }
 
 // New returns a Shards that owns no slots.
-func New(self work.Box, layout Layout, log Log, boxes Boxes, peers Peers, counts Counts, logger *slog.Logger) *Shards {
+func New(self work.Box, layout Layout, log Log, boxes Boxes, peers Peers, counts Counts, logger *slog.Logger) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Shards{
+	return &Manager{
 		self: self, layout: layout, log: log, boxes: boxes, peers: peers, counts: counts, logger: logger,
 		ctx: ctx, cancel: cancel, slots: make([]*Slot, layout.Slots()), claiming: map[int]chan struct{}{}, yieldedAt: map[int]time.Time{},
 	}
 }
 
 // Start starts the periodic removal of expired programs.
-func (s *Shards) Start(context.Context) error {
+func (s *Manager) Start(context.Context) error {
 	s.background.Go(func() { kernel.Every(s.ctx, expireInterval, s.expire) })
 	return nil
 }
 
 // Stop releases all slots and waits for the background work to end.
-func (s *Shards) Stop(ctx context.Context) error {
+func (s *Manager) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
@@ -123,13 +123,13 @@
 }
 
 // Holds reports whether this box holds the slot now.
-func (s *Shards) Holds(number int) bool {
+func (s *Manager) Holds(number int) bool {
 	slot, _ := s.lookup(number)
 	return slot != nil
 }
 
 // All returns the slots that this box holds.
-func (s *Shards) All() []*Slot {
+func (s *Manager) All() []*Slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var held []*Slot
@@ -141,14 +141,14 @@
 	return held
 }
 
-// Held returns the number of slots that this box holds.
-func (s *Shards) Held() int {
+// HeldCount returns the number of slots that this box holds.
+func (s *Manager) HeldCount() int {
 	return len(s.All())
 }
 
 // Rebalance claims the slots that this box should own and does not hold. It is called when the set of
 // live boxes changes. Slots that another box should own are released when that box asks.
-func (s *Shards) Rebalance() {
+func (s *Manager) Rebalance() {
 	if !s.boxes.Settled() {
 		return
 	}
@@ -160,13 +160,13 @@
 }
 
 // shouldOwn reports whether this box should own the slot.
-func (s *Shards) shouldOwn(number int) bool {
+func (s *Manager) shouldOwn(number int) bool {
 	box, ok := s.boxes.Owner(s.layout.Name(number))
 	return ok && box.Name == s.self.Name
 }
 
 // Get returns the slot if this box holds it, waiting up to claimTimeout for a claim in progress.
-func (s *Shards) Get(ctx context.Context, number int) (*Slot, error) {
+func (s *Manager) Get(ctx context.Context, number int) (*Slot, error) {
 	if number < 0 || number >= len(s.slots) {
 		return nil, fault.Refuse(fault.BadRequest, "no such slot")
 	}
@@ -190,7 +190,7 @@
 	return slot, nil
 }
 
-func (s *Shards) lookup(number int) (*Slot, chan struct{}) {
+func (s *Manager) lookup(number int) (*Slot, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slots[number], s.claiming[number]
@@ -198,7 +198,7 @@
 
 // startClaim starts a claim unless one is in progress. It returns a channel that is closed when the
 // claim ends, or nil if the slot is held or must not be claimed now.
-func (s *Shards) startClaim(number int) chan struct{} {
+func (s *Manager) startClaim(number int) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.slots[number] != nil || s.stopping || s.ctx.Err() != nil || time.Since(s.yieldedAt[number]) < reclaimDelay {
@@ -215,7 +215,7 @@
 
 // claimUntilHeld retries the claim until it succeeds, another box should own the slot, or the service
 // stops.
-func (s *Shards) claimUntilHeld(number int, done chan struct{}) {
+func (s *Manager) claimUntilHeld(number int, done chan struct{}) {
 	start := time.Now()
 	var slot *Slot
 	for s.ctx.Err() == nil && s.shouldOwn(number) {
@@ -239,11 +239,11 @@
 	}
 	s.slots[number] = slot
 	s.counts.Time("shard.claim_time", time.Since(start))
-	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.Programs(), "took", time.Since(start))
+	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.ProgramCount(), "took", time.Since(start))
 }
 
 // Yield releases the slot to a box that asks for it.
-func (s *Shards) Yield(ctx context.Context, number int) error {
+func (s *Manager) Yield(ctx context.Context, number int) error {
 	if number < 0 || number >= len(s.slots) {
 		return fault.Refuse(fault.BadRequest, "no such slot")
 	}
@@ -255,7 +255,7 @@
 }
 
 // Deliver writes the records of a turn that began at a previous owner, if this box owns the slot.
-func (s *Shards) Deliver(ctx context.Context, number int, recs []work.Record) error {
+func (s *Manager) Deliver(ctx context.Context, number int, recs []work.Record) error {
 	slot, err := s.Get(ctx, number)
 	if err != nil {
 		return err
@@ -264,7 +264,7 @@
 }
 
 // Release releases the slot once its queued records are written, or after drainTimeout.
-func (s *Shards) Release(ctx context.Context, number int) {
+func (s *Manager) Release(ctx context.Context, number int) {
 	s.mu.Lock()
 	slot := s.slots[number]
 	s.mu.Unlock()
@@ -278,7 +278,7 @@
 }
 
 // remove closes the slot and removes it from the held slots, unless it has been claimed anew since.
-func (s *Shards) remove(slot *Slot) {
+func (s *Manager) remove(slot *Slot) {
 	slot.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +288,7 @@
 }
 
 // expire drops programs that have outlived their retention.
-func (s *Shards) expire() {
+func (s *Manager) expire() {
 	for number := range s.slots {
 		if slot, _ := s.lookup(number); slot != nil {
 			slot.expire(time.Now())
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -23,17 +23,17 @@
 
 // runTurn runs one stateful turn on the slot and returns nil once the log holds it. It calls onTokens
 // when the caller receives tokens.
-func runTurn(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, onTokens func(int)) error {
+func runTurn(ctx context.Context, s *Manager, o chain.OpenTurn, budget int, takes time.Duration, onTokens func(int)) error {
 	slot, err := s.Get(ctx, 0)
 	if err != nil {
 		return err
 	}
-	var started, ended *Pending
-	err = slot.Enter(func(state *chain.State) error {
-		if _, err := state.Line(o.Program, o.Previous); err != nil {
+	var started, ended *PendingWrite
+	err = slot.BeginTurn(func(state *chain.State) error {
+		if _, err := state.History(o.Program, o.Previous); err != nil {
 			return err
 		}
-		recs, err := state.Start(time.Now(), o, budget)
+		recs, err := state.BeginStateful(time.Now(), o, budget)
 		if err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 		}
 		return nil
 	})
-	if fault.Is(err, fault.NoTurn) && slot.Confirm(ctx) == nil {
+	if fault.Is(err, fault.NoTurn) && slot.ConfirmOwnership(ctx) == nil {
 		return fault.Fail(fault.HistoryGone, "the confirmed owner does not have turn "+o.Previous)
 	}
 	if err != nil {
@@ -51,37 +51,37 @@
 	time.Sleep(takes)
 	if started != nil {
 		if err := started.Wait(ctx); err != nil {
-			slot.Change(func(state *chain.State) { state.Break(o) })
+			slot.Update(func(state *chain.State) { state.Abort(o) })
 			return fault.Fail(fault.LogUnavailable, "start not written").Because(err)
 		}
 	}
-	onTokens(o.Most)
-	slot.Change(func(state *chain.State) {
-		_, recs := state.Finish(time.Now(), o, o.Most, []byte(o.ID))
+	onTokens(o.MaxTokens)
+	slot.Update(func(state *chain.State) {
+		_, recs := state.Finish(time.Now(), o, o.MaxTokens, []byte(o.ID))
 		ended = slot.QueueLocked(recs)
 	})
-	if err := slot.Await(ctx, ended); err != nil {
+	if err := slot.WaitOrForward(ctx, ended); err != nil {
 		return fault.Fail(fault.LogUnavailable, "end not written").Because(err)
 	}
 	if ended.Wait(ctx) == nil {
-		slot.Change(func(state *chain.State) { state.Free(o) })
+		slot.Update(func(state *chain.State) { state.FreeReservation(o) })
 	}
 	return nil
 }
 
 // runStatelessTurn runs one turn whose answer is not stored; its caller receives the given number of
 // tokens.
-func runStatelessTurn(ctx context.Context, s *Shards, o chain.Open, budget int, takes time.Duration, tokens int, onTokens func(int)) error {
+func runStatelessTurn(ctx context.Context, s *Manager, o chain.OpenTurn, budget int, takes time.Duration, tokens int, onTokens func(int)) error {
 	slot, err := s.Get(ctx, 0)
 	if err != nil {
 		return err
 	}
-	var started *Pending
-	err = slot.Enter(func(state *chain.State) error {
-		recs, err := state.Draw(time.Now(), o, budget)
+	var started *PendingWrite
+	err = slot.BeginTurn(func(state *chain.State) error {
+		recs, err := state.BeginStateless(time.Now(), o, budget)
 		if len(recs) > 0 {
 			started = slot.QueueLocked(recs)
-			o.Granted = state.Granted(o.Program)
+			o.GrantedTokens = state.GrantedTokens(o.Program)
 		}
 		return err
 	})
@@ -89,14 +89,14 @@
 		return err
 	}
 	finish := func(tokens int) {
-		var pending *Pending
-		slot.Change(func(state *chain.State) {
-			if recs := state.Return(o, tokens); len(recs) > 0 {
+		var pending *PendingWrite
+		slot.Update(func(state *chain.State) {
+			if recs := state.EndStateless(o, tokens); len(recs) > 0 {
 				pending = slot.QueueLocked(recs)
 			}
 		})
 		if pending != nil {
-			_ = slot.Await(ctx, pending) // on failure the turn counts at its maximum
+			_ = slot.WaitOrForward(ctx, pending) // on failure the turn counts at its maximum
 		}
 	}
 	time.Sleep(takes)
@@ -105,7 +105,7 @@
 			finish(0)
 			return fault.Fail(fault.LogUnavailable, "grant not written").Because(err)
 		}
-		slot.Change(func(state *chain.State) { state.Confirm(o.Program, o.Granted) })
+		slot.Update(func(state *chain.State) { state.ConfirmGrant(o.Program, o.GrantedTokens) })
 	}
 	onTokens(tokens)
 	finish(tokens)
@@ -115,8 +115,8 @@
 // ignoreTokens is for turns whose tokens need not be counted.
 func ignoreTokens(int) {}
 
-func newTurn(id, previous string) chain.Open {
-	return chain.Open{ID: id, Program: "p", Previous: previous, Most: 10, Retention: time.Minute}
+func newTurn(id, previous string) chain.OpenTurn {
+	return chain.OpenTurn{ID: id, Program: "p", Previous: previous, MaxTokens: 10, Retention: time.Minute}
 }
 
 // TestTurnCompletesAfterHandover checks that a turn in progress at a handover completes at the next
@@ -232,7 +232,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := slot.Confirm(ctx); err != nil {
+		if err := slot.ConfirmOwnership(ctx); err != nil {
 			t.Errorf("before the loss: %v", err)
 		}
 		f.unreachable["a"] = true
@@ -240,7 +240,7 @@
 		if err := runTurn(ctx, f.shards["b"], newTurn("two", "one"), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
-		if err := slot.Confirm(ctx); !fault.Is(err, fault.NotOwner) {
+		if err := slot.ConfirmOwnership(ctx); !fault.Is(err, fault.NotOwner) {
 			t.Errorf("after the loss: %v", err)
 		}
 	})
@@ -460,7 +460,7 @@
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 				defer stop()
 				o := newTurn(fmt.Sprintf("turn-%d", n), "")
-				tokens := o.Most
+				tokens := o.MaxTokens
 				if s.kind == stepPartialStatelessTurn {
 					tokens /= 5
 				}
@@ -524,13 +524,13 @@
 		return []string{"no owner at the end: " + err.Error()}
 	}
 	var violations []string
-	slot.Change(func(state *chain.State) {
+	slot.Update(func(state *chain.State) {
 		for _, id := range confirmed {
-			if !state.Has("p", id) {
+			if !state.HasTurn("p", id) {
 				violations = append(violations, id+" was confirmed but is lost")
 			}
 		}
-		if got := state.Spent("p"); got < delivered {
+		if got := state.SpentTokens("p"); got < delivered {
 			violations = append(violations, fmt.Sprintf("%d tokens were handed out but %d are counted", delivered, got))
 		}
 	})
--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -33,7 +33,7 @@
 
 // Slot is a slot that this box owns or has owned.
 type Slot struct {
-	shards *Shards
+	shards *Manager
 	number int
 	epoch  int64
 
@@ -53,7 +53,7 @@
 	appendStarted time.Time
 }
 
-func newSlot(s *Shards, number int, epoch int64, state *chain.State) *Slot {
+func newSlot(s *Manager, number int, epoch int64, state *chain.State) *Slot {
 	return &Slot{shards: s, number: number, epoch: epoch, state: state}
 }
 
@@ -62,9 +62,9 @@
 	return s.number
 }
 
-// Enter begins a turn: it calls do, which may read and change the state, while the slot is locked. It
+// BeginTurn begins a turn: it calls do, which may read and change the state, while the slot is locked. It
 // returns NotOwner if this box is releasing the slot or has lost it.
-func (s *Slot) Enter(do func(state *chain.State) error) error {
+func (s *Slot) BeginTurn(do func(state *chain.State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || s.lost {
@@ -77,15 +77,15 @@
 // it leaves nothing in the log.
 const confirmKey = "confirm"
 
-// Fresh reports whether this box's view of the other boxes is current, so that none of them can have
+// OwnershipFresh reports whether this box's view of the other boxes is current, so that none of them can have
 // claimed the slot.
-func (s *Slot) Fresh() bool {
+func (s *Slot) OwnershipFresh() bool {
 	return s.shards.boxes.Fresh() && s.shards.boxes.Settled()
 }
 
-// Confirm returns nil once an append has shown that this box still owns the slot. An owner that was
+// ConfirmOwnership returns nil once an append has shown that this box still owns the slot. An owner that was
 // partitioned may have missed that another box claimed the slot and wrote to it.
-func (s *Slot) Confirm(ctx context.Context) error {
+func (s *Slot) ConfirmOwnership(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, confirmTimeout)
 	defer stop()
 	if err := s.Write(ctx, []work.Record{{Key: confirmKey}}); err != nil {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Behind returns how long the append in progress has been running; zero if there is none.
-func (s *Slot) Behind() time.Duration {
+// AppendAge returns how long the append in progress has been running; zero if there is none.
+func (s *Slot) AppendAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.appendStarted.IsZero() {
@@ -104,16 +104,16 @@
 	return time.Since(s.appendStarted)
 }
 
-// Change calls do, which may change the state, while the slot is locked. Unlike Enter, it also works on
+// Update calls do, which may change the state, while the slot is locked. Unlike Enter, it also works on
 // a slot that is released or lost.
-func (s *Slot) Change(do func(state *chain.State)) {
+func (s *Slot) Update(do func(state *chain.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do(s.state)
 }
 
 // Queue hands records to the writer. Wait on the result reports whether they were written.
-func (s *Slot) Queue(recs []work.Record) *Pending {
+func (s *Slot) Queue(recs []work.Record) *PendingWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.QueueLocked(recs)
@@ -121,27 +121,27 @@
 
 // QueueLocked is Queue for callers within Enter or Change, so that records are written in the order in
 // which the state changed.
-func (s *Slot) QueueLocked(recs []work.Record) *Pending {
+func (s *Slot) QueueLocked(recs []work.Record) *PendingWrite {
 	b := &batch{recs: recs, done: make(chan struct{})}
 	if s.lost {
 		b.err = slotLostFault()
 		close(b.done)
-		return &Pending{b}
+		return &PendingWrite{b}
 	}
 	s.queue = append(s.queue, b)
 	if !s.writing {
 		s.writing = true
 		go s.runWriter()
 	}
-	return &Pending{b}
+	return &PendingWrite{b}
 }
 
-// Pending is a write of records that is queued or in progress.
-type Pending struct{ batch *batch }
+// PendingWrite is a write of records that is queued or in progress.
+type PendingWrite struct{ batch *batch }
 
 // Wait returns nil once the records are written, or a fault if they can't be written or ctx ends first.
 // After ctx has ended they may still be written.
-func (p *Pending) Wait(ctx context.Context) error {
+func (p *PendingWrite) Wait(ctx context.Context) error {
 	select {
 	case <-p.batch.done:
 		return p.batch.err
@@ -155,9 +155,9 @@
 	}
 }
 
-// Await returns once the records are written. If another box owns the slot by now, it forwards them to
+// WaitOrForward returns once the records are written. If another box owns the slot by now, it forwards them to
 // that box: a turn that began here may end after the slot has moved.
-func (s *Slot) Await(ctx context.Context, p *Pending) error {
+func (s *Slot) WaitOrForward(ctx context.Context, p *PendingWrite) error {
 	err := p.Wait(ctx)
 	if !fault.Is(err, fault.NotOwner) {
 		return err
@@ -306,7 +306,7 @@
 	defer stop()
 	s.mu.Lock()
 	s.closing = true
-	last := s.QueueLocked(s.state.Settle())
+	last := s.QueueLocked(s.state.ReleaseUnused())
 	s.mu.Unlock()
 	return last.Wait(ctx) == nil
 }
--- a/gate/subset/subset.go
+++ b/gate/subset/subset.go
@@ -35,9 +35,9 @@
 	return level
 }
 
-// Fits reports whether a level drawn earlier may stay: it still equals Level, or the average size
+// LevelFits reports whether a level drawn earlier may stay: it still equals Level, or the average size
 // of a subset is within the bounds.
-func Fits(replicas, boxes, level int) bool {
+func LevelFits(replicas, boxes, level int) bool {
 	wanted := Level(replicas, boxes)
 	size := float64(replicas) / float64(int(1)<<level)
 	switch {
@@ -54,8 +54,8 @@
 // level.
 type Levels map[string]int
 
-// Holds reports whether the box knows the replica of the group.
-func (l Levels) Holds(box, id, group string) bool {
+// Knows reports whether the box knows the replica of the group.
+func (l Levels) Knows(box, id, group string) bool {
 	level := l[group]
 	return level == 0 || ident.Weight(id, box)>>(weightBits-level) == 0
 }
--- a/gate/subset/subset_test.go
+++ b/gate/subset/subset_test.go
@@ -15,11 +15,11 @@
 		if got := c.replicas >> level; got > c.most {
 			t.Errorf("%d replicas, %d boxes: %d known, want at most %d", c.replicas, c.boxes, got, c.most)
 		}
-		if !Fits(c.replicas, c.boxes, level) || !Fits(c.replicas*9/10, c.boxes, level) || !Fits(c.replicas*11/10, c.boxes*9/10, level) {
+		if !LevelFits(c.replicas, c.boxes, level) || !LevelFits(c.replicas*9/10, c.boxes, level) || !LevelFits(c.replicas*11/10, c.boxes*9/10, level) {
 			t.Errorf("%d replicas, %d boxes: level does not stay when the fleet changes by a tenth", c.replicas, c.boxes)
 		}
 	}
-	if Fits(938, 197, 0) || Fits(200, 197, 4) {
+	if LevelFits(938, 197, 0) || LevelFits(200, 197, 4) {
 		t.Error("a subset that is far too large or too small keeps its level")
 	}
 }
@@ -33,7 +33,7 @@
 	for r := range replicas {
 		known := 0
 		for b := range boxes / 2 {
-			if levels.Holds(fmt.Sprintf("box-%d", b), fmt.Sprintf("i-%d", r), "s@a") {
+			if levels.Knows(fmt.Sprintf("box-%d", b), fmt.Sprintf("i-%d", r), "s@a") {
 				known++
 			}
 		}
@@ -48,7 +48,7 @@
 	if unknown > replicas/100 {
 		t.Errorf("%d of %d replicas are known to no box", unknown, replicas)
 	}
-	if !(Levels{}).Holds("b", "i", "s@a") {
+	if !(Levels{}).Knows("b", "i", "s@a") {
 		t.Error("a replica of a group without a level is not known")
 	}
 }
--- a/gate/target/admission.go
+++ b/gate/target/admission.go
@@ -17,13 +17,13 @@
 }
 
 // Admit decides whether the program of a turn may start.
-func (t *Targets) Admit(ask Ask) sched.Verdict {
+func (t *Targets) Admit(ask Ask) sched.AdmissionDecision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	service := t.pickService(ask.Services)
 	adm := t.admissionFor(service)
-	adm.Overload.Reported(now, t.slotDemand(now, service))
+	adm.Overload.SetUtilization(now, t.slotDemand(now, service))
 	return adm.Admit(now, ask.Turn)
 }
 
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// First records the time from the lease to the answer's first event.
-func (l *Lease) First(took time.Duration) {
+// RecordFirstEvent records the time from the lease to the answer's first event.
+func (l *Lease) RecordFirstEvent(took time.Duration) {
 	if l.ask.Prompt == nil {
 		return
 	}
@@ -68,7 +68,7 @@
 	defer t.mu.Unlock()
 	l.firstEventAfter = took
 	if l.lightLoad {
-		t.admissionFor(l.state.Service).Figures.First(took, l.uncachedTokens())
+		t.admissionFor(l.state.Service).Estimates.ObserveFirstEvent(took, l.uncachedTokens())
 	}
 }
 
@@ -81,14 +81,14 @@
 func (t *Targets) finishTurn(l *Lease, out Outcome, gap time.Duration) {
 	adm := t.admissionFor(l.state.Service)
 	now := time.Now()
-	adm.End(now, l.ask.Turn)
+	adm.TurnEnded(now, l.ask.Turn)
 	if out != Answered || gap <= 0 || l.firstEventAfter <= 0 {
 		return
 	}
 	if l.lightLoad {
-		adm.Figures.Gap(gap)
+		adm.Estimates.ObserveEventGap(gap)
 	}
 	total := now.Sub(l.startedAt)
 	events := 1 + int((total-l.firstEventAfter+gap/2)/gap)
-	adm.Answered(now, l.ask.Turn, adm.Figures.Ideal(l.uncachedTokens(), events))
+	adm.TurnAnswered(now, l.ask.Turn, adm.Estimates.UnloadedTurnTime(l.uncachedTokens(), events))
 }
--- a/gate/target/bench_test.go
+++ b/gate/target/bench_test.go
@@ -12,7 +12,7 @@
 	t, _ := newTargets(300, true)
 	asks := make([]Ask, 64)
 	for i := range asks {
-		asks[i] = Ask{Work: "w", Services: splitToS, Seen: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
+		asks[i] = Ask{WorkKind: "w", Services: splitToS, CachedTokens: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
 			Tokens: 1500, Parts: []work.Part{{ID: fmt.Sprintf("shared%d", i%3), Tokens: 500}, {ID: fmt.Sprintf("own%d", i), Tokens: 1000}},
 		}}
 	}
