--- a/gate/target/born_test.go
+++ b/gate/target/born_test.go
@@ -13,7 +13,7 @@
 // replicaStartedAt returns a replica that started at the given second of Unix time.
 func replicaStartedAt(second int64) work.Replica {
 	rep := replica(0, "a")
-	rep.Born = time.Unix(second, 0)
+	rep.StartedAt = time.Unix(second, 0)
 	return rep
 }
 
@@ -22,13 +22,13 @@
 	t.Helper()
 	targets, _ := newTargets(0, true)
 	targets.Put(replicaStartedAt(100))
-	ask := Ask{Work: "w", Services: splitToS, Prompt: &work.Prompt{Tokens: 1000, Parts: []work.Part{{ID: "p", Tokens: 1000}}}}
+	ask := Ask{WorkKind: "w", Services: splitToS, Prompt: &work.Prompt{Tokens: 1000, Parts: []work.Part{{ID: "p", Tokens: 1000}}}}
 	lease, err := targets.Take(ask)
 	if err != nil {
 		t.Fatal(err)
 	}
-	targets.Loaded("r0", work.Load{Running: 8, Waiting: 9, Born: time.Unix(100, 0)})
-	targets.Failing("r0", 1)
+	targets.UpdateLoad("r0", work.Load{Running: 8, Waiting: 9, StartedAt: time.Unix(100, 0)})
+	targets.UpdateFailureRate("r0", 1)
 	return targets, lease, ask
 }
 
@@ -46,7 +46,7 @@
 // calls in flight, and that data of an earlier start is ignored.
 func TestRestartSeenInEntry(t *testing.T) {
 	targets, lease, ask := loadedTargets(t)
-	ctx, stop := lease.Guard(context.Background())
+	ctx, stop := lease.CancelOnRestart(context.Background())
 	defer stop()
 	targets.Put(replicaStartedAt(200))
 	select {
@@ -58,14 +58,14 @@
 	if cached != 0 || waiting != 0 || inFlight != 0 || failing {
 		t.Errorf("after the restart: %d cached tokens, %d waiting, %d in flight, failing %v", cached, waiting, inFlight, failing)
 	}
-	lease.Done(Broken, 0)
+	lease.Done(Incomplete, 0)
 	if _, _, inFlight, failing := trackedState(t, targets, ask); inFlight != 0 || failing {
 		t.Errorf("a call to the earlier start counts: %d in flight, failing %v", inFlight, failing)
 	}
 	old := replicaStartedAt(100)
 	old.Draining = true
 	targets.Put(old)
-	targets.Loaded("r0", work.Load{Waiting: 9, Born: time.Unix(100, 0)})
+	targets.UpdateLoad("r0", work.Load{Waiting: 9, StartedAt: time.Unix(100, 0)})
 	if _, waiting, _, _ := trackedState(t, targets, ask); waiting != 0 || targets.byID["r0"].Draining {
 		t.Errorf("data of an earlier start was applied: %d waiting, draining %v", waiting, targets.byID["r0"].Draining)
 	}
@@ -74,13 +74,13 @@
 // TestRestartSeenInReport checks that a later start in a load report resets a replica's state.
 func TestRestartSeenInReport(t *testing.T) {
 	targets, _, ask := loadedTargets(t)
-	targets.Loaded("r0", work.Load{Running: 1, Born: time.Unix(200, 0)})
+	targets.UpdateLoad("r0", work.Load{Running: 1, StartedAt: time.Unix(200, 0)})
 	cached, waiting, _, failing := trackedState(t, targets, ask)
 	if cached != 0 || waiting != 0 || failing {
 		t.Errorf("after the restart: %d cached tokens, %d waiting, failing %v", cached, waiting, failing)
 	}
 	targets.Put(replicaStartedAt(100)) // the entry lags behind the report
-	if diff := cmp.Diff(time.Unix(200, 0), targets.byID["r0"].Born); diff != "" {
+	if diff := cmp.Diff(time.Unix(200, 0), targets.byID["r0"].StartedAt); diff != "" {
 		t.Errorf("start time (-want +got):\n%s", diff)
 	}
 }
@@ -90,7 +90,7 @@
 func TestCachedTokensOfEarlierStart(t *testing.T) {
 	targets, _ := newTargets(0, true)
 	targets.Put(replicaStartedAt(100))
-	ask := Ask{Prompt: &work.Prompt{Tokens: 6000}, Seen: map[string]int{replicaStartedAt(100).Life(): 5500}}
+	ask := Ask{Prompt: &work.Prompt{Tokens: 6000}, CachedTokens: map[string]int{replicaStartedAt(100).RunID(): 5500}}
 	if got := take(t, targets, ask).Cached; got != 5500 {
 		t.Errorf("%d cached tokens", got)
 	}
--- a/gate/target/bound.go
+++ b/gate/target/bound.go
@@ -12,25 +12,25 @@
 	// Regions maps each availability zone to its region.
 	Regions work.Regions
 	// Cold limits the calls to cold replicas.
-	Cold sched.ColdBounds
+	Cold sched.ColdLimits
 }
 
 // maxClockSkew is the largest expected difference between the clocks of a replica and of this box.
 const maxClockSkew = 500 * time.Millisecond
 
-// Bind sets the bounds. It must be called before the first lease.
-func (t *Targets) Bind(bounds Bounds) {
+// SetBounds sets the bounds. It must be called before the first lease.
+func (t *Targets) SetBounds(bounds Bounds) {
 	t.bounds = bounds
 }
 
-// OnWarming registers may, which reports whether this box is the one in its availability zone that sends
+// SetWarmingCheck registers may, which reports whether this box is the one in its availability zone that sends
 // calls to a cold replica. It must be called before the first lease.
-func (t *Targets) OnWarming(may func(rep work.Replica, model bool) bool) {
+func (t *Targets) SetWarmingCheck(may func(rep work.Replica, model bool) bool) {
 	t.warmsReplica = may
 }
 
-// Evacuate sets the availability zones whose replicas get no new calls, in place of those set before.
-func (t *Targets) Evacuate(zones map[string]bool) {
+// SetEvacuated sets the availability zones whose replicas get no new calls, in place of those set before.
+func (t *Targets) SetEvacuated(zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evacuated = zones
@@ -51,19 +51,19 @@
 	if now.Before(s.coldUntil) {
 		return true
 	}
-	if svc.ColdFor <= 0 || s.Born.IsZero() || now.Sub(s.listedAt) > svc.ColdFor+maxClockSkew {
+	if svc.WarmupTime <= 0 || s.StartedAt.IsZero() || now.Sub(s.listedAt) > svc.WarmupTime+maxClockSkew {
 		return false
 	}
-	return now.Sub(s.Born) < svc.ColdFor+maxClockSkew
+	return now.Sub(s.StartedAt) < svc.WarmupTime+maxClockSkew
 }
 
 // mayWarm reports whether this box may send the cold replica one more call.
 func (t *Targets) mayWarm(now time.Time, s *state, svc work.Service) bool {
-	if svc.ColdRate <= 0 {
+	if svc.WarmupRate <= 0 {
 		return true
 	}
-	maxCalls := t.bounds.Cold.Share(svc.ColdRate, len(t.bounds.Regions))
-	return s.coldCalls.Free(now, maxCalls) && t.warmsReplica(s.Replica, t.isModel(s))
+	maxCalls := t.bounds.Cold.CallsPerBox(svc.WarmupRate, len(t.bounds.Regions))
+	return s.coldCalls.Allows(now, maxCalls) && t.warmsReplica(s.Replica, t.isModel(s))
 }
 
 // serviceConfig returns the configuration of the service, or a zero value if there is none.
@@ -77,7 +77,7 @@
 // extendCold records how long the replica's entry says that it stays cold. It never shortens the cold
 // phase.
 func (s *state) extendCold(now time.Time) {
-	if until := now.Add(s.Cold); until.After(s.coldUntil) {
+	if until := now.Add(s.WarmupLeft); until.After(s.coldUntil) {
 		s.coldUntil = until
 	}
 }
--- a/gate/target/bound_test.go
+++ b/gate/target/bound_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	got := map[string]int{}
 	for range calls {
-		ask.Work, ask.Services = "w", splitToS
+		ask.WorkKind, ask.Services = "w", splitToS
 		lease, err := targets.Take(ask)
 		if fault.Is(err, fault.NoTarget) {
 			got["none"]++
@@ -41,15 +41,15 @@
 	targets, _ := newTargets(0, false)
 	targets.Put(replica(0, "a"))
 	targets.Put(replica(1, "b"))
-	targets.Evacuate(map[string]bool{"a": true})
+	targets.SetEvacuated(map[string]bool{"a": true})
 	if diff := cmp.Diff(map[string]int{"r1": 5}, countPlacements(t, targets, Ask{}, 5)); diff != "" {
 		t.Errorf("zone a evacuated (-want +got):\n%s", diff)
 	}
-	targets.Evacuate(map[string]bool{"a": true, "b": true})
+	targets.SetEvacuated(map[string]bool{"a": true, "b": true})
 	if diff := cmp.Diff(map[string]int{"none": 5}, countPlacements(t, targets, Ask{}, 5)); diff != "" {
 		t.Errorf("both evacuated (-want +got):\n%s", diff)
 	}
-	targets.Evacuate(nil)
+	targets.SetEvacuated(nil)
 	if got := countPlacements(t, targets, Ask{}, 5); got["none"] != 0 {
 		t.Errorf("after the evacuation: %v", got)
 	}
@@ -58,7 +58,7 @@
 // TestCallsStayInTheirRegions checks that a call restricted to regions only goes to replicas there.
 func TestCallsStayInTheirRegions(t *testing.T) {
 	targets, _ := newTargets(0, false)
-	targets.Bind(Bounds{Regions: work.Regions{"a": "north", "b": "south"}})
+	targets.SetBounds(Bounds{Regions: work.Regions{"a": "north", "b": "south"}})
 	targets.Put(replica(0, "a"))
 	targets.Put(replica(1, "b"))
 	for _, c := range []struct {
@@ -78,11 +78,11 @@
 // calls a second.
 func coldTargets(cold time.Duration) *Targets {
 	targets, _ := newTargets(0, true)
-	svc := work.Service{Name: "s", Connections: 100, Engine: &work.Engine{Slots: 8}, ColdFor: 3 * time.Second, ColdRate: 6}
+	svc := work.Service{Name: "s", Connections: 100, Engine: &work.Engine{Slots: 8}, WarmupTime: 3 * time.Second, WarmupRate: 6}
 	targets.Configure(work.NewConfig(2, nil, []work.Service{svc}, work.Limits{}))
-	targets.Bind(Bounds{Regions: work.Regions{"a": "north"}, Cold: sched.ColdBounds{Overshoot: 1, Slack: 2}})
+	targets.SetBounds(Bounds{Regions: work.Regions{"a": "north"}, Cold: sched.ColdLimits{Overshoot: 1, Slack: 2}})
 	first := replica(0, "a")
-	first.Cold = cold
+	first.WarmupLeft = cold
 	targets.Put(first)
 	return targets
 }
@@ -105,7 +105,7 @@
 			t.Errorf("warm (-want +got):\n%s", diff)
 		}
 		again := replica(0, "a")
-		again.Cold = time.Second
+		again.WarmupLeft = time.Second
 		targets.Put(again)
 		if diff := cmp.Diff(map[string]int{"r0": 4, "none": 6}, countPlacements(t, targets, Ask{}, 10)); diff != "" {
 			t.Errorf("cold again (-want +got):\n%s", diff)
@@ -118,7 +118,7 @@
 func TestOneBoxWarmsAReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(2 * time.Second)
-		targets.OnWarming(func(work.Replica, bool) bool { return false })
+		targets.SetWarmingCheck(func(work.Replica, bool) bool { return false })
 		if diff := cmp.Diff(map[string]int{"none": 3}, countPlacements(t, targets, Ask{}, 3)); diff != "" {
 			t.Errorf("calls (-want +got):\n%s", diff)
 		}
@@ -132,7 +132,7 @@
 		targets := coldTargets(0)
 		targets.Drop("r0")
 		started := replica(1, "a")
-		started.Born = time.Now().Add(-time.Second)
+		started.StartedAt = time.Now().Add(-time.Second)
 		targets.Put(started)
 		if got := countPlacements(t, targets, Ask{}, 10); got["r1"] != 4 {
 			t.Errorf("just started: %v", got)
@@ -152,7 +152,7 @@
 		if got := len(targets.Models()); got != 200 {
 			t.Errorf("%d replicas of a small fleet are polled", got)
 		}
-		targets.Draw(subset.Levels{subset.Group("s", "a"): 3})
+		targets.SetLevels(subset.Levels{subset.Group("s", "a"): 3})
 		if got := targets.Models(); len(got) != 0 {
 			t.Errorf("%d idle replicas are polled", len(got))
 		}
--- a/gate/target/choose.go
+++ b/gate/target/choose.go
@@ -14,7 +14,7 @@
 // choice is a candidate with the estimate of its state and the expected cost of the call there.
 type choice struct {
 	state    *state
-	estimate sched.Belief
+	estimate sched.ReplicaState
 	cost     time.Duration
 }
 
@@ -66,15 +66,15 @@
 	ejector := t.ejectorFor(service)
 	lapsed := t.entriesLapsed(service)
 	svc := t.serviceConfig(service)
-	call := sched.Call{Model: ask.Prompt != nil, Usual: t.unitTime(ask.Work)}
+	call := sched.Call{RunsModel: ask.Prompt != nil, UnitTime: t.unitTime(ask.WorkKind)}
 	utilization := 0.0
-	if call.Model {
-		call.Prompt = ask.Prompt.Tokens
+	if call.RunsModel {
+		call.PromptTokens = ask.Prompt.Tokens
 		utilization = t.slotUtilization(now, service)
 	}
-	figures := &t.admissionFor(service).Figures
+	figures := &t.admissionFor(service).Estimates
 	for _, s := range t.services[service] {
-		if s.Draining || s.inFlight >= t.connectionShare(svc.Connections, s.level) || (s.missing && !lapsed) || slices.Contains(ask.Avoid, s.ID) || t.excluded(now, s, svc, ask) {
+		if s.Draining || s.inFlight >= t.connectionShare(svc.Connections, s.level) || (s.missing && !lapsed) || slices.Contains(ask.Exclude, s.ID) || t.excluded(now, s, svc, ask) {
 			continue
 		}
 		if !lastResort && (now.Before(s.suspectUntil) || ejector.Ejected(now, s.ID)) {
@@ -83,7 +83,7 @@
 		t.candidates = append(t.candidates, s)
 		t.costs = append(t.costs, figures.Cost(call, t.estimate(now, ask, s, utilization)))
 	}
-	pick := sched.PickNear(t.costs, t.rng)
+	pick := sched.PickNearCheapest(t.costs, t.rng)
 	if pick < 0 {
 		return choice{}, 0
 	}
@@ -114,17 +114,17 @@
 
 // estimate returns the input of the cost model for the call at the replica. utilization is the share of
 // slots in use at those replicas of its service that report.
-func (t *Targets) estimate(now time.Time, ask Ask, s *state, utilization float64) sched.Belief {
+func (t *Targets) estimate(now time.Time, ask Ask, s *state, utilization float64) sched.ReplicaState {
 	age := now.Sub(s.loadAt)
-	b := sched.Belief{
-		Busy: s.inFlight, BusyThen: s.inFlightAtReport, Slots: s.Slots, Reported: age <= loadMaxAge, Age: age,
-		Placers: 1 + (t.placers-1)>>s.level, UsualLoad: utilization, Running: s.load.Running, Waiting: s.load.Waiting, Slow: s.slowdown, Failing: s.failureRate(now), Far: s.Zone != t.zone,
+	b := sched.ReplicaState{
+		InFlight: s.inFlight, InFlightAtReport: s.inFlightAtReport, Slots: s.Slots, Reported: age <= loadMaxAge, ReportAge: age,
+		Placers: 1 + (t.placers-1)>>s.level, AverageUtilization: utilization, Running: s.load.Running, Waiting: s.load.Waiting, Slowdown: s.slowdown, FailureRate: s.failureRate(now), OtherZone: s.Zone != t.zone,
 	}
 	if ask.Prompt != nil {
-		b.Cached = t.cachedTokens(now, ask, s)
+		b.CachedTokens = t.cachedTokens(now, ask, s)
 		return b
 	}
-	b.Connected = s.pool != nil && s.pool.Connected()
+	b.Connected = s.pool != nil && s.pool.HasIdle()
 	return b
 }
 
@@ -137,5 +137,5 @@
 
 // cachedTokens estimates how many tokens of the prompt are in the replica's cache.
 func (t *Targets) cachedTokens(now time.Time, ask Ask, s *state) int {
-	return min(max(ask.Seen[s.Life()], s.cachedPartTokens(now, ask.Prompt.Parts)), ask.Prompt.Tokens)
+	return min(max(ask.CachedTokens[s.RunID()], s.cachedPartTokens(now, ask.Prompt.Parts)), ask.Prompt.Tokens)
 }
--- a/gate/target/judge.go
+++ b/gate/target/judge.go
@@ -66,16 +66,16 @@
 	case Unreached:
 		s.suspectUntil = now.Add(suspectFor)
 		t.log.Warn("target: call did not reach replica", "replica", s.ID, "service", s.Service)
-	case Silent:
+	case Unresponsive:
 		if !s.hasQueue(now) {
 			s.recordOutcome(now, 1)
 		}
-	case Broken:
+	case Incomplete:
 		s.recordOutcome(now, 1)
 		if t.ejectorFor(s.Service).Bad(now, s.ID, len(t.services[s.Service])) {
 			t.log.Warn("target: replica ejected after repeated failures", "replica", s.ID, "service", s.Service)
 		}
-	case Refused, Dropped:
+	case Refused, Abandoned:
 	}
 }
 
--- a/gate/target/lease.go
+++ b/gate/target/lease.go
@@ -12,9 +12,9 @@
 	Replica work.Replica
 	// Cached is the estimated number of prompt tokens in the replica's cache.
 	Cached int
-	// Score is the expected cost of the call at the replica, and Among the number of candidates.
-	Score time.Duration
-	Among int
+	// ExpectedCost is the expected cost of the call at the replica, and Among the number of candidates.
+	ExpectedCost time.Duration
+	Candidates   int
 
 	targets   *Targets
 	state     *state
@@ -31,9 +31,9 @@
 	return l.state.pool
 }
 
-// Guard returns a context that is also cancelled once the replica is known to have restarted: the call is
+// CancelOnRestart returns a context that is also cancelled once the replica is known to have restarted: the call is
 // lost, and its caller can retry at once. The returned function must be called after the call.
-func (l *Lease) Guard(ctx context.Context) (context.Context, func()) {
+func (l *Lease) CancelOnRestart(ctx context.Context) (context.Context, func()) {
 	ctx, stop := context.WithCancel(ctx)
 	if l.state == nil {
 		return ctx, stop
@@ -56,14 +56,14 @@
 	Refused
 	// Unreached means that the call did not reach the replica, usually for lack of a connection.
 	Unreached
-	// Broken means that the answer did not arrive or was incomplete.
-	Broken
+	// Incomplete means that the answer did not arrive or was incomplete.
+	Incomplete
 	// Failed means that a whole answer reported that the replica failed the call.
 	Failed
-	// Silent means that the caller left after the replica had sent nothing for long.
-	Silent
-	// Dropped means that the caller left or its time ran out; it says nothing about the replica.
-	Dropped
+	// Unresponsive means that the caller left after the replica had sent nothing for long.
+	Unresponsive
+	// Abandoned means that the caller left or its time ran out; it says nothing about the replica.
+	Abandoned
 )
 
 // Done releases the place. took is the time of a unit of work; zero if unknown.
@@ -76,11 +76,11 @@
 		t.finishTurn(l, out, took)
 	}
 	if took > 0 {
-		mean, ok := t.meanUnitTime[l.ask.Work]
+		mean, ok := t.meanUnitTime[l.ask.WorkKind]
 		if !ok {
 			mean = took
 		}
-		t.meanUnitTime[l.ask.Work] = mean + time.Duration(unitTimeGain*float64(took-mean))
+		t.meanUnitTime[l.ask.WorkKind] = mean + time.Duration(unitTimeGain*float64(took-mean))
 		s.slowdown += slowdownGain * (float64(took)/float64(mean) - s.slowdown)
 	}
 	if !s.removed {
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -61,7 +61,7 @@
 	// listedAt is when the replica was listed, coldUntil the end of its cold phase by its own entry, and
 	// coldCalls the times of the calls sent to it while it was cold.
 	listedAt, coldUntil time.Time
-	coldCalls           sched.Sent
+	coldCalls           sched.SendLog
 	// load is the newest load report, loadAt when it arrived, and inFlightAtReport the value of inFlight
 	// then.
 	load work.Load
@@ -74,10 +74,10 @@
 // Pool holds the connections to a replica.
 type Pool interface {
 	Close()
-	// Limit sets the maximum number of open connections.
-	Limit(connections int)
-	// Connected reports whether a call could now reuse an idle connection.
-	Connected() bool
+	// SetLimit sets the maximum number of open connections.
+	SetLimit(connections int)
+	// HasIdle reports whether a call could now reuse an idle connection.
+	HasIdle() bool
 }
 
 // Opener creates the connection pool of a replica.
@@ -137,8 +137,8 @@
 	t.onFailing = do
 }
 
-// Failing records a failure rate that another box observed at a replica, unless the known rate is higher.
-func (t *Targets) Failing(id string, share float64) {
+// UpdateFailureRate records a failure rate that another box observed at a replica, unless the known rate is higher.
+func (t *Targets) UpdateFailureRate(id string, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.byID[id]
@@ -159,16 +159,16 @@
 	t.updatePoolLimits()
 }
 
-// Boxes sets the number of boxes that share the replicas' connections.
-func (t *Targets) Boxes(n int) {
+// SetBoxCount sets the number of boxes that share the replicas' connections.
+func (t *Targets) SetBoxCount(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.boxes = max(n, 1)
 	t.updatePoolLimits()
 }
 
-// Placers sets the number of boxes that place calls at the same replicas, including this one.
-func (t *Targets) Placers(n int) {
+// SetPlacerCount sets the number of boxes that place calls at the same replicas, including this one.
+func (t *Targets) SetPlacerCount(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.placers = max(n, 1)
@@ -178,7 +178,7 @@
 func (t *Targets) updatePoolLimits() {
 	for _, s := range t.byID {
 		if s.pool != nil {
-			s.pool.Limit(t.maxConnections(s))
+			s.pool.SetLimit(t.maxConnections(s))
 		}
 	}
 }
@@ -188,12 +188,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.byID[rep.ID]
-	if ok && rep.Born.Before(known.Born) && !rep.Born.IsZero() {
+	if ok && rep.StartedAt.Before(known.StartedAt) && !rep.StartedAt.IsZero() {
 		return // the known state is of a later start
 	}
-	if ok && known.Addr == rep.Addr && known.Service == rep.Service && !rep.Reborn(known.Replica) {
-		if rep.Born.IsZero() {
-			rep.Born = known.Born
+	if ok && known.Addr == rep.Addr && known.Service == rep.Service && !rep.RestartedSince(known.Replica) {
+		if rep.StartedAt.IsZero() {
+			rep.StartedAt = known.StartedAt
 		}
 		if rep.Draining && !known.Draining {
 			t.log.Info("target: replica is draining", "replica", rep.ID, "service", rep.Service)
@@ -205,7 +205,7 @@
 		known.extendCold(time.Now())
 		return
 	}
-	if ok && rep.Reborn(known.Replica) {
+	if ok && rep.RestartedSince(known.Replica) {
 		t.discardRestarted(known)
 	} else if ok {
 		t.remove(known)
@@ -228,7 +228,7 @@
 	s.level = t.levels[subset.Group(rep.Service, rep.Zone)]
 	t.byID[rep.ID] = s
 	t.services[rep.Service] = append(t.services[rep.Service], s)
-	t.log.Info("target: replica listed", "replica", rep.ID, "service", rep.Service, "zone", rep.Zone, "born", rep.Born)
+	t.log.Info("target: replica listed", "replica", rep.ID, "service", rep.Service, "zone", rep.Zone, "born", rep.StartedAt)
 }
 
 // replaceRestarted resets a replica that has restarted under the same ID. Nothing known about the earlier
@@ -236,14 +236,14 @@
 // draining.
 func (t *Targets) replaceRestarted(s *state, born time.Time) {
 	rep := s.Replica
-	rep.Born, rep.Draining, rep.Cold = born, false, 0
+	rep.StartedAt, rep.Draining, rep.WarmupLeft = born, false, 0
 	t.discardRestarted(s)
 	t.log.Warn("target: replica restarted", "replica", rep.ID, "service", rep.Service, "born", born)
 	t.add(rep)
 }
 
-// Miss marks a replica as missing. Its state is kept in case it is listed again.
-func (t *Targets) Miss(id string) {
+// MarkMissing marks a replica as missing. Its state is kept in case it is listed again.
+func (t *Targets) MarkMissing(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.byID[id]; ok {
@@ -284,26 +284,26 @@
 	return models
 }
 
-// Loaded records a load report of a replica. A report of an earlier start is ignored.
-func (t *Targets) Loaded(id string, load work.Load) {
+// UpdateLoad records a load report of a replica. A report of an earlier start is ignored.
+func (t *Targets) UpdateLoad(id string, load work.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.byID[id]
-	if !ok || (load.Born.Before(s.Born) && !load.Born.IsZero()) {
+	if !ok || (load.StartedAt.Before(s.StartedAt) && !load.StartedAt.IsZero()) {
 		return
 	}
 	switch {
-	case s.Born.IsZero():
-		s.Born = load.Born
-	case load.Born.After(s.Born):
-		t.replaceRestarted(s, load.Born)
+	case s.StartedAt.IsZero():
+		s.StartedAt = load.StartedAt
+	case load.StartedAt.After(s.StartedAt):
+		t.replaceRestarted(s, load.StartedAt)
 		s = t.byID[id]
 	}
 	s.load, s.loadAt, s.inFlightAtReport = load, time.Now(), s.inFlight
 }
 
-// Listed returns the sorted IDs of the replicas.
-func (t *Targets) Listed() []string {
+// ListedIDs returns the sorted IDs of the replicas.
+func (t *Targets) ListedIDs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ids := make([]string, 0, len(t.byID))
@@ -331,18 +331,18 @@
 
 // Ask describes a call to place.
 type Ask struct {
-	// Work names the kind of work, by which unit times are averaged.
-	Work     string
+	// WorkKind names the kind of work, by which unit times are averaged.
+	WorkKind string
 	Services []work.Split
 	// Regions are those in which the call may run; an empty list allows all.
 	Regions []string
-	// Avoid lists the IDs of replicas to which the call must not be sent, since it was sent there before.
-	Avoid []string
+	// Exclude lists the IDs of replicas to which the call must not be sent, since it was sent there before.
+	Exclude []string
 	// Prompt is nil for calls of plain services.
 	Prompt *work.Prompt
-	// Seen maps a replica's Life to the number of prompt tokens that it still caches from earlier turns;
+	// CachedTokens maps a replica's Life to the number of prompt tokens that it still caches from earlier turns;
 	// may be nil.
-	Seen map[string]int
+	CachedTokens map[string]int
 	// Turn is the input to admission control.
 	Turn sched.Turn
 }
@@ -367,22 +367,22 @@
 	}
 	s.inFlight++
 	if s.cold(now, t.serviceConfig(s.Service)) {
-		s.coldCalls.Note(now)
+		s.coldCalls.Record(now)
 	}
 	if ask.Prompt != nil {
 		s.lastTurnAt = now
 		s.rememberParts(now, ask.Prompt.Parts)
-		t.admissionFor(s.Service).Begin(now, ask.Turn)
+		t.admissionFor(s.Service).TurnStarted(now, ask.Turn)
 	}
 	return &Lease{
-		Replica: s.Replica, Cached: best.estimate.Cached, Score: best.cost, Among: candidates,
-		targets: t, state: s, ask: ask, startedAt: now, lightLoad: best.estimate.Calm(),
+		Replica: s.Replica, Cached: best.estimate.CachedTokens, ExpectedCost: best.cost, Candidates: candidates,
+		targets: t, state: s, ask: ask, startedAt: now, lightLoad: best.estimate.LightlyLoaded(),
 	}
 }
 
-// Draw sets the subset levels at which this box's replicas were selected. The fewer boxes use a replica,
+// SetLevels sets the subset levels at which this box's replicas were selected. The fewer boxes use a replica,
 // the larger the share of its connections that each may open.
-func (t *Targets) Draw(levels subset.Levels) {
+func (t *Targets) SetLevels(levels subset.Levels) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.levels = levels
--- a/gate/target/target_test.go
+++ b/gate/target/target_test.go
@@ -35,9 +35,9 @@
 	id    string
 }
 
-func (c fakePool) Close()                { c.pools.closed++ }
-func (c fakePool) Limit(connections int) { c.pools.limit = connections }
-func (c fakePool) Connected() bool       { return c.pools.connected == c.id }
+func (c fakePool) Close()                   { c.pools.closed++ }
+func (c fakePool) SetLimit(connections int) { c.pools.limit = connections }
+func (c fakePool) HasIdle() bool            { return c.pools.connected == c.id }
 
 func newTargets(n int, engine bool) (*Targets, *fakePools) {
 	p := &fakePools{}
@@ -62,7 +62,7 @@
 
 func take(tb testing.TB, t *Targets, ask Ask) *Lease {
 	tb.Helper()
-	ask.Work, ask.Services = "w", splitToS
+	ask.WorkKind, ask.Services = "w", splitToS
 	lease, err := t.Take(ask)
 	if err != nil {
 		tb.Fatal(err)
@@ -140,13 +140,13 @@
 // reports that it is full.
 func TestTurnsFollowCachedPrompt(t *testing.T) {
 	targets, _ := newTargets(3, true)
-	ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, Seen: map[string]int{"r1": 5500}}
+	ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
 	for range 5 {
 		if lease := take(t, targets, ask); lease.Replica.ID != "r1" || lease.Cached != 5500 {
 			t.Fatalf("placed at %s with %d cached tokens", lease.Replica.ID, lease.Cached)
 		}
 	}
-	targets.Loaded("r1", work.Load{Running: 8, Waiting: 60})
+	targets.UpdateLoad("r1", work.Load{Running: 8, Waiting: 60})
 	if lease := take(t, targets, ask); lease.Replica.ID == "r1" {
 		t.Error("placed at a replica where 60 calls wait")
 	}
@@ -156,9 +156,9 @@
 // the least reported load.
 func TestFirstTurnFollowsReports(t *testing.T) {
 	targets, _ := newTargets(3, true)
-	targets.Loaded("r0", work.Load{Running: 7})
-	targets.Loaded("r1", work.Load{Running: 1})
-	targets.Loaded("r2", work.Load{Running: 6})
+	targets.UpdateLoad("r0", work.Load{Running: 7})
+	targets.UpdateLoad("r1", work.Load{Running: 1})
+	targets.UpdateLoad("r2", work.Load{Running: 6})
 	if got := take(t, targets, Ask{Prompt: &work.Prompt{Tokens: 1000}}).Replica.ID; got != "r1" {
 		t.Errorf("placed at %s", got)
 	}
@@ -171,8 +171,8 @@
 // that is listed.
 func TestMissingReplicasOfSmallService(t *testing.T) {
 	targets, _ := newTargets(3, false)
-	targets.Miss("r0")
-	targets.Miss("r1")
+	targets.MarkMissing("r0")
+	targets.MarkMissing("r1")
 	for range 10 {
 		if got := take(t, targets, Ask{}).Replica.ID; got != "r2" {
 			t.Fatalf("call placed at %s", got)
@@ -197,9 +197,9 @@
 		do   func()
 		want []string
 	}{
-		{func() { targets.Miss("r0"); targets.Miss("r1") }, []string{"r2", "r3", "r4", "r5"}},
-		{func() { targets.Miss("r2"); targets.Miss("r3") }, []string{"r4", "r5"}},
-		{func() { targets.Miss("r4") }, []string{"r0", "r1", "r2", "r3", "r4", "r5"}},
+		{func() { targets.MarkMissing("r0"); targets.MarkMissing("r1") }, []string{"r2", "r3", "r4", "r5"}},
+		{func() { targets.MarkMissing("r2"); targets.MarkMissing("r3") }, []string{"r4", "r5"}},
+		{func() { targets.MarkMissing("r4") }, []string{"r0", "r1", "r2", "r3", "r4", "r5"}},
 		{func() { targets.Put(replica(1, "a")) }, []string{"r1", "r5"}},
 		{func() { targets.Drop("r0") }, []string{"r1", "r5"}},
 	}
@@ -256,11 +256,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, waiting := range []int{0, 2} {
 			targets, _ := newTargets(3, true)
-			targets.Loaded("r1", work.Load{Running: 1, Waiting: waiting})
-			ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, Seen: map[string]int{"r1": 5500}}
+			targets.UpdateLoad("r1", work.Load{Running: 1, Waiting: waiting})
+			ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
 			for range 3 {
 				if lease := take(t, targets, ask); lease.Replica.ID == "r1" {
-					lease.Done(Silent, 0)
+					lease.Done(Unresponsive, 0)
 				}
 			}
 			lease := take(t, targets, ask)
@@ -276,7 +276,7 @@
 	targets, p := newTargets(1, false)
 	var got []int
 	for _, boxes := range []int{6, 21, 46, 1000} {
-		targets.Boxes(boxes)
+		targets.SetBoxCount(boxes)
 		take(t, targets, Ask{}).Done(Answered, 0)
 		got = append(got, p.limit)
 	}
@@ -311,7 +311,7 @@
 func TestTakeInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		targets, _ := newTargets(5, rapid.Bool().Draw(rt, "engine"))
-		targets.Boxes(rapid.IntRange(1, 60).Draw(rt, "boxes"))
+		targets.SetBoxCount(rapid.IntRange(1, 60).Draw(rt, "boxes"))
 		var leases []*Lease
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 4).Draw(rt, "replica")
@@ -329,7 +329,7 @@
 				}
 			default:
 				avoid := []string{fmt.Sprintf("r%d", i)}
-				lease, err := targets.Take(Ask{Work: "w", Services: splitToS, Avoid: avoid, Prompt: &work.Prompt{Tokens: 100 * i}})
+				lease, err := targets.Take(Ask{WorkKind: "w", Services: splitToS, Exclude: avoid, Prompt: &work.Prompt{Tokens: 100 * i}})
 				if err != nil {
 					continue
 				}
@@ -355,7 +355,7 @@
 				if lease.Replica.ID == "r0" {
 					toFailing++
 					if i%5 < 2 {
-						out = Broken
+						out = Incomplete
 					}
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/gate/turns/answer.go
+++ b/gate/turns/answer.go
@@ -16,10 +16,10 @@
 func (t *turn) forwardReply(ctx context.Context, reply work.Reply) error {
 	defer reply.Body.Close()
 	if err := t.awaitStart(ctx); err != nil {
-		t.lease.Done(target.Dropped, 0)
+		t.lease.Done(target.Abandoned, 0)
 		return err
 	}
-	if reply.Head.Status != http.StatusOK || !reply.Sound {
+	if reply.Head.Status != http.StatusOK || !reply.Signed {
 		return t.forwardFailure(reply)
 	}
 	begun := time.Now()
@@ -39,12 +39,12 @@
 // forwardFailure forwards an answer with an error status, which is no event stream.
 func (t *turn) forwardFailure(reply work.Reply) error {
 	if reply.Head.Status < http.StatusMultipleChoices {
-		t.lease.Done(target.Broken, 0)
+		t.lease.Done(target.Incomplete, 0)
 		return fault.Fail(fault.Protocol, "the answer lacks the replica's proof of origin")
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxLine))
 	if err != nil {
-		t.lease.Done(target.Broken, 0)
+		t.lease.Done(target.Incomplete, 0)
 		return fault.Fail(fault.TargetFailed, "the answer broke off").Because(err)
 	}
 	t.lease.Done(statusOutcome(reply.Head.Status), 0)
@@ -67,7 +67,7 @@
 func statusOutcome(status int) target.Outcome {
 	switch {
 	case status == http.StatusGatewayTimeout:
-		return target.Dropped
+		return target.Abandoned
 	case status >= http.StatusInternalServerError:
 		return target.Failed
 	default:
@@ -81,7 +81,7 @@
 		t.answer.head = reply.Head
 		t.answer.head.Length = -1
 	}
-	err := work.Copy(reply.Body, t.answer, fault.TargetFailed)
+	err := work.CopyBody(reply.Body, t.answer, fault.TargetFailed)
 	if err == nil {
 		return t.answer.flush()
 	}
@@ -148,7 +148,7 @@
 func (p *answerWriter) send(data []byte) error {
 	if !p.begun {
 		p.begun = true
-		p.turn.lease.First(time.Since(p.turn.sentAt))
+		p.turn.lease.RecordFirstEvent(time.Since(p.turn.sentAt))
 		p.turn.firstEventLatency = time.Since(p.turn.call.Arrived)
 		if err := p.Begin(p.head); err != nil {
 			return err
--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -61,10 +61,10 @@
 		return fault.Refuse(fault.TooLarge, "the history to copy is too long for a log record")
 	}
 	var recs []work.Record
-	history, err := state.Line(t.open.Program, t.open.Previous)
+	history, err := state.History(t.open.Program, t.open.Previous)
 	if fault.Is(err, fault.NoTurn) && t.call.Turn.Base != nil {
-		recs = append(recs, state.Import(time.Now(), t.open.Program, t.open.Previous, t.call.Turn.Base, t.open.Retention))
-		history, err = state.Line(t.open.Program, t.open.Previous)
+		recs = append(recs, state.ImportCopy(time.Now(), t.open.Program, t.open.Previous, t.call.Turn.Base, t.open.Retention))
+		history, err = state.History(t.open.Program, t.open.Previous)
 	}
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 	if size > maxHistoryBytes {
 		return fault.Refuse(fault.TooLarge, "the program's history is too long")
 	}
-	starts, err := state.Start(time.Now(), t.open, t.call.Turn.Budget)
+	starts, err := state.BeginStateful(time.Now(), t.open, t.call.Turn.Budget)
 	if err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 	t.cachedTokens = map[string]int{}
 	for _, before := range history {
 		t.prompt = append(t.prompt, before.Text...)
-		if before.Ran != "" {
-			t.cachedTokens[before.Ran] = before.Cached
+		if before.RanOn != "" {
+			t.cachedTokens[before.RanOn] = before.CachedTokens
 		}
 	}
 	t.prompt = append(t.prompt, t.input...)
@@ -112,18 +112,18 @@
 		return fault.Fail(fault.TooLarge, "the turn with its answer is too long for a log record")
 	}
 	tokens := t.answerTokens(t.answer.collected.count)
-	var pending *shard.Pending
-	t.slot.Change(func(state *chain.State) {
+	var pending *shard.PendingWrite
+	t.slot.Update(func(state *chain.State) {
 		finished, recs := state.Finish(time.Now(), t.open, tokens, text)
-		finished.Ran = t.lease.Replica.Life()
+		finished.RanOn = t.lease.Replica.RunID()
 		if t.call.Prompt != nil {
-			finished.Cached = t.call.Prompt.Tokens + tokens
+			finished.CachedTokens = t.call.Prompt.Tokens + tokens
 		}
 		pending = t.slot.QueueLocked(recs)
 		t.ended = true
 	})
 	start := time.Now()
-	if err := t.slot.Await(ctx, pending); err != nil {
+	if err := t.slot.WaitOrForward(ctx, pending); err != nil {
 		t.log.Warn("turns: end of turn not confirmed by the log", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
 		t.counts.Count("turns.unconfirmed", 1)
 		go t.releaseReservation(context.Background(), pending) // returns at the latest when the slot is given up
@@ -137,16 +137,16 @@
 
 // releaseReservation lets the program's next turn use the tokens that this one had reserved, once this owner
 // has written the turn's end to the log.
-func (t *statefulLedger) releaseReservation(ctx context.Context, end *shard.Pending) {
+func (t *statefulLedger) releaseReservation(ctx context.Context, end *shard.PendingWrite) {
 	if end.Wait(ctx) == nil {
-		t.slot.Change(func(state *chain.State) { state.Free(t.open) })
+		t.slot.Update(func(state *chain.State) { state.FreeReservation(t.open) })
 	}
 }
 
 func (t *statefulLedger) abort() {
-	t.slot.Change(func(state *chain.State) {
+	t.slot.Update(func(state *chain.State) {
 		if t.mayHaveRun {
-			state.Break(t.open)
+			state.Abort(t.open)
 			return
 		}
 		if drops := state.Cancel(t.open); len(drops) > 0 {
@@ -160,14 +160,14 @@
 type statelessLedger struct{ *turn }
 
 func (t *statelessLedger) enter(state *chain.State) error {
-	recs, err := state.Draw(time.Now(), t.open, t.call.Turn.Budget)
+	recs, err := state.BeginStateless(time.Now(), t.open, t.call.Turn.Budget)
 	if err != nil {
 		return err
 	}
 	t.prompt = t.input
 	if len(recs) > 0 {
 		t.started = t.slot.QueueLocked(recs)
-		t.open.Granted = state.Granted(t.open.Program)
+		t.open.GrantedTokens = state.GrantedTokens(t.open.Program)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 func (t *statelessLedger) needsLog() bool { return t.started != nil }
 
 func (t *statelessLedger) onStartLogged() {
-	t.slot.Change(func(state *chain.State) { state.Confirm(t.open.Program, t.open.Granted) })
+	t.slot.Update(func(state *chain.State) { state.ConfirmGrant(t.open.Program, t.open.GrantedTokens) })
 }
 
 // finish charges the answer's tokens without waiting for the log.
@@ -195,11 +195,11 @@
 func (t *statelessLedger) charge() {
 	tokens := 0
 	if t.answer.begun {
-		tokens = min(t.answerTokens(t.answer.collected.started()), t.open.Most)
+		tokens = min(t.answerTokens(t.answer.collected.started()), t.open.MaxTokens)
 	}
-	var pending *shard.Pending
-	t.slot.Change(func(state *chain.State) {
-		if recs := state.Return(t.open, tokens); len(recs) > 0 {
+	var pending *shard.PendingWrite
+	t.slot.Update(func(state *chain.State) {
+		if recs := state.EndStateless(t.open, tokens); len(recs) > 0 {
 			pending = t.slot.QueueLocked(recs)
 		}
 	})
@@ -210,10 +210,10 @@
 
 // awaitSettlement waits until the log holds what the turn has spent, if need be by way of the slot's next
 // owner, which otherwise counts the turn's maximum.
-func (t *statelessLedger) awaitSettlement(pending *shard.Pending) {
+func (t *statelessLedger) awaitSettlement(pending *shard.PendingWrite) {
 	ctx, stop := context.WithTimeout(context.Background(), settleTimeout)
 	defer stop()
-	if err := t.slot.Await(ctx, pending); err != nil {
+	if err := t.slot.WaitOrForward(ctx, pending); err != nil {
 		t.log.Info("turns: tokens spent not logged, the next owner counts the turn's maximum", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
 	}
 }
@@ -222,6 +222,6 @@
 func (t *turn) answered(confirm time.Duration) {
 	t.counts.Time("turns.first_event{class="+t.route.Name+"}", t.firstEventLatency)
 	t.log.Info("turns: turn answered", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(),
-		"replica", t.lease.Replica.ID, "prompt", promptTokens(t.call), "cached", t.lease.Cached, "score", t.lease.Score, "among", t.lease.Among,
+		"replica", t.lease.Replica.ID, "prompt", promptTokens(t.call), "cached", t.lease.Cached, "score", t.lease.ExpectedCost, "among", t.lease.Candidates,
 		"sent", t.sent, "placed", t.sentAt.Sub(t.call.Arrived), "events", t.answer.collected.count, "first", t.firstEventLatency, "confirm", confirm, "took", time.Since(t.call.Arrived))
 }
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -46,7 +46,7 @@
 // Targets selects replicas.
 type Targets interface {
 	// Admit decides whether the program of a turn may start.
-	Admit(ask target.Ask) sched.Verdict
+	Admit(ask target.Ask) sched.AdmissionDecision
 	Take(ask target.Ask) (*target.Lease, error)
 }
 
@@ -77,7 +77,7 @@
 	slot   *shard.Slot
 	call   *work.Call
 	route  *work.Route
-	open   chain.Open
+	open   chain.OpenTurn
 	ledger ledger
 	// input is what the caller sent; prompt is the program's history followed by input.
 	input, prompt []byte
@@ -85,7 +85,7 @@
 	cachedTokens map[string]int
 	// started is the pending record that must be in the log before any of the answer is sent to the
 	// caller; nil if the log already holds it.
-	started *shard.Pending
+	started *shard.PendingWrite
 	// firstTurn is set for a program's first turn; failures counts this turn's consecutive failed tries.
 	firstTurn bool
 	failures  int
@@ -111,19 +111,19 @@
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
 	t := &turn{Runner: r, slot: slot, call: call, route: route, input: call.Body, lease: &target.Lease{}}
-	t.open = chain.Open{
-		ID: call.Own(call.ID), Program: call.Own(call.Turn.Program), Previous: call.Own(call.Turn.Previous), Most: maxAnswerTokens(call), Retention: route.Retention,
+	t.open = chain.OpenTurn{
+		ID: call.QualifiedName(call.ID), Program: call.QualifiedName(call.Turn.Program), Previous: call.QualifiedName(call.Turn.Previous), MaxTokens: maxAnswerTokens(call), Retention: route.Retention,
 	}
 	t.answer = &answerWriter{turn: t, Answer: out}
 	t.ledger = newLedger(t)
-	if err := slot.Enter(t.enter); err != nil {
+	if err := slot.BeginTurn(t.enter); err != nil {
 		return err
 	}
 	err := t.run(ctx)
 	if err != nil && !t.ended {
 		t.abandon(ctx, err)
 	}
-	t.slot.Change(func(state *chain.State) { t.recordResult(state, err) })
+	t.slot.Update(func(state *chain.State) { t.recordResult(state, err) })
 	return err
 }
 
@@ -131,17 +131,17 @@
 func (t *turn) recordResult(state *chain.State, err error) {
 	switch {
 	case err == nil:
-		state.Pass(t.open)
+		state.ResetFailures(t.open)
 	case t.mayHaveRun:
-		state.Fail(t.open)
+		state.CountFailure(t.open)
 	}
 }
 
 // enter starts the turn in the slot's state. A program that has not started and would not finish in time is
 // refused before anything about it is written.
 func (t *turn) enter(state *chain.State) error {
-	t.firstTurn = !state.Begun(t.open.Program)
-	t.failures = state.Failures(t.open)
+	t.firstTurn = !state.HasStarted(t.open.Program)
+	t.failures = state.FailureCount(t.open)
 	if err := t.admit(); err != nil {
 		return err
 	}
@@ -158,9 +158,9 @@
 		return nil
 	}
 	t.log.Info("turns: program not begun", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "left", t.call.Turn.Left,
-		"stretch", verdict.Stretch, "taken", verdict.Taken, "retry_after", verdict.After)
+		"stretch", verdict.Slowdown, "taken", verdict.Utilization, "retry_after", verdict.RetryAfter)
 	t.counts.Count("turns.not_begun", 1)
-	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").After(verdict.After)
+	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").After(verdict.RetryAfter)
 }
 
 // maxAnswerTokens returns the most tokens that the call's answer may have, zero without a prompt.
@@ -214,7 +214,7 @@
 // caller has enough time to retry. Another failure would end the program, and a later try is more likely to
 // outlast the outage. Earlier tries wait for the log instead.
 func (t *turn) postpone() error {
-	if t.failures < maxFailures || !t.ledger.needsLog() || t.slot.Behind() < logUnavailableAfter {
+	if t.failures < maxFailures || !t.ledger.needsLog() || t.slot.AppendAge() < logUnavailableAfter {
 		return nil
 	}
 	left := time.Until(t.call.Deadline)
@@ -229,9 +229,9 @@
 // ask returns the placement request for the turn; avoid lists the replicas already tried.
 func (t *turn) ask(avoid []string) target.Ask {
 	return target.Ask{
-		Work: t.route.Name, Services: t.route.Splits, Regions: t.call.Regions, Avoid: avoid, Prompt: t.call.Prompt, Seen: t.cachedTokens,
+		WorkKind: t.route.Name, Services: t.route.Splits, Regions: t.call.Regions, Exclude: avoid, Prompt: t.call.Prompt, CachedTokens: t.cachedTokens,
 		Turn: sched.Turn{
-			Program: t.open.Program, Kind: t.route.Name, Fresh: t.firstTurn, Priority: t.route.Priority, Left: t.call.Turn.Left,
+			Program: t.open.Program, Kind: t.route.Name, NewProgram: t.firstTurn, Priority: t.route.Priority, TimeLeft: t.call.Turn.Left,
 			Arrived: t.call.Arrived,
 		},
 	}
@@ -253,7 +253,7 @@
 
 // attempt sends the turn to the lease's replica and forwards its answer.
 func (t *turn) attempt(ctx context.Context) error {
-	replicaCtx, stop := t.lease.Guard(ctx)
+	replicaCtx, stop := t.lease.CancelOnRestart(ctx)
 	defer stop()
 	reply, err := t.send(ctx, replicaCtx)
 	if err != nil {
@@ -313,13 +313,13 @@
 	case fault.From(err).NotRun:
 		return target.Unreached
 	case fault.Is(err, fault.CallerGone):
-		return target.Dropped
+		return target.Abandoned
 	case ctx.Err() == nil:
-		return target.Broken
+		return target.Incomplete
 	case time.Since(t.lastReceived) >= silenceThreshold:
-		return target.Silent
+		return target.Unresponsive
 	default:
-		return target.Dropped
+		return target.Abandoned
 	}
 }
 
@@ -341,7 +341,7 @@
 // is not known, it returns the turn's maximum.
 func (t *turn) answerTokens(events int) int {
 	if t.route.Stride == 0 {
-		return t.open.Most
+		return t.open.MaxTokens
 	}
 	return events * t.route.Stride
 }
--- a/gate/turns/turns_test.go
+++ b/gate/turns/turns_test.go
@@ -17,7 +17,7 @@
 func TestAnswerTokens(t *testing.T) {
 	got := map[int]int{}
 	for _, stride := range []int{0, 1, 4} {
-		tr := &turn{route: &work.Route{Stride: stride}, open: chain.Open{Most: 136}}
+		tr := &turn{route: &work.Route{Stride: stride}, open: chain.OpenTurn{MaxTokens: 136}}
 		got[stride] = tr.answerTokens(11)
 	}
 	if diff := cmp.Diff(map[int]int{0: 136, 1: 11, 4: 44}, got); diff != "" {
@@ -28,7 +28,7 @@
 // TestStatusOutcome checks that only a replica's own failures count against it.
 func TestStatusOutcome(t *testing.T) {
 	for status, want := range map[int]target.Outcome{
-		400: target.Answered, 404: target.Answered, 500: target.Failed, 502: target.Failed, 503: target.Failed, 504: target.Dropped,
+		400: target.Answered, 404: target.Answered, 500: target.Failed, 502: target.Failed, 503: target.Failed, 504: target.Abandoned,
 	} {
 		if got := statusOutcome(status); got != want {
 			t.Errorf("status %d: outcome %d, want %d", status, got, want)
@@ -50,10 +50,10 @@
 		want   target.Outcome
 	}{
 		{"no connection", false, 0, context.Background(), fault.Refuse(fault.NoTarget, ""), target.Unreached},
-		{"broke off", true, 0, context.Background(), fault.Fail(fault.TargetFailed, ""), target.Broken},
-		{"caller does not take the answer", true, time.Minute, left, fault.Fail(fault.CallerGone, ""), target.Dropped},
-		{"caller left early", true, silenceThreshold / 2, left, fault.Fail(fault.TimedOut, ""), target.Dropped},
-		{"caller left a silent replica", true, 2 * silenceThreshold, left, fault.Fail(fault.TimedOut, ""), target.Silent},
+		{"broke off", true, 0, context.Background(), fault.Fail(fault.TargetFailed, ""), target.Incomplete},
+		{"caller does not take the answer", true, time.Minute, left, fault.Fail(fault.CallerGone, ""), target.Abandoned},
+		{"caller left early", true, silenceThreshold / 2, left, fault.Fail(fault.TimedOut, ""), target.Abandoned},
+		{"caller left a silent replica", true, 2 * silenceThreshold, left, fault.Fail(fault.TimedOut, ""), target.Unresponsive},
 	}
 	for _, c := range cases {
 		tr := &turn{mayHaveRun: c.ran, lastReceived: time.Now().Add(-c.silent)}
--- a/gate/view/reached.go
+++ b/gate/view/reached.go
@@ -9,8 +9,8 @@
 // failureStreak holds when the first and the last of a box's recent failed calls happened.
 type failureStreak struct{ first, last time.Time }
 
-// Unreached records that a call failed to reach the box.
-func (v *View) Unreached(box work.Box) {
+// MarkUnreachable records that a call failed to reach the box.
+func (v *View) MarkUnreachable(box work.Box) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
@@ -22,9 +22,9 @@
 	v.failures[box.Name] = streak
 }
 
-// JustUnreached reports whether a call failed to reach the box within unreachableBackoff. Callers then skip
+// RecentlyUnreachable reports whether a call failed to reach the box within unreachableBackoff. Callers then skip
 // the box in place of waiting for another failure.
-func (v *View) JustUnreached(box work.Box) bool {
+func (v *View) RecentlyUnreachable(box work.Box) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	streak, ok := v.failures[box.Name]
@@ -40,7 +40,7 @@
 	if box.Name == v.self.Name {
 		remaining = time.Until(v.answeringSince.Add(v.settlePeriod()))
 	} else if streak, ok := v.failures[box.Name]; ok {
-		remaining = time.Until(streak.first.Add(v.memberTTL() + v.timing.Beat))
+		remaining = time.Until(streak.first.Add(v.memberTTL() + v.timing.HeartbeatInterval))
 	}
 	return max(remaining, 0) + claimDuration
 }
--- a/gate/view/timing.go
+++ b/gate/view/timing.go
@@ -4,33 +4,33 @@
 
 // Timing holds the intervals and timeouts of a view.
 type Timing struct {
-	// Beat is the interval between heartbeats.
-	Beat time.Duration
-	// Hold is how long a membership lasts after a heartbeat; it spans several heartbeats. A multiple of the
-	// log's last latency is added to it, up to HoldMost.
-	Hold, HoldMost time.Duration
-	// Grace is how long boxes that the log no longer lists stay in the view after an outage of the log:
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
+	// MemberTTL is how long a membership lasts after a heartbeat; it spans several heartbeats. A multiple of the
+	// log's last latency is added to it, up to MaxMemberTTL.
+	MemberTTL, MaxMemberTTL time.Duration
+	// OutageGrace is how long boxes that the log no longer lists stay in the view after an outage of the log:
 	// their memberships may have expired only because they couldn't renew them.
-	Grace time.Duration
-	// Settle is how long the log must have answered without a gap before the view counts as complete.
+	OutageGrace time.Duration
+	// SettlePeriod is how long the log must have answered without a gap before the view counts as complete.
 	// It exceeds Call, because after an outage other boxes may still wait for a call to time out.
-	Settle time.Duration
-	// Begin replaces Settle for a box that reached the log as soon as it started. It spans two heartbeats,
+	SettlePeriod time.Duration
+	// StartSettlePeriod replaces Settle for a box that reached the log as soon as it started. It spans two heartbeats,
 	// in which boxes that start together have all joined.
-	Begin time.Duration
-	// Remember is how long a box that left can still be asked for its slots.
-	Remember time.Duration
-	// Reread is the interval at which the members are read again while the fleet does not change.
-	Reread time.Duration
-	// Call is the timeout of one call to the log.
-	Call time.Duration
+	StartSettlePeriod time.Duration
+	// DepartedTTL is how long a box that left can still be asked for its slots.
+	DepartedTTL time.Duration
+	// RereadInterval is the interval at which the members are read again while the fleet does not change.
+	RereadInterval time.Duration
+	// CallTimeout is the timeout of one call to the log.
+	CallTimeout time.Duration
 }
 
-// Usual returns the default timing. With it a dead box leaves the view about one heartbeat after Hold.
-func Usual() Timing {
+// DefaultTiming returns the default timing. With it a dead box leaves the view about one heartbeat after Hold.
+func DefaultTiming() Timing {
 	return Timing{
-		Beat: 300 * time.Millisecond, Hold: 1100 * time.Millisecond, HoldMost: 4 * time.Second, Grace: 2 * time.Second,
-		Settle: 1500 * time.Millisecond, Begin: 600 * time.Millisecond, Remember: 10 * time.Second, Reread: 5 * time.Second, Call: time.Second,
+		HeartbeatInterval: 300 * time.Millisecond, MemberTTL: 1100 * time.Millisecond, MaxMemberTTL: 4 * time.Second, OutageGrace: 2 * time.Second,
+		SettlePeriod: 1500 * time.Millisecond, StartSettlePeriod: 600 * time.Millisecond, DepartedTTL: 10 * time.Second, RereadInterval: 5 * time.Second, CallTimeout: time.Second,
 	}
 }
 
--- a/gate/view/view.go
+++ b/gate/view/view.go
@@ -126,8 +126,8 @@
 	return v.settled && time.Since(v.heartbeatConfirmedAt) <= v.memberTTL()
 }
 
-// Trusted reports whether the view has settled at least once since the start.
-func (v *View) Trusted() bool {
+// HasSettled reports whether the view has settled at least once since the start.
+func (v *View) HasSettled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.trusted
@@ -138,7 +138,7 @@
 func (v *View) Fresh() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return time.Since(v.heartbeatSentAt) < v.timing.Hold*3/4
+	return time.Since(v.heartbeatSentAt) < v.timing.MemberTTL*3/4
 }
 
 // ReadAge returns the time since the log last confirmed a heartbeat. The view may be out of date by that much.
@@ -178,7 +178,7 @@
 	v.mu.Unlock()
 	v.joinSem <- struct{}{}
 	defer func() { <-v.joinSem }()
-	ctx, stop := context.WithTimeout(ctx, v.timing.Call)
+	ctx, stop := context.WithTimeout(ctx, v.timing.CallTimeout)
 	defer stop()
 	v.removeSelf(ctx)
 	v.update(time.Now())
@@ -198,12 +198,12 @@
 
 // memberTTL returns how long the log keeps a member after its heartbeat.
 func (v *View) memberTTL() time.Duration {
-	return min(v.timing.Hold+ttlLatencies*v.logLatency, v.timing.HoldMost)
+	return min(v.timing.MemberTTL+ttlLatencies*v.logLatency, v.timing.MaxMemberTTL)
 }
 
 // run sends heartbeats until ctx ends. Between two of them it updates the view at the moment when it settles.
 func (v *View) run(ctx context.Context) {
-	tick := time.NewTicker(v.timing.Beat)
+	tick := time.NewTicker(v.timing.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		if err := v.heartbeat(ctx); err != nil && ctx.Err() == nil {
@@ -239,7 +239,7 @@
 
 // heartbeat renews this box's membership and reads the members if they may have changed.
 func (v *View) heartbeat(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, v.timing.Call)
+	ctx, stop := context.WithTimeout(ctx, v.timing.CallTimeout)
 	defer stop()
 	start := time.Now()
 	generation, leaving, err := v.join(ctx)
@@ -352,9 +352,9 @@
 		v.rereadsLeft = rereadsAfterChange + 1
 	}
 	v.rereadsLeft--
-	v.rereadAt = now.Add(rereadBeats*v.timing.Beat - v.timing.Beat/2)
+	v.rereadAt = now.Add(rereadBeats*v.timing.HeartbeatInterval - v.timing.HeartbeatInterval/2)
 	if v.rereadsLeft <= 0 {
-		v.rereadAt = now.Add(v.timing.Reread)
+		v.rereadAt = now.Add(v.timing.RereadInterval)
 	}
 	v.membersGeneration = generation
 }
@@ -410,14 +410,14 @@
 // expire drops former members after the grace period, boxes that left long ago and old failures.
 func (v *View) expire(now time.Time) {
 	for name, peer := range v.peers {
-		if !peer.member && now.Sub(v.answeringSince) >= v.timing.Grace {
+		if !peer.member && now.Sub(v.answeringSince) >= v.timing.OutageGrace {
 			v.logger.Info("view: box left or died", "other", name, "heard", now.Sub(peer.lastSeen))
 			delete(v.peers, name)
 			v.liveChanged = true
 		}
 	}
 	for name, peer := range v.departed {
-		if now.Sub(peer.lastSeen) > v.timing.Remember {
+		if now.Sub(peer.lastSeen) > v.timing.DepartedTTL {
 			delete(v.departed, name)
 		}
 	}
@@ -430,10 +430,10 @@
 
 // settlePeriod returns how long the log must have answered without a gap before the view settles.
 func (v *View) settlePeriod() time.Duration {
-	if v.answeringSince.Sub(v.startedAt) < v.timing.Beat {
-		return v.timing.Begin
+	if v.answeringSince.Sub(v.startedAt) < v.timing.HeartbeatInterval {
+		return v.timing.StartSettlePeriod
 	}
-	return v.timing.Settle
+	return v.timing.SettlePeriod
 }
 
 // listLive returns the live boxes, sorted by name.
--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -149,7 +149,7 @@
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	views := map[string]*View{}
 	for _, name := range names {
-		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, boxLog{fake: log, box: name}, Usual(), logger)
+		v := New(work.Box{Name: name, Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: name + "-1"}, boxLog{fake: log, box: name}, DefaultTiming(), logger)
 		if err := v.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -208,8 +208,8 @@
 		defer stopViews(late)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			if c := late["c"]; c.Settled() || c.Trusted() {
-				t.Fatalf("without members: settled = %v, trusted = %v, live = %v", c.Settled(), c.Trusted(), liveNames(c))
+			if c := late["c"]; c.Settled() || c.HasSettled() {
+				t.Fatalf("without members: settled = %v, trusted = %v, live = %v", c.Settled(), c.HasSettled(), liveNames(c))
 			}
 		}
 		log.cutOffAfterJoin("c", false)
@@ -247,7 +247,7 @@
 // TestOwnersAreRanked checks that the next box in the ranking becomes a slot's owner once the boxes before it
 // are gone. Callers rely on it to find the holder of a slot while a box joins.
 func TestOwnersAreRanked(t *testing.T) {
-	v := New(work.Box{Name: "a"}, nil, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	v := New(work.Box{Name: "a"}, nil, DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		v.live = append(v.live[:len(v.live):len(v.live)], work.Box{Name: name})
 	}
@@ -272,7 +272,7 @@
 // TestFastBoxesOwnMostSlots checks that the few fast boxes of a fleet own most slots, and that no box owns an
 // outsized share of them.
 func TestFastBoxesOwnMostSlots(t *testing.T) {
-	v := New(work.Box{Name: "a"}, nil, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	v := New(work.Box{Name: "a"}, nil, DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	v.live = nil
 	for i := range 195 {
 		box := work.Box{Name: "box-" + strconv.Itoa(i), Cores: 0.192, Link: 600}
@@ -317,7 +317,7 @@
 			for len(liveNames(views["a"])) == 3 && time.Since(start) < 10*time.Second {
 				time.Sleep(50 * time.Millisecond)
 			}
-			within := Usual().Hold + 2*Usual().Beat + 8*slow
+			within := DefaultTiming().MemberTTL + 2*DefaultTiming().HeartbeatInterval + 8*slow
 			if took := time.Since(start); took > within {
 				t.Errorf("dead box removed after %v, want at most %v", took, within)
 			}
@@ -354,7 +354,7 @@
 		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		_ = views["b"].Stop(context.Background())
-		restarted := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, boxLog{fake: log, box: "b"}, Usual(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		restarted := New(work.Box{Name: "b", Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: "b-2"}, boxLog{fake: log, box: "b"}, DefaultTiming(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err := restarted.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -374,13 +374,13 @@
 		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		for range 100 {
-			views["a"].Unreached(work.Box{Name: "b"})
+			views["a"].MarkUnreachable(work.Box{Name: "b"})
 			time.Sleep(50 * time.Millisecond)
 			if diff := cmp.Diff([]string{"a", "b"}, liveNames(views["a"])); diff != "" {
 				t.Fatalf("live boxes (-want +got):\n%s", diff)
 			}
 		}
-		if !views["a"].JustUnreached(work.Box{Name: "b"}) {
+		if !views["a"].RecentlyUnreachable(work.Box{Name: "b"}) {
 			t.Error("JustUnreached = false right after a failed call")
 		}
 	})
@@ -396,13 +396,13 @@
 		time.Sleep(3 * time.Second)
 		log.setCutOff("all", true)
 		time.Sleep(10 * time.Second)
-		if views["a"].Settled() || views["a"].Fresh() || !views["a"].Trusted() {
+		if views["a"].Settled() || views["a"].Fresh() || !views["a"].HasSettled() {
 			t.Error("after an outage of 10 s: view settled or fresh, or no longer trusted")
 		}
 		late := startViews(t, log, "late")
 		defer stopViews(late)
 		time.Sleep(2 * time.Second)
-		if late["late"].Settled() || late["late"].Trusted() {
+		if late["late"].Settled() || late["late"].HasSettled() {
 			t.Error("a view that started during the outage is settled or trusted")
 		}
 		log.setCutOff("all", false)
--- a/gate/work/call.go
+++ b/gate/work/call.go
@@ -17,26 +17,26 @@
 	Zone    string
 	// Slots is the number of calls that the replica processes concurrently.
 	Slots int
-	// Cold is the remaining warm-up time, as of the replica's report.
-	Cold time.Duration
+	// WarmupLeft is the remaining warm-up time, as of the replica's report.
+	WarmupLeft time.Duration
 	// Draining reports that the replica takes no new work.
 	Draining bool
-	// Born is the time at which the replica started; zero if it is not known. A replica that restarts
+	// StartedAt is the time at which the replica started; zero if it is not known. A replica that restarts
 	// with the same ID has lost its earlier state.
-	Born time.Time
+	StartedAt time.Time
 }
 
-// Life returns a name for this run of the replica, by which its cached prompts are tracked.
-func (r Replica) Life() string {
-	if r.Born.IsZero() {
+// RunID returns a name for this run of the replica, by which its cached prompts are tracked.
+func (r Replica) RunID() string {
+	if r.StartedAt.IsZero() {
 		return r.ID
 	}
-	return r.ID + "@" + strconv.FormatInt(r.Born.UnixMilli(), 10)
+	return r.ID + "@" + strconv.FormatInt(r.StartedAt.UnixMilli(), 10)
 }
 
-// Reborn reports whether the replica has restarted since the earlier description.
-func (r Replica) Reborn(before Replica) bool {
-	return r.Born.After(before.Born) && !before.Born.IsZero()
+// RestartedSince reports whether the replica has restarted since the earlier description.
+func (r Replica) RestartedSince(before Replica) bool {
+	return r.StartedAt.After(before.StartedAt) && !before.StartedAt.IsZero()
 }
 
 // Call is one attempt of a caller to have a request served.
@@ -117,8 +117,8 @@
 	Head Head
 	// NotRun reports that the replica declared that it did not run the call.
 	NotRun bool
-	// Sound reports whether the answer carries the replica's signature and has no content encoding.
-	Sound bool
+	// Signed reports whether the answer carries the replica's signature and has no content encoding.
+	Signed bool
 	// Body returns io.EOF only after the complete answer.
 	Body Body
 }
@@ -136,9 +136,9 @@
 	// Running and Waiting are numbers of calls.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Used and Total are the used part and the size of the replica's memory for prompts, in tokens.
-	Used  int `json:"used"`
-	Total int `json:"total"`
-	// Born is the time at which the reporting replica started; zero if it is not known.
-	Born time.Time `json:"born,omitzero"`
+	// UsedTokens and Total are the used part and the size of the replica's memory for prompts, in tokens.
+	UsedTokens  int `json:"used"`
+	TotalTokens int `json:"total"`
+	// StartedAt is the time at which the reporting replica started; zero if it is not known.
+	StartedAt time.Time `json:"born,omitzero"`
 }
--- a/gate/work/config.go
+++ b/gate/work/config.go
@@ -12,8 +12,8 @@
 const (
 	// Repeatable calls may run more than once.
 	Repeatable Kind = "repeatable"
-	// Once calls run at most once for each attempt of the caller.
-	Once Kind = "once"
+	// AtMostOnce calls run at most once for each attempt of the caller.
+	AtMostOnce Kind = "once"
 	// Stream calls are Once calls whose answer is a series of events.
 	Stream Kind = "stream"
 )
@@ -66,10 +66,10 @@
 	Name string
 	// Connections bounds the connections to one replica from all boxes together.
 	Connections int
-	// ColdFor is the warm-up time of a replica after its start, and ColdRate the calls a second that
+	// WarmupTime is the warm-up time of a replica after its start, and ColdRate the calls a second that
 	// all boxes together may send to it during that time; 0 means no limit.
-	ColdFor  time.Duration
-	ColdRate float64
+	WarmupTime time.Duration
+	WarmupRate float64
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
@@ -130,8 +130,8 @@
 	return maxStride
 }
 
-// Find returns the host's route with the longest prefix of the path, or nil.
-func (c *Config) Find(host, path string) *Route {
+// FindRoute returns the host's route with the longest prefix of the path, or nil.
+func (c *Config) FindRoute(host, path string) *Route {
 	var best *Route
 	for _, route := range c.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
--- a/gate/work/copy.go
+++ b/gate/work/copy.go
@@ -9,9 +9,9 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Push writes data to the client and flushes it if flush is not nil. A write error is returned as a
+// WriteToCaller writes data to the client and flushes it if flush is not nil. A write error is returned as a
 // CallerGone fault with the given detail.
-func Push(w io.Writer, flush *http.ResponseController, data []byte, detail string) error {
+func WriteToCaller(w io.Writer, flush *http.ResponseController, data []byte, detail string) error {
 	_, err := w.Write(data)
 	if err == nil && flush != nil {
 		err = flush.Flush()
@@ -25,9 +25,9 @@
 // copyBufferSize is the size in bytes of the buffer of Copy, which fits several events.
 const copyBufferSize = 4 << 10
 
-// Copy forwards a body as it arrives. A read error is returned as a fault of kind readFault, a write
+// CopyBody forwards a body as it arrives. A read error is returned as a fault of kind readFault, a write
 // error unchanged.
-func Copy(from io.Reader, out Answer, readFault fault.Kind) error {
+func CopyBody(from io.Reader, out Answer, readFault fault.Kind) error {
 	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buf)
--- a/gate/work/log.go
+++ b/gate/work/log.go
@@ -36,15 +36,15 @@
 	Next int64
 }
 
-// Pages is the part of Log that AllNewest uses.
-type Pages interface {
+// NewestReader is the part of Log that AllNewest uses.
+type NewestReader interface {
 	Newest(ctx context.Context, shard Shard, after string) (Batch, error)
 }
 
 // AllNewest calls each with the newest record of every key and returns an offset from which Read
 // returns all records added meanwhile. Each call to the log may take wait; the total is not bounded,
 // since it depends on the size of the shard.
-func AllNewest(ctx context.Context, log Pages, shard Shard, wait time.Duration, each func(Record)) (next int64, err error) {
+func AllNewest(ctx context.Context, log NewestReader, shard Shard, wait time.Duration, each func(Record)) (next int64, err error) {
 	next, after := int64(-1), ""
 	for {
 		batch, err := newestBatch(ctx, log, shard, wait, after)
@@ -64,7 +64,7 @@
 	}
 }
 
-func newestBatch(ctx context.Context, log Pages, shard Shard, wait time.Duration, after string) (Batch, error) {
+func newestBatch(ctx context.Context, log NewestReader, shard Shard, wait time.Duration, after string) (Batch, error) {
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	return log.Newest(ctx, shard, after)
--- a/gate/work/record.go
+++ b/gate/work/record.go
@@ -48,8 +48,8 @@
 	Age time.Duration `json:",omitempty"`
 }
 
-// Whole is a snapshot of a topic: the newest record of each key that a box has.
-type Whole struct {
+// Snapshot is a snapshot of a topic: the newest record of each key that a box has.
+type Snapshot struct {
 	Records []Record
 	// Next is an offset from which Read returns all records added meanwhile.
 	Next int64
--- a/gate/work/region.go
+++ b/gate/work/region.go
@@ -10,9 +10,9 @@
 	return len(allowed) == 0 || slices.Contains(allowed, r[zone])
 }
 
-// BothRegions returns the intersection of two lists of allowed regions, where an empty list allows all.
+// IntersectRegions returns the intersection of two lists of allowed regions, where an empty list allows all.
 // It returns false if the two lists have no region in common.
-func BothRegions(a, b []string) ([]string, bool) {
+func IntersectRegions(a, b []string) ([]string, bool) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b), true
 	}
--- a/gate/work/space.go
+++ b/gate/work/space.go
@@ -35,8 +35,8 @@
 	return callers
 }
 
-// Holder returns the workspace that holds the key with the digest.
-func (c *Callers) Holder(digest string) (Workspace, bool) {
+// WorkspaceByKey returns the workspace that holds the key with the digest.
+func (c *Callers) WorkspaceByKey(digest string) (Workspace, bool) {
 	name, ok := c.byDigest[digest]
 	if !ok || digest == "" {
 		return Workspace{}, false
@@ -49,8 +49,8 @@
 	return c.byName
 }
 
-// Workspace returns the workspace with the name.
-func (c *Callers) Workspace(name string) (Workspace, bool) {
+// WorkspaceByName returns the workspace with the name.
+func (c *Callers) WorkspaceByName(name string) (Workspace, bool) {
 	space, ok := c.byName[name]
 	return space, ok
 }
@@ -64,9 +64,9 @@
 	maxWorkspacePrefix = 24
 )
 
-// Own qualifies a caller's name for a program or a turn with the workspace, so that workspaces can't
+// QualifiedName qualifies a caller's name for a program or a turn with the workspace, so that workspaces can't
 // reach each other's programs by guessing names. An empty name stays empty.
-func (c *Call) Own(name string) string {
+func (c *Call) QualifiedName(name string) string {
 	if c.Workspace == "" || name == "" {
 		return name
 	}
