--- a/gate/chain/chain.go
+++ b/gate/chain/chain.go
@@ -25,7 +25,7 @@
 	// each event of its answer, each followed by a line feed.
 	Text []byte
 
-	// RanOn identifies the run of the replica that answered the turn (see work.Replica.Life); empty if
+	// RanOn identifies the run of the replica that answered the turn (see work.Replica.RunID); empty if
 	// another owner saw it.
 	RanOn string
 	// CachedTokens is the number of tokens of the chain that the replica held after the turn.
@@ -348,7 +348,7 @@
 	MaxTokens int
 	// Retention is how long the turn is kept after its end.
 	Retention time.Duration
-	// GrantedTokens is the size of the program's grant once the log holds the turn's record, for Confirm;
+	// GrantedTokens is the size of the program's grant once the log holds the turn's record, for ConfirmGrant;
 	// zero for a turn without such a record.
 	GrantedTokens int
 }
@@ -400,7 +400,7 @@
 }
 
 // Finish ends a turn with a complete answer and returns the records to write. The reservation is kept
-// for a later turn unless another of its size or more is free; Free makes it available.
+// for a later turn unless another of its size or more is free; FreeReservation makes it available.
 func (s *State) Finish(now time.Time, o OpenTurn, tokens int, text []byte) (*Turn, []work.Record) {
 	t := &Turn{
 		id: o.ID, program: o.Program, previous: o.Previous,
--- a/gate/chain/grant.go
+++ b/gate/chain/grant.go
@@ -100,7 +100,7 @@
 }
 
 // GrantedTokens returns the size of the program's grant in the log once the queued records are written, for
-// Confirm.
+// ConfirmGrant.
 func (s *State) GrantedTokens(name string) int {
 	if prog, ok := s.programs[name]; ok {
 		return prog.grant.logged
@@ -115,7 +115,7 @@
 	}
 }
 
-// EndStateless ends a turn that began with Draw and delivered the given number of tokens. It returns a record
+// EndStateless ends a turn that began with BeginStateless and delivered the given number of tokens. It returns a record
 // only if the slot is being released, for the next owner.
 func (s *State) EndStateless(o OpenTurn, tokens int) []work.Record {
 	prog, ok := s.programs[o.Program]
@@ -136,7 +136,7 @@
 }
 
 // releaseGrant reduces the grant to the tokens spent and returns the records to write. Each turn in
-// progress becomes a reservation, which Return reduces to the tokens that the turn delivered.
+// progress becomes a reservation, which EndStateless reduces to the tokens that the turn delivered.
 func (p *program) releaseGrant(name string) []work.Record {
 	g := &p.grant
 	if g.empty() || g.released {
--- a/gate/dial/pool.go
+++ b/gate/dial/pool.go
@@ -83,7 +83,7 @@
 	return len(p.idle) == 0 && p.open >= p.limit
 }
 
-// HasIdle reports whether a request could now reuse an idle connection, its MaxRest aside.
+// HasIdle reports whether a request could now reuse an idle connection, its MaxIdle aside.
 func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gate/mirror/hosts.go
+++ b/gate/mirror/hosts.go
@@ -19,7 +19,7 @@
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// known are the sources that the last Look found.
+	// known are the sources that the last ReadAnnounced found.
 	known []work.Box
 	// announced reports whether this box is announced in the log. It stays a source until servesUntil, whatever
 	// its rank.
@@ -32,7 +32,7 @@
 	return &sourceDirectory{self: self, shard: work.Shard{Topic: work.Sources, Number: zoneIndex}, log: log, logger: logger}
 }
 
-// Known returns the sources that the last Look found.
+// Known returns the sources that the last ReadAnnounced found.
 func (h *sourceDirectory) Known() []work.Box {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/gate/mirror/roster.go
+++ b/gate/mirror/roster.go
@@ -33,7 +33,7 @@
 type RosterResponse struct {
 	// Digest is the digest of the whole list, to check the result of applying a difference.
 	Digest uint64 `json:"digest"`
-	// Whole reports that Came is the whole list. Otherwise Came holds the added and Went the removed members.
+	// Whole reports that Added is the whole list. Otherwise Added and Removed are the changes.
 	Whole   bool     `json:"whole,omitempty"`
 	Added   []string `json:"came,omitempty"`
 	Removed []string `json:"went,omitempty"`
--- a/gate/mirror/topics.go
+++ b/gate/mirror/topics.go
@@ -38,7 +38,7 @@
 	Levels subset.Levels `json:"levels,omitempty"`
 }
 
-// CopyResponse is a source's answer to a CopyAsk.
+// CopyResponse is a source's answer to a CopyRequest.
 type CopyResponse struct {
 	Page   work.Page     `json:"page"`
 	Levels subset.Levels `json:"levels,omitempty"`
@@ -111,7 +111,7 @@
 	return m.peers.Copy(ctx, box, ask)
 }
 
-// setLevels records the levels of this box's own part and passes them to the callback of OnDrawn.
+// setLevels records the levels of this box's own part and passes them to the callback of OnLevels.
 func (m *Mirror) setLevels(levels subset.Levels) {
 	m.mu.Lock()
 	m.levels = levels
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -9,7 +9,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// singleBox implements Winners for a fleet of one box.
+// singleBox implements CounterLocator for a fleet of one box.
 type singleBox struct{ box work.Box }
 
 func (c singleBox) Counter(string, string) (work.Box, bool) { return c.box, true }
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -38,7 +38,7 @@
 
 const askDelay = time.Millisecond
 
-// boxView is a box of the fleet, as Peers, Winners and Counts of that box.
+// boxView is a box of the fleet, as Peers, CounterLocator and Counts of that box.
 type boxView struct {
 	*fleet
 	self work.Box
@@ -64,7 +64,7 @@
 
 func (f boxView) Count(string, int64) {}
 
-// Counter implements Winners by the view of the box.
+// Counter implements CounterLocator by the view of the box.
 func (f boxView) Counter(workspace, zone string) (work.Box, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gate/sched/admission.go
+++ b/gate/sched/admission.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// TurnAnswered records a turn that was answered completely. Ideal is the estimated time of the turn at
+// TurnAnswered records a turn that was answered completely. ideal is the estimated time of the turn at
 // an engine without other load, zero if it is unknown.
 func (a *Admission) TurnAnswered(now time.Time, turn Turn, ideal time.Duration) {
 	if ideal <= 0 {
--- a/gate/sched/cost.go
+++ b/gate/sched/cost.go
@@ -139,7 +139,7 @@
 }
 
 const (
-	// maxLightLoadAge is the oldest report that Calm accepts. A replica is lightly loaded below one
+	// maxLightLoadAge is the oldest report that LightlyLoaded accepts. A replica is lightly loaded below one
 	// in lightLoadDivisor of its slots.
 	maxLightLoadAge  = 500 * time.Millisecond
 	lightLoadDivisor = 4
--- a/gate/sched/figures.go
+++ b/gate/sched/figures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EngineEstimates estimates the speed of a service's engines. First and Gap take only turns that ran on
+// EngineEstimates estimates the speed of a service's engines. ObserveFirstEvent and ObserveEventGap take only turns that ran on
 // lightly loaded engines: under load their times show mostly queueing.
 type EngineEstimates struct {
 	// firstEvent fits the time to the first event, in milliseconds, to the number of prefilled
--- a/gate/sched/overload.go
+++ b/gate/sched/overload.go
@@ -54,7 +54,7 @@
 	return max(0, min(1, (s.to-at)/(s.to-s.from)))
 }
 
-// ObserveTurn records a turn. Stretch is its time relative to the time on a lightly loaded engine, and
+// ObserveTurn records a turn. stretch is its time relative to the time on a lightly loaded engine, and
 // allowed the largest stretch with which its program meets its deadline.
 func (p *Overload) ObserveTurn(now time.Time, stretch, allowed float64) {
 	p.slowdown += slowdownWeight * (stretch/allowed - p.slowdown)
--- a/gate/sched/pauses.go
+++ b/gate/sched/pauses.go
@@ -32,7 +32,7 @@
 	countDecay = 0.999
 )
 
-// NewTurnStats returns Pauses without any history.
+// NewTurnStats returns a TurnStats without any history.
 func NewTurnStats() *TurnStats {
 	return &TurnStats{kinds: map[string]*kindStats{}, last: map[string]lastTurn{}}
 }
@@ -122,7 +122,7 @@
 	maxCredit = 10 * quantum
 )
 
-// NewFairShare returns a Fair without any recorded use.
+// NewFairShare returns a FairShare without any recorded use.
 func NewFairShare(shares Shares) *FairShare {
 	return &FairShare{shares: shares, used: map[string]float64{}}
 }
--- a/gate/sched/queue.go
+++ b/gate/sched/queue.go
@@ -37,7 +37,7 @@
 
 // Queue is the state of a queue as a call finds it on arrival.
 type Queue struct {
-	// Ahead is the number of calls ahead, Slots the number of the engines' slots, and Service the
+	// Ahead is the number of calls ahead, Slots the number of the engines' slots, and ServiceTime the
 	// mean time that a call occupies one.
 	Ahead, Slots int
 	ServiceTime  time.Duration
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -92,7 +92,7 @@
 	stopping  bool
 }
 
-// New returns a Shards that owns no slots.
+// New returns a Manager that owns no slots.
 func New(self work.Box, layout Layout, log Log, boxes Boxes, peers Peers, counts Counts, logger *slog.Logger) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -217,7 +217,7 @@
 	})
 }
 
-// TestFencedOwnerCannotConfirm checks that Confirm succeeds while a box owns its slot and fails once
+// TestFencedOwnerCannotConfirm checks that ConfirmOwnership succeeds while a box owns its slot and fails once
 // another box has claimed it unnoticed.
 func TestFencedOwnerCannotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -20,7 +20,7 @@
 	// logRetryAfter is the Retry-After hint while the log is unavailable, short enough for several
 	// retries within a caller's deadline.
 	logRetryAfter = 900 * time.Millisecond
-	// confirmTimeout bounds the append by which Confirm verifies ownership.
+	// confirmTimeout bounds the append by which ConfirmOwnership verifies ownership.
 	confirmTimeout = 400 * time.Millisecond
 )
 
@@ -104,7 +104,7 @@
 	return time.Since(s.appendStarted)
 }
 
-// Update calls do, which may change the state, while the slot is locked. Unlike Enter, it also works on
+// Update calls do, which may change the state, while the slot is locked. Unlike BeginTurn, it also works on
 // a slot that is released or lost.
 func (s *Slot) Update(do func(state *chain.State)) {
 	s.mu.Lock()
@@ -119,7 +119,7 @@
 	return s.QueueLocked(recs)
 }
 
-// QueueLocked is Queue for callers within Enter or Change, so that records are written in the order in
+// QueueLocked is Queue for callers within BeginTurn or Update, so that records are written in the order in
 // which the state changed.
 func (s *Slot) QueueLocked(recs []work.Record) *PendingWrite {
 	b := &batch{recs: recs, done: make(chan struct{})}
@@ -289,7 +289,7 @@
 	return fault.Fail(fault.NotOwner, "another box owns the slot")
 }
 
-// close ends the ownership: QueueLocked rejects records from now on, and Await forwards them to the
+// close ends the ownership: QueueLocked rejects records from now on, and WaitOrForward forwards them to the
 // next owner.
 func (s *Slot) close() {
 	s.mu.Lock()
--- a/gate/target/lease.go
+++ b/gate/target/lease.go
@@ -12,7 +12,7 @@
 	Replica work.Replica
 	// Cached is the estimated number of prompt tokens in the replica's cache.
 	Cached int
-	// ExpectedCost is the expected cost of the call at the replica, and Among the number of candidates.
+	// ExpectedCost is the expected cost of the call at the replica, and Candidates the number of candidates.
 	ExpectedCost time.Duration
 	Candidates   int
 
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -340,7 +340,7 @@
 	Exclude []string
 	// Prompt is nil for calls of plain services.
 	Prompt *work.Prompt
-	// CachedTokens maps a replica's Life to the number of prompt tokens that it still caches from earlier turns;
+	// CachedTokens maps a replica's RunID to the number of prompt tokens that it still caches from earlier turns;
 	// may be nil.
 	CachedTokens map[string]int
 	// Turn is the input to admission control.
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -81,7 +81,7 @@
 	ledger ledger
 	// input is what the caller sent; prompt is the program's history followed by input.
 	input, prompt []byte
-	// cachedTokens is how many tokens of the history each replica holds, by work.Replica.Life.
+	// cachedTokens is how many tokens of the history each replica holds, by work.Replica.RunID.
 	cachedTokens map[string]int
 	// started is the pending record that must be in the log before any of the answer is sent to the
 	// caller; nil if the log already holds it.
--- a/gate/view/timing.go
+++ b/gate/view/timing.go
@@ -13,9 +13,9 @@
 	// their memberships may have expired only because they couldn't renew them.
 	OutageGrace time.Duration
 	// SettlePeriod is how long the log must have answered without a gap before the view counts as complete.
-	// It exceeds Call, because after an outage other boxes may still wait for a call to time out.
+	// It exceeds CallTimeout, because after an outage other boxes may still wait for a call to time out.
 	SettlePeriod time.Duration
-	// StartSettlePeriod replaces Settle for a box that reached the log as soon as it started. It spans two heartbeats,
+	// StartSettlePeriod replaces SettlePeriod for a box that reached the log as soon as it started. It spans two heartbeats,
 	// in which boxes that start together have all joined.
 	StartSettlePeriod time.Duration
 	// DepartedTTL is how long a box that left can still be asked for its slots.
@@ -26,7 +26,7 @@
 	CallTimeout time.Duration
 }
 
-// DefaultTiming returns the default timing. With it a dead box leaves the view about one heartbeat after Hold.
+// DefaultTiming returns the default timing. With it a dead box leaves the view about one heartbeat after MemberTTL.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: 300 * time.Millisecond, MemberTTL: 1100 * time.Millisecond, MaxMemberTTL: 4 * time.Second, OutageGrace: 2 * time.Second,
@@ -35,7 +35,7 @@
 }
 
 const (
-	// ttlLatencies is how many times the log's last latency is added to Hold.
+	// ttlLatencies is how many times the log's last latency is added to MemberTTL.
 	ttlLatencies = 4
 	// rereadsAfterChange is how many times the members are read again after a change of the fleet, once
 	// every rereadBeats heartbeats.
--- a/gate/work/call.go
+++ b/gate/work/call.go
@@ -10,7 +10,7 @@
 
 // Replica is a running instance of a service.
 type Replica struct {
-	// ID may have been used by an earlier instance; see Born.
+	// ID may have been used by an earlier instance; see StartedAt.
 	ID      string
 	Service string
 	Addr    netip.AddrPort
@@ -136,7 +136,7 @@
 	// Running and Waiting are numbers of calls.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// UsedTokens and Total are the used part and the size of the replica's memory for prompts, in tokens.
+	// UsedTokens and TotalTokens are the used part and the size of the replica's memory for prompts, in tokens.
 	UsedTokens  int `json:"used"`
 	TotalTokens int `json:"total"`
 	// StartedAt is the time at which the reporting replica started; zero if it is not known.
--- a/gate/work/config.go
+++ b/gate/work/config.go
@@ -14,7 +14,7 @@
 	Repeatable Kind = "repeatable"
 	// AtMostOnce calls run at most once for each attempt of the caller.
 	AtMostOnce Kind = "once"
-	// Stream calls are Once calls whose answer is a series of events.
+	// Stream calls are AtMostOnce calls whose answer is a series of events.
 	Stream Kind = "stream"
 )
 
@@ -66,7 +66,7 @@
 	Name string
 	// Connections bounds the connections to one replica from all boxes together.
 	Connections int
-	// WarmupTime is the warm-up time of a replica after its start, and ColdRate the calls a second that
+	// WarmupTime is the warm-up time of a replica after its start, and WarmupRate the calls a second that
 	// all boxes together may send to it during that time; 0 means no limit.
 	WarmupTime time.Duration
 	WarmupRate float64
--- a/gate/work/copy.go
+++ b/gate/work/copy.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// copyBufferSize is the size in bytes of the buffer of Copy, which fits several events.
+// copyBufferSize is the size in bytes of the buffer of CopyBody, which fits several events.
 const copyBufferSize = 4 << 10
 
 // CopyBody forwards a body as it arrives. A read error is returned as a fault of kind readFault, a write
