--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// scarce is a budget that programs use up.
-	scarce = 300
-	// mostPrograms keeps callers busy with the same few programs.
-	mostPrograms = 4
-	callWait     = 4 * time.Second
-	searchTime   = 2 * time.Second
+	// smallBudget is a token budget small enough for programs to use up.
+	smallBudget = 300
+	// maxPrograms bounds the programs without a parent that run at a time.
+	maxPrograms = 4
+	callTimeout = 4 * time.Second
+	// routeTimeout bounds the time for which a call is routed again after it missed its owner.
+	routeTimeout = 2 * time.Second
 )
 
-// program is what an honest caller knows of its program.
+// program is the state that a correct client keeps of its program.
 type program struct {
 	id, root, workspace, parent string
 	token                       string
@@ -32,74 +33,78 @@
 	turn                        int
 	ended                       bool
 	busy                        bool
-	// tokens are all tokens it ever got, for replays.
+	// tokens holds all continuation tokens that the client received, for replay attacks.
 	tokens []string
 }
 
-// keyCall is what a caller knows of an idempotency key.
+// keyCall is the state that a client keeps of an idempotency key.
 type keyCall struct {
 	key, workspace, service, input string
-	// maybe says that some request of the key may have run.
-	maybe bool
-	asked int
+	// mayHaveRun is set once a request with the key may have run.
+	mayHaveRun bool
+	requests   int
 }
 
-// oracle holds what callers know and every promise that was broken, by name.
+// oracle holds the clients' state and the violated invariants by name.
 type oracle struct {
 	w *world
-	// budget is what every program gets, in tokens.
+	// budget is the budget of a program without a parent, in tokens.
 	budget int64
 
-	mu       sync.Mutex
-	programs []*program
-	keys     []*keyCall
-	broken   map[string]string
-	numbers  [boxCount]int64
-	// newest is the highest revision of which an operator was told that it is accepted.
-	newest int64
-	incs   [boxCount]*box
-	ok     int
-	async  sync.WaitGroup
+	mu         sync.Mutex
+	programs   []*program
+	keys       []*keyCall
+	violations map[string]string
+	// revisions holds the configuration revision of each box at the last check.
+	revisions [boxCount]int64
+	// newestAccepted is the highest revision whose publication was acknowledged to an operator.
+	newestAccepted int64
+	// seen holds the boxes of the last check, to notice restarts.
+	seen [boxCount]*box
+	// answers counts successful requests.
+	answers int
+	async   sync.WaitGroup
 }
 
 func newOracle(w *world) *oracle {
-	return &oracle{w: w, budget: scarce, broken: map[string]string{}}
+	return &oracle{w: w, budget: smallBudget, violations: map[string]string{}}
 }
 
-func (o *oracle) fail(promise, format string, args ...any) {
+// fail records a violation of an invariant. The first one of each invariant is kept.
+func (o *oracle) fail(invariant, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, ok := o.broken[promise]; !ok {
-		o.broken[promise] = fmt.Sprintf(format, args...)
+	if _, ok := o.violations[invariant]; !ok {
+		o.violations[invariant] = fmt.Sprintf(format, args...)
 	}
 }
 
-// route does what the front does: it finds the slot's owner from the box that took the
-// call, and tries again for a while as ownership moves.
+// route runs do on the slot's owner, as the box at entry locates it. It retries for a while, since
+// ownership may move.
 func (o *oracle) route(ctx context.Context, entry int, slot ident.Slot, do func(b *box) error) error {
-	until := time.Now().Add(searchTime)
-	touched := false
+	until := time.Now().Add(routeTimeout)
+	mayHaveRun := false
 	for {
-		err := o.once(entry, slot, do)
+		err := o.routeOnce(entry, slot, do)
 		if err == nil {
 			return nil
 		}
 		f := fault.From(err)
-		touched = touched || !f.NotRun
+		mayHaveRun = mayHaveRun || !f.NotRun
 		moved := f.Kind == fault.NotOwner || f.Kind == fault.OwnerUnknown || f.Kind == fault.PeerLost || f.Kind == fault.Stopping
 		if !moved || time.Now().After(until) || ctx.Err() != nil {
 			out := *f
-			out.NotRun = f.NotRun && !touched
+			out.NotRun = f.NotRun && !mayHaveRun
 			return &out
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (o *oracle) once(entry int, slot ident.Slot, do func(b *box) error) error {
+func (o *oracle) routeOnce(entry int, slot ident.Slot, do func(b *box) error) error {
 	b := o.w.box(entry)
-	if !b.answers() {
-		return fault.Refuse(fault.PeerLost, "entry box is dead")
+	if !b.responds() {
+		return fault.Refuse(fault.PeerLost, "entry box does not respond")
 	}
 	if err := b.store.Ready(); err != nil {
 		return err
@@ -111,17 +116,17 @@
 	if here {
 		return do(b)
 	}
-	other, err := b.reach(owner.Peer)
+	other, err := b.connect(owner.Peer)
 	if err != nil {
 		return err
 	}
 	return do(other)
 }
 
-// begin makes a program through a box.
+// begin starts a program through the box at entry.
 func (o *oracle) begin(entry int, workspace string) {
 	b := o.w.box(entry)
-	if !b.isUp() || o.live() >= mostPrograms {
+	if !b.isUp() || o.countRunning() >= maxPrograms {
 		return
 	}
 	slot, ok := b.owners.Pick(ident.Random())
@@ -134,18 +139,18 @@
 		Budget: o.budget, Deadline: now.Add(time.Hour),
 		Limits: types.Limits{Turns: 100, Depth: 2, FanOut: 4, Idle: types.Duration(time.Hour)},
 	}
-	o.begun(entry, slot, begin, "", "")
+	o.beginProgram(entry, slot, begin, "", "")
 }
 
-// tokenOf is the newest token that the program's caller has.
+// tokenOf returns the newest token of the program's client.
 func (o *oracle) tokenOf(p *program) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return p.token
 }
 
-// live counts the programs that their callers have not ended.
-func (o *oracle) live() int {
+// countRunning counts the programs without a parent that have not ended.
+func (o *oracle) countRunning() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
@@ -157,8 +162,8 @@
 	return n
 }
 
-// agent makes a sub-agent of a program.
-func (o *oracle) agent(entry int, parent *program) {
+// beginAgent starts a sub-agent of a program.
+func (o *oracle) beginAgent(entry int, parent *program) {
 	slot, err := ident.ProgramSlot(parent.id)
 	if err != nil {
 		return
@@ -169,11 +174,11 @@
 		Created: now, Deadline: now.Add(time.Hour),
 		Limits: types.Limits{Turns: 100, Depth: 2, FanOut: 4, Idle: types.Duration(time.Hour)},
 	}
-	o.begun(entry, slot, begin, o.tokenOf(parent), parent.root)
+	o.beginProgram(entry, slot, begin, o.tokenOf(parent), parent.root)
 }
 
-func (o *oracle) begun(entry int, slot ident.Slot, begin types.Begin, token, root string) {
-	ctx, stop := context.WithTimeout(context.Background(), callWait)
+func (o *oracle) beginProgram(entry int, slot ident.Slot, begin types.Begin, token, root string) {
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	var state types.ProgramState
 	err := o.route(ctx, entry, slot, func(b *box) error {
@@ -189,19 +194,19 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ok++
+	o.answers++
 	o.programs = append(o.programs, &program{
 		id: begin.ID, root: root, workspace: begin.Workspace, parent: begin.Parent, token: state.Continuation, tokens: []string{state.Continuation},
 	})
 }
 
-// turn runs the program's next turn, trying several boxes one after the other. It
-// reports whether the answer came.
+// turn runs the program's next turn and tries the boxes in entries one after the other. It reports
+// whether an answer came; without an error, false means that the program is busy or has ended.
 func (o *oracle) turn(p *program, entries []int) (bool, error) {
-	if !o.take(p) {
+	if !o.reserve(p) {
 		return false, nil
 	}
-	defer o.give(p)
+	defer o.release(p)
 	slot, err := ident.ProgramSlot(p.id)
 	if err != nil {
 		return false, err
@@ -212,17 +217,17 @@
 		answer, err2 := o.answer(entry, slot, p, body)
 		err = err2
 		if err != nil {
-			o.honest(p, err)
+			o.checkError(p, err)
 			continue
 		}
-		o.accept(p, ask, answer)
+		o.acceptAnswer(p, ask, answer)
 		return true, nil
 	}
 	return false, err
 }
 
 func (o *oracle) answer(entry int, slot ident.Slot, p *program, body types.TurnRequest) (types.TurnAnswer, error) {
-	ctx, stop := context.WithTimeout(context.Background(), callWait)
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	var answer types.TurnAnswer
 	err := o.route(ctx, entry, slot, func(b *box) error {
@@ -236,26 +241,26 @@
 	return answer, err
 }
 
-// honest checks that a caller who did nothing wrong is not told that it did.
-func (o *oracle) honest(p *program, err error) {
+// checkError checks that a correct client gets no error that blames it, and no internal error.
+func (o *oracle) checkError(p *program, err error) {
 	switch fault.From(err).Kind {
 	case fault.TurnConflict, fault.BadContinuation, fault.NoProgram:
-		o.fail("history_never_lost", "%s turn %d: an honest caller was told: %v", p.id, p.turn+1, err)
+		o.fail("history_never_lost", "%s turn %d: a correct client got: %v", p.id, p.turn+1, err)
 	case fault.Internal:
 		o.fail("no_internal_failures", "%s turn %d: %v", p.id, p.turn+1, err)
 	}
 }
 
-// accept checks the answer against the caller's own history.
-func (o *oracle) accept(p *program, ask []types.Message, answer types.TurnAnswer) {
+// acceptAnswer checks the answer against the client's own history and adds it to that.
+func (o *oracle) acceptAnswer(p *program, ask []types.Message, answer types.TurnAnswer) {
 	all := append(append([]types.Message{}, p.history...), ask...)
 	got := answer.Choices[0].Message.Content
-	most := 8
+	maxTokens := 8
 	if answer.Choices[0].FinishReason == "length" {
-		// The budget cut the answer, and the answer says so.
-		most = len(strings.Fields(got))
+		// The budget cut the answer short.
+		maxTokens = len(strings.Fields(got))
 	}
-	want := answerText(all, most)
+	want := expectedAnswer(all, maxTokens)
 	if got != want {
 		o.fail("own_whole_answer_from_own_history", "%s turn %d: got %q, want %q", p.id, p.turn+1, got, want)
 	}
@@ -269,22 +274,22 @@
 	defer o.mu.Unlock()
 	p.token = answer.Continuation
 	p.tokens = append(p.tokens, p.token)
-	o.ok++
+	o.answers++
 }
 
-// attack sends a turn with a token that is old, altered or of another program, and checks
-// that it changes nothing: the next honest turn still works.
+// attack sends a turn with a token that is old, altered or from another program, and checks that
+// it is rejected and not charged. Later turns show whether the history is intact.
 func (o *oracle) attack(p, other *program, entry, how int) {
-	if !o.take(p) {
+	if !o.reserve(p) {
 		return
 	}
-	// An old token is no offence by itself; asking for a turn out of order with it is.
+	// An old token alone is valid, so it is sent with a turn number out of order.
 	token, turn := p.tokens[how%len(p.tokens)], p.turn+2
 	foreign := false
 	switch how % 3 {
 	case 0:
 		if other.id == p.id {
-			o.give(p)
+			o.release(p)
 			return
 		}
 		token, turn, foreign = o.tokenOf(other), p.turn+1, true
@@ -295,15 +300,16 @@
 	}
 	slot, _ := ident.ProgramSlot(p.id)
 	body := types.TurnRequest{Turn: turn, Messages: []types.Message{{Role: "user", Content: "attack"}}, MaxTokens: 8, Continuation: token}
-	before := o.w.models.chargedTo(p.id)
+	before := o.w.engines.chargedTokens(p.id)
 	_, err := o.answer(entry, slot, p, body)
-	if err == nil || o.w.models.chargedTo(p.id) != before {
-		o.fail("foreign_tokens_change_nothing", "%s: turn %d ran with head %d (foreign token: %v)", p.id, body.Turn, p.turn, foreign)
+	if err == nil || o.w.engines.chargedTokens(p.id) != before {
+		o.fail("foreign_tokens_change_nothing", "%s: turn %d ran or was charged after turn %d (foreign token: %v)", p.id, body.Turn, p.turn, foreign)
 	}
-	o.give(p)
+	o.release(p)
 }
 
-func (o *oracle) take(p *program) bool {
+// reserve reserves the program for one request; it reports false if the program is busy or has ended.
+func (o *oracle) reserve(p *program) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p.busy || p.ended {
@@ -313,18 +319,18 @@
 	return true
 }
 
-func (o *oracle) give(p *program) {
+func (o *oracle) release(p *program) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	p.busy = false
 }
 
-// call sends a request that may not be repeated.
+// call sends a tool call with the key, billed to p if it is not nil, and checks the answer.
 func (o *oracle) call(k *keyCall, p *program, entry int) {
 	o.mu.Lock()
-	k.asked++
+	k.requests++
 	o.mu.Unlock()
-	ctx, stop := context.WithTimeout(context.Background(), callWait)
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	svc := types.Service{Name: k.service, Price: 40}
 	if k.service == "probed" {
@@ -351,21 +357,22 @@
 		answer, err = b.calls.Call(ctx, slot, ask)
 		return err
 	})
-	o.called(k, answer, err)
+	o.checkCall(k, answer, err)
 }
 
-func (o *oracle) called(k *keyCall, answer types.ServiceAnswer, err error) {
+// checkCall checks the result of a call and records whether it may have run.
+func (o *oracle) checkCall(k *keyCall, answer types.ServiceAnswer, err error) {
 	if err != nil {
 		if !fault.From(err).NotRun {
 			o.mu.Lock()
-			k.maybe = true
+			k.mayHaveRun = true
 			o.mu.Unlock()
 		}
 		return
 	}
 	o.mu.Lock()
-	k.maybe = true
-	o.ok++
+	k.mayHaveRun = true
+	o.answers++
 	o.mu.Unlock()
 	if string(answer.Output) != k.input {
 		o.fail("own_whole_answer_from_own_history", "key %s: got %s, want %s", k.key, answer.Output, k.input)
@@ -387,15 +394,15 @@
 
 // end closes a program.
 func (o *oracle) end(p *program, entry int) bool {
-	if !o.take(p) {
+	if !o.reserve(p) {
 		return false
 	}
-	defer o.give(p)
+	defer o.release(p)
 	slot, _ := ident.ProgramSlot(p.id)
-	ctx, stop := context.WithTimeout(context.Background(), callWait)
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	err := o.route(ctx, entry, slot, func(b *box) error {
-		// The token brings what the log does not hold.
+		// The token carries state that the log may no longer hold.
 		if _, err := b.progs.State(ctx, p.workspace, p.id, o.tokenOf(p)); err != nil {
 			return err
 		}
--- a/gate/proof/doc.go
+++ b/gate/proof/doc.go
@@ -1,3 +1,3 @@
-// Package proof holds the stateful fuzz of a whole fleet against a simple oracle. Its
-// boxes are the real services; only sockets, engines and tools are replaced.
+// Package proof fuzzes a whole fleet with random operations and faults and checks it against a simple
+// oracle. The boxes run the real services; the network, the log, engines and tools are fakes.
 package proof
--- a/gate/proof/fakes_test.go
+++ b/gate/proof/fakes_test.go
@@ -13,40 +13,40 @@
 	"mulleingate.dev/stand/model"
 )
 
-// tools counts effects by key.
-type tools struct {
+// fakeTools stands in for the tool replicas and counts the effects of calls by idempotency key.
+type fakeTools struct {
 	mu      sync.Mutex
 	counts  map[string]int
 	outputs map[string]json.RawMessage
-	// lose answers after the effect; refuse before it.
-	lose, refuse bool
+	// loseAnswers fails calls after their effect, refuse rejects them before it.
+	loseAnswers, refuse bool
 }
 
-func (t *tools) set(lose, refuse bool) {
+func (t *fakeTools) setFaults(lose, refuse bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lose, t.refuse = lose, refuse
+	t.loseAnswers, t.refuse = lose, refuse
 }
 
-func (t *tools) count(key string) int {
+func (t *fakeTools) count(key string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts[key]
 }
 
-// Once implements the replicas of services.
-func (t *tools) Once(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// Once runs a call that may not be repeated.
+func (t *fakeTools) Once(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
-// Repeat implements the replicas of services.
-func (t *tools) Repeat(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// Repeat runs a call that may be repeated.
+func (t *fakeTools) Repeat(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
-func (t *tools) run(key string, input json.RawMessage) (json.RawMessage, error) {
+func (t *fakeTools) run(key string, input json.RawMessage) (json.RawMessage, error) {
 	t.mu.Lock()
-	refuse, lose := t.refuse, t.lose
+	refuse, lose := t.refuse, t.loseAnswers
 	t.mu.Unlock()
 	if refuse {
 		return nil, fault.Refuse(fault.NoTarget, "refused before any effect")
@@ -63,79 +63,80 @@
 	return input, nil
 }
 
-// Probe implements the replicas of services.
-func (t *tools) Probe(_ context.Context, _ types.Service, _ types.RuleInput, key string) (json.RawMessage, bool, error) {
+// Probe returns the output of an earlier call with the key, if one took effect.
+func (t *fakeTools) Probe(_ context.Context, _ types.Service, _ types.RuleInput, key string) (json.RawMessage, bool, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out, ok := t.outputs[key]
 	return out, ok, nil
 }
 
-// models is all engines together: what they charged and what they keep.
-type models struct {
+// engineState is the state of all engines: the tokens they charged and the caches they hold.
+type engineState struct {
 	mu sync.Mutex
-	// charged is in tokens by program, cached tells which programs have cache held.
+	// charged counts tokens by program; cached holds the programs whose cache is kept.
 	charged map[string]int64
 	cached  map[string]bool
-	broken  int
+	// streamsToBreak is the number of further streams that break in the middle.
+	streamsToBreak int
 }
 
-func newModels() *models {
-	return &models{charged: map[string]int64{}, cached: map[string]bool{}}
+func newEngineState() *engineState {
+	return &engineState{charged: map[string]int64{}, cached: map[string]bool{}}
 }
 
-func (m *models) targets() []types.Target {
+func (m *engineState) targets() []types.Target {
 	return []types.Target{
 		{Name: "e-0", Kind: types.Engine, Zone: zones[0], Models: []string{"m"}},
 		{Name: "e-1", Kind: types.Engine, Zone: zones[1], Models: []string{"m"}},
 	}
 }
 
-// breakNext makes the next n streams break in the middle, with all their cost.
-func (m *models) breakNext(n int) {
+// breakNext makes the next n streams break in the middle. They are charged in full.
+func (m *engineState) breakNext(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.broken = n
+	m.streamsToBreak = n
 }
 
-func (m *models) charge(program string, tokens int) {
+func (m *engineState) charge(program string, tokens int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.charged[program] += int64(tokens)
 }
 
-func (m *models) chargedTo(program string) int64 {
+func (m *engineState) chargedTokens(program string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.charged[program]
 }
 
-func (m *models) breaks() bool {
+func (m *engineState) nextBreaks() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.broken == 0 {
+	if m.streamsToBreak == 0 {
 		return false
 	}
-	m.broken--
+	m.streamsToBreak--
 	return true
 }
 
-// engines is how one box reaches the engines.
-type engines struct{ b *box }
+// engineClient is one box's client for the engines.
+type engineClient struct{ b *box }
 
-// Run implements model calls: the whole cost is charged as soon as the call is begun.
-func (e *engines) Run(ctx context.Context, _ types.Target, call types.EngineCall, emit func(types.EngineEvent)) (types.EngineEvent, error) {
-	if !e.b.pass() {
-		return types.EngineEvent{}, fault.Refuse(fault.TargetFailed, "box is dead")
+// Run streams the answer to a model call. The full cost is charged at its start.
+func (e *engineClient) Run(ctx context.Context, _ types.Target, call types.EngineCall, emit func(types.EngineEvent)) (types.EngineEvent, error) {
+	if !e.b.waitResumed() {
+		return types.EngineEvent{}, fault.Refuse(fault.TargetFailed, "box is down")
 	}
-	m := e.b.w.models
+	m := e.b.w.engines
 	words := model.Answer(call.Messages, call.MaxTokens)
 	prompt := model.Count(call.Messages)
 	m.charge(call.CacheKey, prompt+len(words))
-	breaks := m.breaks()
+	breaks := m.nextBreaks()
 	for i, word := range words {
 		time.Sleep(2 * time.Millisecond)
-		if !e.b.pass() || ctx.Err() != nil || (breaks && i == 1) {
+		if !e.b.waitResumed() || ctx.Err() != nil || (breaks && i == 1) {
 			return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "stream broke")
 		}
 		emit(types.EngineEvent{Attempt: call.Attempt, Seq: i + 1, Text: word})
@@ -153,23 +154,23 @@
 	}, nil
 }
 
-func (e *engines) Cancel(types.Target, string) {}
+func (e *engineClient) Cancel(types.Target, string) {}
 
-func (e *engines) Target(string) (types.Target, bool) { return types.Target{}, false }
+func (e *engineClient) Target(string) (types.Target, bool) { return types.Target{}, false }
 
-func (e *engines) Trim(string, string) {}
+func (e *engineClient) Trim(string, string) {}
 
-func (e *engines) Drop(string, string) {}
+func (e *engineClient) Drop(string, string) {}
 
-func (e *engines) Move(string, types.Target, types.Target) {}
+func (e *engineClient) Move(string, types.Target, types.Target) {}
 
-// Release implements cache release.
-func (e *engines) Release(programs []string) {
+// Release drops the caches of programs.
+func (e *engineClient) Release(programs []string) {
 	time.Sleep(2 * time.Millisecond)
-	if !e.b.pass() {
+	if !e.b.waitResumed() {
 		return
 	}
-	m := e.b.w.models
+	m := e.b.w.engines
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range programs {
@@ -177,9 +178,9 @@
 	}
 }
 
-// Sweep implements the sweep of caches.
-func (e *engines) Sweep(gone func(program string) bool) {
-	m := e.b.w.models
+// Sweep releases the caches of the programs that are gone.
+func (e *engineClient) Sweep(gone func(program string) bool) {
+	m := e.b.w.engines
 	m.mu.Lock()
 	ids := make([]string, 0, len(m.cached))
 	for id := range m.cached {
@@ -193,7 +194,7 @@
 	}
 }
 
-// answerText is what an engine answers to the messages.
-func answerText(messages []types.Message, maxTokens int) string {
+// expectedAnswer returns the answer that an engine gives to the messages.
+func expectedAnswer(messages []types.Message, maxTokens int) string {
 	return strings.Join(model.Answer(messages, maxTokens), " ")
 }
--- a/gate/proof/fuzz_test.go
+++ b/gate/proof/fuzz_test.go
@@ -24,7 +24,7 @@
 	os.Exit(fixed.Main(m, "60"))
 }
 
-// The kinds of step.
+// The kinds of steps. Their order decides which step a drawn number stands for.
 const (
 	opBegin = iota
 	opTurn
@@ -59,7 +59,7 @@
 	"cut_log", "cut_peers", "log_down", "lose_answers", "late_appends", "tool_loses", "tool_refuses", "break_streams", "publish", "old_copy", "wait",
 }
 
-// step is one drawn action; A, B and C choose among what there is when it is taken.
+// step is one drawn action. A, B and C select among the programs, keys and boxes present when it runs.
 type step struct{ Op, A, B, C int }
 
 func (s step) String() string {
@@ -67,7 +67,7 @@
 }
 
 func drawStep(t *rapid.T) step {
-	// Callers' actions come more often than faults.
+	// Clients' actions are drawn more often than faults.
 	op := rapid.OneOf(rapid.IntRange(opBegin, opRepeat), rapid.IntRange(0, opCount-1)).Draw(t, "op")
 	small := rapid.IntRange(0, 11)
 	return step{Op: op, A: small.Draw(t, "a"), B: small.Draw(t, "b"), C: small.Draw(t, "c")}
@@ -80,12 +80,12 @@
 		var o *oracle
 		synctest.Test(t, func(*testing.T) { o = run(plan) })
 		if o == nil {
-			rt.Fatalf("the world did not run")
+			rt.Fatalf("the plan did not run")
 		}
 		steps += len(plan)
-		answers += o.ok
-		if len(o.broken) > 0 {
-			rt.Fatalf("broken after %v:\n%s", plan, o.report())
+		answers += o.answers
+		if len(o.violations) > 0 {
+			rt.Fatalf("invariants violated after %v:\n%s", plan, o.report())
 		}
 	})
 	t.Logf("%d steps, %d answers", steps, answers)
@@ -93,14 +93,14 @@
 
 func (o *oracle) report() string {
 	var lines []string
-	for promise, what := range o.broken {
-		lines = append(lines, promise+": "+what)
+	for invariant, detail := range o.violations {
+		lines = append(lines, invariant+": "+detail)
 	}
 	sort.Strings(lines)
 	return strings.Join(lines, "\n")
 }
 
-// run plays the plan, heals everything, and judges.
+// run executes the plan, ends all faults and checks the invariants.
 func run(plan []step) *oracle {
 	w, err := newWorld()
 	o := newOracle(w)
@@ -110,28 +110,28 @@
 	}
 	time.Sleep(time.Second)
 	for _, s := range plan {
-		o.play(s)
-		o.watch()
+		o.execute(s)
+		o.checkInvariants()
 	}
 	o.async.Wait()
 	w.heal()
 	time.Sleep(8 * time.Second)
-	o.watch()
-	// All that was there must outlive the log's retention and then all boxes at once.
-	time.Sleep(keep + 5*time.Second)
+	o.checkInvariants()
+	// All state must survive the log's retention and then a crash of all boxes at once.
+	time.Sleep(retention + 5*time.Second)
 	for i := range boxCount {
 		w.crash(i)
 	}
 	w.heal()
 	time.Sleep(8 * time.Second)
-	o.judge()
+	o.checkRecovered()
 	w.close()
 	return o
 }
 
-// play takes one step and lets a little time go by.
-func (o *oracle) play(s step) {
-	p := o.pick(s.A)
+// execute runs one step and then sleeps for a time drawn with it.
+func (o *oracle) execute(s step) {
+	p := o.programAt(s.A)
 	entry := s.B % boxCount
 	wait := time.Duration(s.C*50) * time.Millisecond
 	switch s.Op {
@@ -142,50 +142,50 @@
 	case opTurnAsync:
 		o.withProgram(p, func() { o.async.Go(func() { _, _ = o.turn(p, []int{entry, (entry + s.C) % boxCount}) }) })
 	case opCall:
-		o.call(o.newKey(s), o.payer(p, s), entry)
+		o.call(o.newKey(s), o.billedProgram(p, s), entry)
 	case opCallAsync:
 		k := o.newKey(s)
-		payer := o.payer(p, s)
+		payer := o.billedProgram(p, s)
 		o.async.Go(func() { o.call(k, payer, entry) })
 		o.async.Go(func() { o.call(k, payer, (entry+1)%boxCount) })
 	case opRepeat:
 		if len(o.keys) > 0 {
 			k := o.keys[s.A%len(o.keys)]
-			o.async.Go(func() { o.call(k, o.payerOf(k), entry) })
+			o.async.Go(func() { o.call(k, o.billedTo(k), entry) })
 		}
 	case opAgent:
-		o.withProgram(p, func() { o.agent(entry, p) })
+		o.withProgram(p, func() { o.beginAgent(entry, p) })
 	case opAttack:
-		o.withProgram(p, func() { o.attack(p, o.pick(s.C), entry, s.C) })
+		o.withProgram(p, func() { o.attack(p, o.programAt(s.C), entry, s.C) })
 	case opEnd:
 		o.withProgram(p, func() { o.end(p, entry) })
 	case opEndCrash:
 		o.withProgram(p, func() { o.end(p, entry) })
-		o.fault(step{Op: opCrash, A: s.A, B: s.B, C: s.C}, entry, wait)
+		o.inject(step{Op: opCrash, A: s.A, B: s.B, C: s.C}, entry, wait)
 	default:
-		o.fault(s, entry, wait)
+		o.inject(s, entry, wait)
 	}
 	time.Sleep(wait)
 }
 
-// fault switches a fault; those that last end by themselves.
-func (o *oracle) fault(s step, entry int, wait time.Duration) {
+// inject starts the fault of a step. A fault that lasts is undone in the background.
+func (o *oracle) inject(s step, entry int, wait time.Duration) {
 	w := o.w
-	last := 500*time.Millisecond + 4*wait
-	later := func(undo func()) {
+	duration := 500*time.Millisecond + 4*wait
+	undoLater := func(undo func()) {
 		o.async.Go(func() {
-			time.Sleep(last)
+			time.Sleep(duration)
 			undo()
 		})
 	}
 	switch s.Op {
 	case opCrash:
 		w.crash(entry)
-		later(func() { w.replace(entry) })
+		undoLater(func() { w.replace(entry) })
 	case opStop:
 		o.async.Go(func() {
-			w.stop(entry)
-			time.Sleep(last)
+			w.stopPlanned(entry)
+			time.Sleep(duration)
 			w.replace(entry)
 		})
 		time.Sleep(100 * time.Millisecond)
@@ -194,37 +194,38 @@
 	case opPause:
 		b := w.box(entry)
 		b.pause()
-		later(b.resume)
+		undoLater(b.resume)
 	case opCutLog:
-		o.set(func() { w.cutLog[entry] = true })
-		later(func() { o.set(func() { w.cutLog[entry] = false }) })
+		o.locked(func() { w.cutLog[entry] = true })
+		undoLater(func() { o.locked(func() { w.cutLog[entry] = false }) })
 	case opCutPeers:
 		to := s.A % boxCount
-		o.set(func() { w.cut[entry][to] = true })
-		later(func() { o.set(func() { w.cut[entry][to] = false }) })
+		o.locked(func() { w.cut[entry][to] = true })
+		undoLater(func() { o.locked(func() { w.cut[entry][to] = false }) })
 	case opLogDown:
 		o.logFault(func(f *applog.Faults) { f.Down = true })
-		later(func() { o.logFault(func(f *applog.Faults) { f.Down = false }) })
+		undoLater(func() { o.logFault(func(f *applog.Faults) { f.Down = false }) })
 	case opLoseAnswers:
 		o.logFault(func(f *applog.Faults) { f.LoseAnswers = 1 + s.A%3 })
 	case opLateAppends:
-		o.logFault(func(f *applog.Faults) { f.LateAppends, f.Late = 1+s.A%3, types.Duration(last) })
+		o.logFault(func(f *applog.Faults) { f.LateAppends, f.Late = 1+s.A%3, types.Duration(duration) })
 	case opToolLoses:
-		w.tools.set(true, false)
-		later(func() { w.tools.set(false, false) })
+		w.tools.setFaults(true, false)
+		undoLater(func() { w.tools.setFaults(false, false) })
 	case opToolRefuses:
-		w.tools.set(false, true)
-		later(func() { w.tools.set(false, false) })
+		w.tools.setFaults(false, true)
+		undoLater(func() { w.tools.setFaults(false, false) })
 	case opBreakStreams:
-		w.models.breakNext(1 + s.A%3)
+		w.engines.breakNext(1 + s.A%3)
 	case opPublish:
-		o.race(entry)
+		o.racePublish(entry)
 	case opOldCopy:
-		o.oldCopy(s.A)
+		o.appendOldCopy(s.A)
 	}
 }
 
-func (o *oracle) set(change func()) {
+// locked runs change while it holds the world's lock.
+func (o *oracle) locked(change func()) {
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	change()
@@ -236,7 +237,7 @@
 	o.w.log.Set(f)
 }
 
-func (o *oracle) pick(i int) *program {
+func (o *oracle) programAt(i int) *program {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.programs) == 0 {
@@ -262,8 +263,9 @@
 	return k
 }
 
-// payer is the program on whose behalf a call runs, for every other call.
-func (o *oracle) payer(p *program, s step) *program {
+// billedProgram returns the program to which the call of the newest key is billed, or nil if none is.
+// It adds the program to the key, where billedTo finds it.
+func (o *oracle) billedProgram(p *program, s step) *program {
 	if p == nil || s.B%2 == 0 || p.workspace != "one" {
 		return nil
 	}
@@ -274,7 +276,8 @@
 	return p
 }
 
-func (o *oracle) payerOf(k *keyCall) *program {
+// billedTo returns the program that the key names, or nil if it names none.
+func (o *oracle) billedTo(k *keyCall) *program {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, p := range o.programs {
@@ -285,8 +288,8 @@
 	return nil
 }
 
-// race lets two operators publish on the same base: at most one may win.
-func (o *oracle) race(entry int) {
+// racePublish has two operators publish on the same base revision and checks that at most one succeeds.
+func (o *oracle) racePublish(entry int) {
 	fold, err := o.history()
 	if err != nil || fold.Current == nil {
 		return
@@ -295,11 +298,11 @@
 	won := make(chan bool, 2)
 	for i := range 2 {
 		o.async.Go(func() {
-			ctx, stop := context.WithTimeout(context.Background(), callWait)
+			ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 			defer stop()
 			rev, err := o.w.publish(ctx, base, fmt.Sprintf("operator %d at %d", i, entry))
 			if err == nil {
-				o.accepted(rev.Number)
+				o.recordAccepted(rev.Number)
 			}
 			won <- err == nil
 		})
@@ -311,18 +314,18 @@
 	})
 }
 
-// accepted notes that an operator was told that the revision is accepted.
-func (o *oracle) accepted(number int64) {
+// recordAccepted records that the publication of a revision was acknowledged.
+func (o *oracle) recordAccepted(number int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.newest = max(o.newest, number)
+	o.newestAccepted = max(o.newestAccepted, number)
 }
 
-// oldCopy appends a copy of an earlier revision, as a late append of a slow box would.
-func (o *oracle) oldCopy(i int) {
+// appendOldCopy appends a copy of an earlier revision, like a delayed append of a slow box.
+func (o *oracle) appendOldCopy(i int) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	_, all, err := revs.History(ctx, o.w.log, o.w.operators())
+	_, all, err := revs.History(ctx, o.w.log, o.w.operatorKeys())
 	if err != nil || len(all) == 0 {
 		return
 	}
@@ -338,33 +341,33 @@
 func (o *oracle) history() (*revs.Fold, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	fold, _, err := revs.History(ctx, o.w.log, o.w.operators())
+	fold, _, err := revs.History(ctx, o.w.log, o.w.operatorKeys())
 	return fold, err
 }
 
-// watch checks after every step what must hold at all times.
-func (o *oracle) watch() {
+// checkInvariants checks the invariants that hold at all times.
+func (o *oracle) checkInvariants() {
 	for i := range boxCount {
 		b := o.w.box(i)
 		n := b.store.Number()
-		if o.incs[i] == b && n < o.numbers[i] {
-			o.fail("config_never_reverts", "box %d went from revision %d to %d", i, o.numbers[i], n)
+		if o.seen[i] == b && n < o.revisions[i] {
+			o.fail("config_never_reverts", "box %d went from revision %d to %d", i, o.revisions[i], n)
 		}
-		o.incs[i], o.numbers[i] = b, n
+		o.seen[i], o.revisions[i] = b, n
 	}
-	o.money()
-	o.onceEach()
+	o.checkBudgets()
+	o.checkAtMostOnce()
 }
 
-// money checks that no tree of programs was ever charged beyond its budget.
-func (o *oracle) money() {
+// checkBudgets checks that no tree of programs was charged more than its budget.
+func (o *oracle) checkBudgets() {
 	o.mu.Lock()
 	spent := map[string]int64{}
-	o.w.models.mu.Lock()
+	o.w.engines.mu.Lock()
 	for _, p := range o.programs {
-		spent[p.root] += o.w.models.charged[p.id]
+		spent[p.root] += o.w.engines.charged[p.id]
 	}
-	o.w.models.mu.Unlock()
+	o.w.engines.mu.Unlock()
 	for _, k := range o.keys {
 		for _, p := range o.programs {
 			if strings.HasPrefix(k.key, "of "+p.id+" ") {
@@ -380,7 +383,8 @@
 	}
 }
 
-func (o *oracle) onceEach() {
+// checkAtMostOnce checks that no key's call ran more than once.
+func (o *oracle) checkAtMostOnce() {
 	for _, k := range o.keys {
 		if n := o.w.tools.count(k.workspace + "/" + k.key); n > 1 {
 			o.fail("at_most_once", "key %s ran %d times", k.key, n)
@@ -388,22 +392,23 @@
 	}
 }
 
-// judge checks what must hold once everything works again.
-func (o *oracle) judge() {
-	o.watch()
+// checkRecovered checks the invariants that hold once all faults are over: histories are intact, all
+// boxes have the newest configuration, and ended programs hold no cache.
+func (o *oracle) checkRecovered() {
+	o.checkInvariants()
 	for _, k := range o.keys {
-		if n := o.w.tools.count(k.workspace + "/" + k.key); !k.maybe && n > 0 {
-			o.fail("not_run_is_true", "key %s: every answer said not run, and it ran", k.key)
+		if n := o.w.tools.count(k.workspace + "/" + k.key); !k.mayHaveRun && n > 0 {
+			o.fail("not_run_is_true", "key %s: every error reported that it had not run, but it ran", k.key)
 		}
 	}
-	o.converged()
+	o.checkConverged()
 	for i, p := range o.programs {
 		if p.ended {
 			continue
 		}
 		done, err := o.turn(p, []int{i % boxCount, (i + 1) % boxCount})
-		if !done && !over(err) {
-			o.fail("history_never_lost", "%s: no turn after everything was healed: %v", p.id, err)
+		if !done && !endsProgram(err) {
+			o.fail("history_never_lost", "%s: no turn after all faults ended: %v", p.id, err)
 		}
 	}
 	for i, p := range o.programs {
@@ -412,15 +417,15 @@
 		}
 	}
 	time.Sleep(25 * time.Second)
-	o.w.models.mu.Lock()
-	defer o.w.models.mu.Unlock()
-	for id := range o.w.models.cached {
-		o.fail("no_memory_held", "cache of %s is held after its end", id)
+	o.w.engines.mu.Lock()
+	defer o.w.engines.mu.Unlock()
+	for id := range o.w.engines.cached {
+		o.fail("no_memory_held", "cache of %s is still held after its end", id)
 	}
 }
 
-// over reports failures that end a program as they should.
-func over(err error) bool {
+// endsProgram reports whether the error legitimately ends a program.
+func endsProgram(err error) bool {
 	switch fault.From(err).Kind {
 	case fault.BudgetSpent, fault.ProgramEnded, fault.LimitReached, fault.DeadlineMissed:
 		return true
@@ -428,19 +433,19 @@
 	return false
 }
 
-// converged checks that the newest accepted revision is in force on every box.
-func (o *oracle) converged() {
+// checkConverged checks that every box uses the log's current revision, and none older than acknowledged.
+func (o *oracle) checkConverged() {
 	fold, err := o.history()
 	if err != nil || fold.Current == nil {
-		o.fail("config_never_reverts", "the log shows no configuration: %v", err)
+		o.fail("config_never_reverts", "no configuration in the log: %v", err)
 		return
 	}
 	for i := range boxCount {
-		if n := o.w.box(i).store.Number(); n < o.newest {
-			o.fail("config_never_reverts", "box %d has revision %d, and %d was accepted", i, n, o.newest)
+		if n := o.w.box(i).store.Number(); n < o.newestAccepted {
+			o.fail("config_never_reverts", "box %d has revision %d, but %d was accepted", i, n, o.newestAccepted)
 		}
 		if n := o.w.box(i).store.Number(); n != fold.Current.Number {
-			o.fail("config_in_force_everywhere", "box %d has revision %d of %d", i, n, fold.Current.Number)
+			o.fail("config_in_force_everywhere", "box %d has revision %d, want %d", i, n, fold.Current.Number)
 		}
 	}
 }
--- a/gate/proof/stop_test.go
+++ b/gate/proof/stop_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestPlannedStopCutsNothing keeps callers busy while every box is stopped and replaced,
-// one after the other: no call may fail.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestPlannedStopFailsNoCall checks that no call fails while every box is stopped and replaced,
+// one after the other.
+func TestPlannedStopFailsNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, err := newWorld()
 		if err != nil {
@@ -24,45 +24,45 @@
 		}
 		done := make(chan struct{})
 		for i, p := range o.programs {
-			o.async.Go(func() { steady(o, p, i, done) })
+			o.async.Go(func() { sendCalls(o, p, i, done) })
 		}
 		for i := range boxCount {
-			w.stop(i)
+			w.stopPlanned(i)
 			time.Sleep(500 * time.Millisecond)
 			w.start(i)
 			time.Sleep(2 * time.Second)
 		}
 		close(done)
 		o.async.Wait()
-		if len(o.broken) > 0 {
+		if len(o.violations) > 0 {
 			t.Fatalf("%s", o.report())
 		}
 	})
 }
 
-// steady runs turns and bookings through the boxes that are up until done.
-func steady(o *oracle, p *program, n int, done chan struct{}) {
+// sendCalls sends turns and tool calls through boxes in service until done is closed, or 15 of each.
+func sendCalls(o *oracle, p *program, n int, done chan struct{}) {
 	for i := 0; i < 15; i++ {
 		select {
 		case <-done:
 			return
 		default:
 		}
-		entry := up(o.w, n+i)
+		entry := pickBox(o.w, n+i)
 		if ok, err := o.turn(p, []int{entry}); !ok {
 			o.fail("stop_cuts_nothing", "%s turn %d: %v", p.id, p.turn+1, err)
 		}
 		k := &keyCall{key: fmt.Sprintf("%d-%d", n, i), workspace: "one", service: "book", input: "1"}
-		o.call(k, nil, up(o.w, n+i))
-		if !k.maybe {
-			o.fail("stop_cuts_nothing", "key %s was refused", k.key)
+		o.call(k, nil, pickBox(o.w, n+i))
+		if !k.mayHaveRun {
+			o.fail("stop_cuts_nothing", "key %s was not run", k.key)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// up is a box that takes calls and is not leaving, as the balancer would choose it.
-func up(w *world, n int) int {
+// pickBox returns the index of a box that takes new calls, as a balancer would choose it, or 0 for none.
+func pickBox(w *world, n int) int {
 	for i := range boxCount {
 		b := w.box((n + i) % boxCount)
 		if b.inService() && b.store.Ready() == nil && b.view.Settled() {
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -36,38 +36,38 @@
 	boxCount  = 3
 	zoneCount = 2
 	slotCount = 2
-	keep      = 40 * time.Second
+	retention = 40 * time.Second
 )
 
 var zones = []string{"zone-a", "zone-b"}
 
-// world is a fleet on one log, with switches for everything that can fail.
+// world is a simulated fleet of boxes on one shared log, with a switch for every fault.
 type world struct {
-	log    *applog.Store
-	keys   sample.Keys
-	cfg    types.Config
-	tools  *tools
-	models *models
+	log     *applog.Store
+	keys    sample.Keys
+	cfg     types.Config
+	tools   *fakeTools
+	engines *engineState
 
-	// booting keeps two replacements of a box apart.
-	booting sync.Mutex
+	// restarting is held while a box is restarted, so that it is not started twice.
+	restarting sync.Mutex
 
 	mu    sync.Mutex
 	boxes []*box
-	// cut[i][j] loses what box i sends to box j; cutLog[i] what it sends to the log.
+	// cut[i][j] disconnects boxes i and j from each other, cutLog[i] disconnects box i from the log.
 	cut    [boxCount][boxCount]bool
 	cutLog [boxCount]bool
 }
 
-// box is one process: it dies with its incarnation.
+// box is one process. A restarted box is a new value with a new incarnation.
 type box struct {
 	w     *world
 	index int
 	self  types.Member
-	// up is false after a crash; paused blocks everything that goes in or out.
+	// up is false after a crash or a stop. While paused is not nil, the box neither sends nor receives.
 	up     bool
 	paused chan struct{}
-	// stopping is set during a planned stop: the balancer sends no more calls.
+	// stopping is set during a planned stop, when the balancer sends no more calls.
 	stopping bool
 
 	view   *member.View
@@ -79,9 +79,9 @@
 }
 
 func newWorld() (*world, error) {
-	w := &world{log: applog.New(applog.Faults{Keep: types.Duration(keep), Limit: 300}), keys: sample.NewKeys("proof")}
-	w.tools = &tools{counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
-	w.models = newModels()
+	w := &world{log: applog.New(applog.Faults{Keep: types.Duration(retention), Limit: 300}), keys: sample.NewKeys("proof")}
+	w.tools = &fakeTools{counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
+	w.engines = newEngineState()
 	cfg, err := sample.Config(sample.Shape{
 		Region: "home", Zones: zones, Slots: slotCount, Workspaces: []string{"one", "two"}, Models: []string{"m"},
 		Services: []types.Service{{Name: "book", Price: 40}, {Name: "probed", Price: 40, ProbePath: "/v1/probe"}},
@@ -111,26 +111,26 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
 }
 
-// start boots box i as a new incarnation.
+// start starts box i as a new incarnation.
 func (w *world) start(i int) {
 	b := &box{w: w, index: i, up: true}
 	b.self = types.Member{Name: fmt.Sprintf("box-%d", i), Zone: zones[i%zoneCount], Peer: addr(i)}
 	inc := ident.Random()
-	logger := slog.New(slog.NewTextHandler(logTo(), &slog.HandlerOptions{Level: slog.LevelDebug})).With("box", b.self.Name)
+	logger := slog.New(slog.NewTextHandler(logOutput(), &slog.HandlerOptions{Level: slog.LevelDebug})).With("box", b.self.Name)
 	counts := meter.New()
 	root, _ := seal.NewRoot(w.keys.Root)
 	timing := member.Timing{Beat: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, List: 200 * time.Millisecond, Fanout: 8}
 	b.view = member.New(b.self, inc, b, b, timing, logger)
 	b.store = policy.New(b.self.Name, root, []ed25519.PublicKey{w.keys.Public()}, b, b, b.view,
-		policy.Timing{Poll: 300 * time.Millisecond, Retention: keep}, logger)
+		policy.Timing{Poll: 300 * time.Millisecond, Retention: retention}, logger)
 	b.owners = slots.New(b.self, inc, b, b.view, b.store, slots.Timing{
 		Tick: 100 * time.Millisecond, FlushAfter: 10 * time.Millisecond, AdoptAfter: 2 * time.Second,
-		Retention: keep, AppendShare: 100, MaxQueued: 1000,
+		Retention: retention, AppendShare: 100, MaxQueued: 1000,
 	}, counts, logger)
 	b.queue = admit.New(b.self.Zone, admit.Options{
 		Strategy: sched.Scored, Order: sched.Age, MaxWait: 2 * time.Second, Starve: time.Second, Holds: true, Seed: uint64(i),
 	}, b.store, counts, logger)
-	b.progs = prog.New(b.self.Zone, b.owners, b.queue, &engines{b: b}, b.store, counts, trail.New(64), logger)
+	b.progs = prog.New(b.self.Zone, b.owners, b.queue, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
 	b.owners.Watch(b.progs)
 	b.calls = plain.New(b.owners, w.tools, b.store, counts, logger)
 	w.mu.Lock()
@@ -142,18 +142,18 @@
 	_ = b.owners.Start(ctx)
 	_ = b.queue.Start(ctx)
 	_ = b.progs.Start(ctx)
-	b.queue.Tell(lease.Targets{List: w.models.targets()})
+	b.queue.Tell(lease.Targets{List: w.engines.targets()})
 }
 
-// logTo is where the boxes log: nowhere, unless PROOF_LOG is set.
-func logTo() io.Writer {
+// logOutput returns the writer of the boxes' logs, which discards them unless PROOF_LOG is set.
+func logOutput() io.Writer {
 	if os.Getenv("PROOF_LOG") != "" {
 		return os.Stderr
 	}
 	return io.Discard
 }
 
-// crash ends box i without any goodbye. What it had handed out is gone or goes on alone.
+// crash ends box i at once, without releasing its slots or waiting for its calls in flight.
 func (w *world) crash(i int) {
 	b := w.box(i)
 	w.mu.Lock()
@@ -166,16 +166,16 @@
 	}
 }
 
-// replace starts box i if it is down, as the platform does within seconds.
+// replace starts box i if it is down, as the platform does within seconds of a crash.
 func (w *world) replace(i int) {
-	w.booting.Lock()
-	defer w.booting.Unlock()
+	w.restarting.Lock()
+	defer w.restarting.Unlock()
 	if !w.box(i).isUp() {
 		w.start(i)
 	}
 }
 
-// halt ends all goroutines of the box.
+// halt stops all services of the box without waiting for work in flight.
 func (b *box) halt() {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
@@ -187,8 +187,8 @@
 	_ = b.view.Stop(ctx)
 }
 
-// stop is a planned stop.
-func (w *world) stop(i int) {
+// stopPlanned stops box i in a planned way: it leaves the view, releases its slots and finishes its calls.
+func (w *world) stopPlanned(i int) {
 	b := w.box(i)
 	if !b.isUp() {
 		return
@@ -232,29 +232,29 @@
 	}
 }
 
-// isUp reports whether the process lives.
+// isUp reports whether the process is running, paused or not.
 func (b *box) isUp() bool {
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
 	return b.up
 }
 
-// answers reports whether the process lives and is not paused.
-func (b *box) answers() bool {
+// responds reports whether the process is running and not paused.
+func (b *box) responds() bool {
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
 	return b.up && b.paused == nil
 }
 
-// inService reports whether a balancer sends calls to the box.
+// inService reports whether the balancer sends calls to the box.
 func (b *box) inService() bool {
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
 	return b.up && !b.stopping
 }
 
-// pass waits while the box is paused; it reports whether the box is still alive.
-func (b *box) pass() bool {
+// waitResumed blocks while the box is paused and reports whether the box is up.
+func (b *box) waitResumed() bool {
 	for {
 		b.w.mu.Lock()
 		paused, up := b.paused, b.up
@@ -266,55 +266,56 @@
 	}
 }
 
-// heal ends every fault and restarts what is down.
+// heal ends every fault and restarts the boxes that are down.
 func (w *world) heal() {
 	w.mu.Lock()
 	w.cut = [boxCount][boxCount]bool{}
 	w.cutLog = [boxCount]bool{}
 	w.mu.Unlock()
-	w.log.Set(applog.Faults{Keep: types.Duration(keep), Limit: 300})
-	w.tools.set(false, false)
-	w.models.breakNext(0)
+	w.log.Set(applog.Faults{Keep: types.Duration(retention), Limit: 300})
+	w.tools.setFaults(false, false)
+	w.engines.breakNext(0)
 	for i := range boxCount {
 		w.box(i).resume()
 		w.replace(i)
 	}
 }
 
-// close ends everything.
+// close stops all boxes.
 func (w *world) close() {
 	for i := range boxCount {
 		w.crash(i)
 	}
 }
 
-// Append implements the log as box b reaches it.
+// Append appends to the shared log if box b can reach it.
 func (b *box) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	if err := b.toLog(ctx); err != nil {
+	if err := b.checkLog(ctx); err != nil {
 		return 0, err
 	}
 	at, err := b.w.log.Append(ctx, stream, data)
-	if !b.pass() {
-		return 0, fault.Fail(fault.LogUnavailable, "box is dead")
+	if !b.waitResumed() {
+		return 0, fault.Fail(fault.LogUnavailable, "box is down")
 	}
 	return at, err
 }
 
-// Read implements the log as box b reaches it.
+// Read reads from the shared log if box b can reach it.
 func (b *box) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
-	if err := b.toLog(ctx); err != nil {
+	if err := b.checkLog(ctx); err != nil {
 		return types.LogPage{}, err
 	}
 	page, err := b.w.log.Read(ctx, stream, from, limit)
-	if !b.pass() {
-		return page, fault.Fail(fault.LogUnavailable, "box is dead")
+	if !b.waitResumed() {
+		return page, fault.Fail(fault.LogUnavailable, "box is down")
 	}
 	return page, err
 }
 
-func (b *box) toLog(ctx context.Context) error {
-	if !b.pass() {
-		return fault.Fail(fault.LogUnavailable, "box is dead")
+// checkLog adds the latency of a log call and returns an error if box b cannot reach the log.
+func (b *box) checkLog(ctx context.Context) error {
+	if !b.waitResumed() {
+		return fault.Fail(fault.LogUnavailable, "box is down")
 	}
 	time.Sleep(time.Millisecond)
 	b.w.mu.Lock()
@@ -326,7 +327,8 @@
 	return nil
 }
 
-// List implements the platform's list: all boxes, live or not, since it lags.
+// List implements the platform's list of boxes. It holds all boxes, also those that are down,
+// since the real list lags behind.
 func (b *box) List(context.Context) (types.List, error) {
 	var list types.List
 	for i := range boxCount {
@@ -335,11 +337,11 @@
 	return list, nil
 }
 
-// reach finds the box at an address if it can be reached from b.
-func (b *box) reach(to netip.AddrPort) (*box, error) {
+// connect returns the box at an address if b can connect to it.
+func (b *box) connect(to netip.AddrPort) (*box, error) {
 	time.Sleep(time.Millisecond)
-	if !b.pass() {
-		return nil, fault.Refuse(fault.PeerLost, "box is dead")
+	if !b.waitResumed() {
+		return nil, fault.Refuse(fault.PeerLost, "box is down")
 	}
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
@@ -355,24 +357,24 @@
 	return nil, fault.Refuse(fault.PeerLost, "no such box")
 }
 
-// Beat implements heartbeats.
+// Beat delivers a heartbeat to the box at an address.
 func (b *box) Beat(ctx context.Context, to netip.AddrPort, beat *wire.BeatRequest) (*wire.BeatReply, error) {
-	other, err := b.reach(to)
+	other, err := b.connect(to)
 	if err != nil {
 		return nil, err
 	}
 	return other.view.Beat(ctx, beat)
 }
 
-// Revision implements fetching configuration from another box.
+// Revision fetches a configuration newer than have from the box at an address.
 func (b *box) Revision(_ context.Context, to netip.AddrPort, have int64) ([]byte, error) {
-	other, err := b.reach(to)
+	other, err := b.connect(to)
 	if err != nil {
 		return nil, err
 	}
 	return other.store.Newer(have), nil
 }
 
-func (w *world) operators() []ed25519.PublicKey {
+func (w *world) operatorKeys() []ed25519.PublicKey {
 	return []ed25519.PublicKey{w.keys.Public()}
 }
