--- a/base/types/calls.go
+++ b/base/types/calls.go
@@ -11,14 +11,14 @@
 	Content string `json:"content"`
 }
 
-// Usage counts tokens of one answer.
+// Usage counts the tokens of one answer.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// Limits bound a program; zero means the configured default.
+// Limits bounds a program; a zero field means the configured default.
 type Limits struct {
 	Turns  int      `json:"turns,omitempty"`
 	Depth  int      `json:"depth,omitempty"`
@@ -26,15 +26,15 @@
 	Idle   Duration `json:"idle,omitempty"`
 }
 
-// Duration is a time.Duration written as text such as "30s".
+// Duration is a time.Duration that is encoded in JSON as a string such as "30s".
 type Duration time.Duration
 
-// MarshalJSON writes the text form.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads the text form.
+// UnmarshalJSON decodes the string that MarshalJSON writes.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
@@ -56,11 +56,11 @@
 	Budget    int64    `json:"budget"`
 	Deadline  Duration `json:"deadline,omitempty"`
 	Limits    Limits   `json:"limits,omitzero"`
-	// Continuation is the parent's, for sub-agents.
+	// Continuation is the parent's continuation token; only requests for sub-agents set it.
 	Continuation string `json:"continuation,omitempty"`
 }
 
-// ProgramState describes a program to its workspace.
+// ProgramState is the state of a program as reported to its workspace.
 type ProgramState struct {
 	ID           string    `json:"id"`
 	Parent       string    `json:"parent,omitempty"`
@@ -84,7 +84,7 @@
 	Continuation string    `json:"continuation,omitempty"`
 }
 
-// Choice is one answer or one piece of a streamed answer.
+// Choice is one answer (Message) or one piece of a streamed answer (Delta).
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -92,8 +92,8 @@
 	FinishReason string   `json:"finish_reason,omitempty"`
 }
 
-// TurnAnswer is a whole answer, or one event of a streamed one. Sequence counts the
-// events of a streamed answer from 1; when it starts again at 1 the answer starts anew.
+// TurnAnswer is a complete answer or one event of a streamed one. Sequence numbers the
+// events of a stream from 1; if it returns to 1, the answer restarts from its beginning.
 type TurnAnswer struct {
 	ID           string   `json:"id"`
 	Object       string   `json:"object"`
@@ -116,6 +116,6 @@
 type ServiceAnswer struct {
 	ID     string          `json:"id"`
 	Output json.RawMessage `json:"output"`
-	// Stored is true when the answer was kept from an earlier run of the same key.
+	// Stored is true if the answer comes from an earlier run with the same idempotency key.
 	Stored bool `json:"stored,omitempty"`
 }
--- a/base/types/config.go
+++ b/base/types/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config is one published revision's content.
+// Config is the content of one published revision.
 type Config struct {
 	Zones      []Zone      `json:"zones"`
 	Workspaces []Workspace `json:"workspaces"`
@@ -17,25 +17,25 @@
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
-	// Slots is how many slots the zone prefers to own.
+	// Slots is the number of slots that the zone's boxes should own.
 	Slots int `json:"slots"`
 }
 
-// Workspace is a customer of the system.
+// Workspace is a customer.
 type Workspace struct {
 	Name string `json:"name"`
-	// TokenHashes are hexadecimal SHA-256 sums of the bearer tokens in force.
+	// TokenHashes holds the SHA-256 hashes of the valid bearer tokens, in hexadecimal.
 	TokenHashes []string `json:"token_hashes"`
-	// Share weighs the workspace in fair queues; 0 means 1.
+	// Share is the weight of the workspace in fair queueing; 0 means 1.
 	Share int `json:"share,omitempty"`
 }
 
-// Model is a model that programs may name.
+// Model is a model that programs can use.
 type Model struct {
 	Name    string `json:"name"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// MinWarm is the number of replicas kept warm in each pool.
+	// MinWarm is the minimum number of replicas kept warm in each pool.
 	MinWarm int `json:"min_warm,omitempty"`
 }
 
@@ -43,40 +43,42 @@
 type Service struct {
 	Name       string `json:"name"`
 	Repeatable bool   `json:"repeatable"`
-	// Price is in the budget's tokens for each run.
+	// Price is what each run costs the program's budget, in tokens.
 	Price int64 `json:"price,omitempty"`
-	// ProbePath settles unknown outcomes where set.
+	// ProbePath, if set, is queried to find out whether a call with an unknown outcome took effect.
 	ProbePath string   `json:"probe_path,omitempty"`
 	Timeout   Duration `json:"timeout,omitempty"`
-	// HedgeAfter sends a second copy of a repeatable call; 0 never does.
+	// HedgeAfter is the delay before a repeatable call is sent a second time; 0 disables hedging.
 	HedgeAfter Duration `json:"hedge_after,omitempty"`
 }
 
-// Policy holds the operators' CEL programs.
+// Policy holds the operators' CEL programs: Place allows or denies a use of a target, Order sets
+// a priority and Spend bounds a program's budget.
 type Policy struct {
 	Place   string   `json:"place"`
 	Order   string   `json:"order"`
 	Spend   string   `json:"spend"`
 	Samples []Sample `json:"samples"`
-	// MaxStale refuses new work when the configuration was not confirmed for so long; 0 never does.
+	// MaxStale is how long the configuration may stay unconfirmed before new work is refused;
+	// 0 means no limit.
 	MaxStale Duration `json:"max_stale,omitempty"`
 }
 
-// Sample is an input with the results that the policy must give.
+// Sample is a test case for a policy: an input and the results expected for it.
 type Sample struct {
 	Name  string     `json:"name"`
 	Input RuleInput  `json:"input"`
 	Want  SampleWant `json:"want"`
 }
 
-// SampleWant holds expected results; unset ones are not compared.
+// SampleWant holds expected results; nil fields are not compared.
 type SampleWant struct {
 	Place *bool  `json:"place,omitempty"`
 	Order *int64 `json:"order,omitempty"`
 	Spend *int64 `json:"spend,omitempty"`
 }
 
-// RuleInput is what policy programs see.
+// RuleInput holds the variables that policy programs can read.
 type RuleInput struct {
 	Workspace string `json:"workspace"`
 	DataClass string `json:"data_class"`
@@ -92,21 +94,25 @@
 	Budget int64  `json:"budget"`
 }
 
-// Defaults are limits for programs that ask for none.
+// Defaults holds the limits of programs that set none, and settings that apply to all programs.
 type Defaults struct {
-	Turns        int      `json:"turns"`
-	Depth        int      `json:"depth"`
-	FanOut       int      `json:"fan_out"`
-	Idle         Duration `json:"idle"`
-	Deadline     Duration `json:"deadline"`
-	MaxTokens    int      `json:"max_tokens"`
-	GrantChunk   int64    `json:"grant_chunk"`
-	TailBytes    int      `json:"tail_bytes"`
-	LogWait      Duration `json:"log_wait"`
+	Turns     int      `json:"turns"`
+	Depth     int      `json:"depth"`
+	FanOut    int      `json:"fan_out"`
+	Idle      Duration `json:"idle"`
+	Deadline  Duration `json:"deadline"`
+	MaxTokens int      `json:"max_tokens"`
+	// GrantChunk is the number of tokens by which a program's grant is raised at a time.
+	GrantChunk int64 `json:"grant_chunk"`
+	// TailBytes bounds a program's answered turns that the log has not confirmed, in bytes.
+	TailBytes int `json:"tail_bytes"`
+	// LogWait is how long an answer waits for the log to confirm its records.
+	LogWait Duration `json:"log_wait"`
+	// KeyRetention is how long idempotency keys are kept.
 	KeyRetention Duration `json:"key_retention"`
 }
 
-// DataKey is a data encryption key, sealed under the root key of the settings.
+// DataKey is a data encryption key, encrypted with the root key from the settings.
 type DataKey struct {
 	ID     string    `json:"id"`
 	Sealed []byte    `json:"sealed"`
@@ -125,6 +131,7 @@
 	Config Config    `json:"config"`
 	// Signature is the operator's Ed25519 signature over the fields above.
 	Signature []byte `json:"signature"`
-	// Carry marks a copy of the current revision, appended before retention ends.
+	// Carry marks a copy of an accepted revision: one appended again before the log's retention
+	// removes the original, or one fetched from another box.
 	Carry bool `json:"carry,omitempty"`
 }
--- a/base/types/doc.go
+++ b/base/types/doc.go
@@ -1,3 +1,3 @@
-// Package types holds plain data that the programs exchange: callers' messages,
-// log records, configuration and platform lists. It holds no logic.
+// Package types defines the data that callers, boxes, targets and the platform exchange:
+// requests and answers, log records, configuration, platform lists and status reports.
 package types
--- a/base/types/platform.go
+++ b/base/types/platform.go
@@ -13,7 +13,7 @@
 	Leaving bool           `json:"leaving,omitempty"`
 }
 
-// TargetKind tells engines from plain services.
+// TargetKind distinguishes model engines from plain services.
 type TargetKind string
 
 // The kinds of target.
@@ -31,31 +31,31 @@
 	Models  []string       `json:"models,omitempty"`
 	Service string         `json:"service,omitempty"`
 	Leaving bool           `json:"leaving,omitempty"`
-	// Fenced targets refuse orders with an old fencing number.
+	// Fenced is true if the target refuses orders with an outdated fencing number.
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// List is the platform's lagging list.
+// List is the platform's list of boxes and targets. It lags behind their actual state.
 type List struct {
 	At      time.Time `json:"at"`
 	Boxes   []Member  `json:"boxes"`
 	Targets []Target  `json:"targets"`
 }
 
-// LoadReport is what an engine says of itself, some time ago.
+// LoadReport is the load that an engine reported at the time At.
 type LoadReport struct {
 	Name    string    `json:"name"`
 	At      time.Time `json:"at"`
 	Running int       `json:"running"`
 	Queued  int       `json:"queued"`
-	// PrefillTokens are prompt tokens not computed yet, OutputTokens output not made yet,
-	// over all running and queued streams.
+	// PrefillTokens counts the prompt tokens still to be computed and OutputTokens the tokens
+	// still to be generated, over all running and queued streams.
 	PrefillTokens int64 `json:"prefill_tokens"`
 	OutputTokens  int64 `json:"output_tokens"`
 	MaxBatch      int   `json:"max_batch"`
 	CacheUsed     int64 `json:"cache_used"`
 	CacheSize     int64 `json:"cache_size"`
-	// PrefillRate is in tokens a second; StepTime is the time of one decode step.
+	// PrefillRate is in tokens per second; StepTime is the duration of one decode step.
 	PrefillRate float64  `json:"prefill_rate"`
 	StepTime    Duration `json:"step_time"`
 	Leaving     bool     `json:"leaving,omitempty"`
@@ -64,7 +64,8 @@
 	Fence       int64    `json:"fence,omitempty"`
 }
 
-// CacheEvent tells that an engine holds, or no longer holds, a program's prefix.
+// CacheEvent reports that a program's prefix was added to an engine's cache or, with Gone set,
+// removed from it.
 type CacheEvent struct {
 	Seq    int64  `json:"seq"`
 	Key    string `json:"key"`
@@ -79,7 +80,8 @@
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max_tokens"`
 	Priority  int64     `json:"priority"`
-	// CacheKey names the prefix: the program. Hold asks that it be kept after the answer.
+	// CacheKey is the program's ID, which identifies the cached prefix. Hold asks the engine to
+	// keep the prefix after the answer.
 	CacheKey string `json:"cache_key"`
 	Hold     bool   `json:"hold,omitempty"`
 	Class    string `json:"class,omitempty"`
@@ -90,20 +92,21 @@
 	Attempt string `json:"attempt"`
 	Seq     int    `json:"seq"`
 	Text    string `json:"text,omitempty"`
-	// End marks the last event; it carries Usage and Finish.
+	// End marks the last event, which carries Usage and Finish.
 	End    bool   `json:"end,omitempty"`
 	Finish string `json:"finish,omitempty"`
 	Usage  Usage  `json:"usage,omitzero"`
 }
 
-// CacheOrder releases, holds, exports or imports a program's cache on an engine.
+// CacheOrder tells an engine to release, hold, unhold or import the cached prefixes of programs.
+// From is the engine to import from.
 type CacheOrder struct {
 	Op   string         `json:"op"`
 	Keys []string       `json:"keys"`
 	From netip.AddrPort `json:"from,omitzero"`
 }
 
-// EngineOrder changes what an engine serves.
+// EngineOrder tells an engine to load or unload a model.
 type EngineOrder struct {
 	Kind    string `json:"kind"`
 	Model   string `json:"model,omitempty"`
@@ -119,18 +122,18 @@
 
 // LogPage is the answer to a read.
 type LogPage struct {
-	// First is the oldest offset still kept; Next is the offset the next append gets.
+	// First is the oldest retained offset; Next is the offset that the next append will get.
 	First   int64      `json:"first"`
 	Next    int64      `json:"next"`
 	Entries []LogEntry `json:"entries"`
 }
 
-// LogAppend is the body of an append; LogOffset is its answer.
+// LogAppend is the body of an append request; LogOffset is the answer.
 type LogAppend struct {
 	Data []byte `json:"data"`
 }
 
-// LogOffset is where an append landed.
+// LogOffset is the answer to an append: the offset of the new entry.
 type LogOffset struct {
 	Offset int64 `json:"offset"`
 }
--- a/base/types/record.go
+++ b/base/types/record.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// Entry is one appended item of a slot's stream. A claim is an entry of its own;
-// every other entry carries records written under a claim.
+// Entry is one entry of a slot's stream: either a claim or the records written under one.
 type Entry struct {
 	// Epoch is the offset of the claim under which the entry was written; 0 in a claim.
 	Epoch int64 `json:"epoch,omitempty"`
-	// Seq grows by one for each entry of an epoch, from 1. A copy of an entry has its Seq.
+	// Seq numbers the entries of an epoch from 1 without gaps. A duplicate has the same Seq.
 	Seq     int64    `json:"seq,omitempty"`
 	Claim   *Claim   `json:"claim,omitempty"`
 	Records []Record `json:"records,omitempty"`
 }
 
-// Claim says which box owns a slot from its offset on.
+// Claim makes a box the owner of a slot from the claim's offset on.
 type Claim struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
-	// Attempt tells one claim of a box from its next.
+	// Attempt distinguishes successive claims by the same box.
 	Attempt string `json:"attempt"`
 }
 
-// Record is a union: exactly one field is set.
+// Record is a union of the record types: exactly one field is set.
 type Record struct {
 	Begin    *Begin    `json:"begin,omitempty"`
 	Turn     *Turn     `json:"turn,omitempty"`
@@ -52,49 +51,52 @@
 	Limits    Limits    `json:"limits"`
 	Deadline  time.Time `json:"deadline"`
 	Created   time.Time `json:"created"`
-	// Budget and Grant are in tokens and set for roots only. Grant may be spent at once.
+	// Budget and Grant are in tokens and set only for root programs. Grant is the part of the
+	// budget that is granted from the start.
 	Budget int64 `json:"budget,omitempty"`
 	Grant  int64 `json:"grant,omitempty"`
 }
 
-// Turn keeps one answered turn.
+// Turn records one answered turn.
 type Turn struct {
 	Program string `json:"program"`
 	Number  int    `json:"number"`
-	// Digest covers program, workspace, number, content and the digest before it.
+	// Digest covers the program, workspace, number and content, and the previous turn's digest.
 	Digest []byte `json:"digest"`
-	// Ask is the digest of what the caller sent, to tell a repeat from a conflict.
+	// Ask is the digest of the caller's request. It distinguishes a repeated request from a
+	// conflicting one.
 	Ask []byte `json:"ask"`
-	// Sealed holds the turn's messages, encrypted with the workspace's key.
+	// Sealed holds the turn's TurnContent, encrypted with the workspace's key.
 	Sealed []byte `json:"sealed"`
-	// Spent is what the whole purse had spent when the turn was answered, in tokens.
+	// Spent is what the whole program tree had spent when the turn was answered, in tokens.
 	Spent int64     `json:"spent"`
 	At    time.Time `json:"at"`
-	// Instead says that the turn takes the place of the head, which no caller built on:
-	// two owners answered the same turn, and the caller goes on from this answer.
+	// Instead is true if the turn replaces the last one, on which no caller continued: two owners
+	// answered the same turn, and the caller continues from this answer.
 	Instead bool `json:"instead,omitempty"`
 }
 
-// Grant raises what an owner may spend, in tokens, as a running total.
+// Grant raises the total that owners may spend on a program tree, in tokens.
 type Grant struct {
 	Root  string `json:"root"`
 	Total int64  `json:"total"`
 }
 
-// Settle lowers a purse's granted total to what was really spent, at a planned release.
+// Settle lowers the granted total of a purse to the amount spent, at a planned release of the
+// slot.
 type Settle struct {
 	Root  string `json:"root"`
 	Spent int64  `json:"spent"`
 }
 
-// End closes a program.
+// End records the end of a program.
 type End struct {
 	Program string    `json:"program"`
 	Reason  string    `json:"reason"`
 	At      time.Time `json:"at"`
 }
 
-// Intent says that a call that may not be repeated is about to be dispatched.
+// Intent records that a call that must not be repeated is about to be dispatched.
 type Intent struct {
 	Key       string    `json:"key"`
 	Attempt   string    `json:"attempt"`
@@ -105,11 +107,11 @@
 	At        time.Time `json:"at"`
 }
 
-// Outcome ends an intent.
+// Outcome records how the call of an intent ended.
 type Outcome struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
-	// NotRun frees the key: nothing was handed to a target.
+	// NotRun frees the idempotency key, since the call was never handed to a target.
 	NotRun  bool      `json:"not_run,omitempty"`
 	Unknown bool      `json:"unknown,omitempty"`
 	Status  int       `json:"status,omitempty"`
@@ -117,13 +119,13 @@
 	At      time.Time `json:"at"`
 }
 
-// Release gives a slot up.
+// Release ends a box's ownership of a slot.
 type Release struct {
 	Box string `json:"box"`
 }
 
-// Program is the folded state of a program. As a snapshot it carries no turns: they
-// follow as records of their own.
+// Program is the state of a program, computed from its records. A snapshot record of it omits
+// the turns, which follow as separate records.
 type Program struct {
 	Begin Begin `json:"begin"`
 	// Turns are in order from 1 without gaps.
@@ -137,19 +139,19 @@
 type Purse struct {
 	Root   string `json:"root"`
 	Budget int64  `json:"budget"`
-	// Granted never exceeds Budget. Spent never exceeds Granted.
+	// Granted never exceeds Budget, and Spent never exceeds Granted.
 	Granted int64 `json:"granted"`
 	Spent   int64 `json:"spent"`
 }
 
-// KeyState is the folded state of an idempotency key.
+// KeyState is the state of an idempotency key, computed from its records.
 type KeyState struct {
 	Intent  Intent   `json:"intent"`
 	Epoch   int64    `json:"epoch"`
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// Continuation is the content of a sealed continuation token.
+// Continuation is the plaintext of a continuation token.
 type Continuation struct {
 	Program     string `json:"program"`
 	Workspace   string `json:"workspace"`
@@ -157,13 +159,14 @@
 	Epoch       int64  `json:"epoch"`
 	Incarnation string `json:"incarnation"`
 	Digest      []byte `json:"digest,omitempty"`
-	// Begins is set while the log does not hold the program: root first.
+	// Begins holds the creation records of the program and its ancestors, root first, until the
+	// log has confirmed them.
 	Begins []Begin `json:"begins,omitempty"`
-	// Tail holds the turns that the log does not hold yet, in order.
+	// Tail holds the turns that the log has not confirmed, in order.
 	Tail []Turn `json:"tail,omitempty"`
 }
 
-// TurnContent is what a turn's Sealed field encrypts.
+// TurnContent is the plaintext of a turn's Sealed field.
 type TurnContent struct {
 	Ask    []Message `json:"ask"`
 	Answer Message   `json:"answer"`
@@ -172,7 +175,7 @@
 	ID     string    `json:"id"`
 }
 
-// ServiceResult is what an outcome's Sealed field encrypts.
+// ServiceResult is the plaintext of an outcome's Sealed field.
 type ServiceResult struct {
 	Output json.RawMessage `json:"output"`
 }
--- a/base/types/status.go
+++ b/base/types/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BoxStatus is the state of a box, as its admin address tells it.
+// BoxStatus is the state of a box, as its admin address reports it.
 type BoxStatus struct {
 	Box         string         `json:"box"`
 	Zone        string         `json:"zone"`
@@ -17,24 +17,26 @@
 	Targets     []EngineStatus `json:"targets"`
 }
 
-// SlotStatus is a slot that the box holds.
+// SlotStatus is the state of a slot that the box owns.
 type SlotStatus struct {
 	Slot  string `json:"slot"`
 	Epoch int64  `json:"epoch"`
-	// LogUp is false while the slot's last append has failed.
+	// LogUp is false if the slot's last append to the log failed.
 	LogUp bool `json:"log_up"`
-	// Programs have not ended; Turns and Calls are under way; Keys are remembered.
+	// Programs counts the programs that have not ended, Turns and Calls those in flight, and Keys
+	// the idempotency keys that are kept.
 	Programs int `json:"programs"`
 	Turns    int `json:"turns"`
 	Calls    int `json:"calls"`
 	Keys     int `json:"keys"`
-	// Budget, Granted and Spent are sums over program trees, in tokens.
+	// Budget, Granted and Spent are totals over all program trees, in tokens.
 	Budget  int64 `json:"budget"`
 	Granted int64 `json:"granted"`
 	Spent   int64 `json:"spent"`
 }
 
-// PeerStatus is another box as this one sees it.
+// PeerStatus is the state of a box as seen by the reporting box. Heard is the time of the last
+// heartbeat.
 type PeerStatus struct {
 	Name    string    `json:"name"`
 	Zone    string    `json:"zone,omitempty"`
@@ -43,7 +45,8 @@
 	Heard   time.Time `json:"heard"`
 }
 
-// EngineStatus is an engine as this box believes it to be.
+// EngineStatus is the state of an engine as seen by the reporting box. Mine counts that box's
+// streams in flight, Slow is the engine's slowdown factor.
 type EngineStatus struct {
 	Name    string        `json:"name"`
 	Zone    string        `json:"zone"`
@@ -58,14 +61,14 @@
 	Age     time.Duration `json:"report_age"`
 }
 
-// Figures is all counters and histograms of a box by name.
+// Figures holds all counters, gauges and histograms of a box by name.
 type Figures struct {
 	Counters   map[string]int64     `json:"counters"`
 	Gauges     map[string]int64     `json:"gauges"`
 	Histograms map[string]Histogram `json:"histograms"`
 }
 
-// Histogram is a summary, in microseconds.
+// Histogram summarizes recorded durations, in microseconds.
 type Histogram struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_us"`
@@ -75,7 +78,7 @@
 	Max   int64   `json:"max_us"`
 }
 
-// Step is one decision of a box on a program or request.
+// Step is one decision or event in a box's handling of a program or request.
 type Step struct {
 	At      time.Time `json:"at"`
 	Request string    `json:"request,omitempty"`
@@ -86,7 +89,7 @@
 	Weighed []Weighed `json:"weighed,omitempty"`
 }
 
-// Weighed is a target that was considered, with its score.
+// Weighed is a target that was considered for a call, with its score (lower is better).
 type Weighed struct {
 	Name   string        `json:"name"`
 	Score  time.Duration `json:"score"`
