--- a/base/fault/doc.go
+++ b/base/fault/doc.go
@@ -1,2 +1,3 @@
-// Package fault holds the typed failures that travel between parts and callers.
+// Package fault defines the typed errors that packages return and that boxes send to callers
+// and to each other.
 package fault
--- a/base/fault/fault.go
+++ b/base/fault/fault.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind names a class of failure. It is the last part of a problem's type URI.
+// Kind is a class of failure. It is the title and the last part of the type URI of a Problem.
 type Kind string
 
 // The kinds of failure that callers and operators can meet.
@@ -55,6 +55,7 @@
 	QuotaReached    Kind = "quota_reached"
 )
 
+// statuses holds the HTTP status of each kind.
 var statuses = map[Kind]int{
 	BadRequest:      http.StatusBadRequest,
 	BadJSON:         http.StatusBadRequest,
@@ -99,51 +100,52 @@
 	QuotaReached:    http.StatusTooManyRequests,
 }
 
-// Fault is a typed failure.
+// Fault is an error with a kind, which can be sent to a caller as a Problem.
 type Fault struct {
 	// Kind is never empty.
 	Kind Kind
-	// Detail is fixed text: it never holds content or personal data.
+	// Detail explains the failure to the caller. It never holds users' content or personal data.
 	Detail string
-	// NotRun is true only if nothing was ever handed to a target.
+	// NotRun is true only if nothing was handed to a target, so that a retry cannot run twice.
 	NotRun bool
-	// RetryAfter is zero where a retry is of no use.
+	// RetryAfter is the advised delay before a retry; zero if none is advised.
 	RetryAfter time.Duration
-	// Head is the last answered turn, for turn conflicts; otherwise 0.
+	// Head is the number of the last answered turn in a turn conflict; otherwise 0.
 	Head int
 
+	// cause is the underlying error. Callers never see it.
 	cause error
 }
 
-// Refuse makes a failure of which nothing was handed to a target.
+// Refuse returns a fault with NotRun set: nothing was handed to a target.
 func Refuse(kind Kind, detail string) *Fault {
 	return &Fault{Kind: kind, Detail: detail, NotRun: true}
 }
 
-// Fail makes a failure that may have reached a target.
+// Fail returns a fault of a call that may have reached a target.
 func Fail(kind Kind, detail string) *Fault {
 	return &Fault{Kind: kind, Detail: detail}
 }
 
-// After sets the advised wait before a retry.
+// After sets the advised delay before a retry.
 func (f *Fault) After(wait time.Duration) *Fault {
 	f.RetryAfter = wait
 	return f
 }
 
-// At sets the head turn of a conflict.
+// At sets the last answered turn of a turn conflict.
 func (f *Fault) At(head int) *Fault {
 	f.Head = head
 	return f
 }
 
-// Because keeps the cause for the logs; callers never see it.
+// Because sets the underlying error, which appears in logs but is never sent to callers.
 func (f *Fault) Because(err error) *Fault {
 	f.cause = err
 	return f
 }
 
-// Error implements error.
+// Error returns the kind, the detail and the underlying error.
 func (f *Fault) Error() string {
 	if f.cause == nil {
 		return string(f.Kind) + ": " + f.Detail
@@ -151,17 +153,17 @@
 	return string(f.Kind) + ": " + f.Detail + ": " + f.cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (f *Fault) Unwrap() error {
 	return f.cause
 }
 
-// Status is the HTTP status of the failure.
+// Status returns the HTTP status of the fault.
 func (f *Fault) Status() int {
 	return Status(f.Kind)
 }
 
-// Status is the HTTP status that goes with a kind.
+// Status returns the HTTP status of a kind; 500 if the kind is unknown.
 func Status(kind Kind) int {
 	if s, ok := statuses[kind]; ok {
 		return s
@@ -169,7 +171,8 @@
 	return http.StatusInternalServerError
 }
 
-// From finds the fault in err; any other error becomes Internal with NotRun unset.
+// From returns the fault in err's chain; any other error becomes an Internal fault with NotRun
+// unset.
 func From(err error) *Fault {
 	var f *Fault
 	if errors.As(err, &f) {
@@ -178,7 +181,7 @@
 	return Fail(Internal, "unexpected failure").Because(err)
 }
 
-// Is reports whether err is a fault of the kind.
+// Is reports whether err's chain contains a fault, and the first one is of the given kind.
 func Is(err error, kind Kind) bool {
 	var f *Fault
 	return errors.As(err, &f) && f.Kind == kind
--- a/base/fault/problem.go
+++ b/base/fault/problem.go
@@ -2,9 +2,10 @@
 
 import "time"
 
+// typePrefix is the part of a problem's type URI before its kind.
 const typePrefix = "urn:mulleingate:problem:"
 
-// Problem is the JSON body of a failure (RFC 9457).
+// Problem is the JSON body of an error response (RFC 9457).
 type Problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
@@ -16,7 +17,7 @@
 	RequestID  string `json:"request_id,omitempty"`
 }
 
-// Problem renders the failure for a caller.
+// Problem returns the response body for the fault.
 func (f *Fault) Problem(requestID string) Problem {
 	return Problem{
 		Type:       typePrefix + string(f.Kind),
@@ -30,7 +31,7 @@
 	}
 }
 
-// Fault turns a received problem back into a failure.
+// Fault returns the fault that a received problem describes.
 func (p Problem) Fault() *Fault {
 	return &Fault{
 		Kind:       Kind(p.Title),
