--- a/base/revs/check.go
+++ b/base/revs/check.go
@@ -19,9 +19,10 @@
 	hashBytes = 32
 )
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+// namePattern matches the names of zones, workspaces, models and services.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Check reports all that is wrong with a configuration, joined, each with its path.
+// Check returns all errors in a configuration, joined; each names the path of its field.
 func Check(cfg types.Config) error {
 	var c checker
 	c.zones(cfg.Zones)
@@ -29,52 +30,57 @@
 	c.models(cfg.Models)
 	c.services(cfg.Services)
 	c.defaults(cfg.Defaults)
-	c.need(len(cfg.Keys) > 0, "keys", "at least one data key is needed")
+	c.require(len(cfg.Keys) > 0, "keys", "at least one data key is needed")
 	if _, err := rules.Compile(cfg.Policy); err != nil {
 		c.errs = append(c.errs, err)
 	}
 	return errors.Join(c.errs...)
 }
 
+// checker collects the errors in a configuration.
 type checker struct {
 	errs []error
 }
 
-func (c *checker) need(ok bool, path, detail string) {
+// require adds an error for the field at path unless ok is true.
+func (c *checker) require(ok bool, path, detail string) {
 	if !ok {
 		c.errs = append(c.errs, fault.Refuse(fault.BadConfig, path+": "+detail))
 	}
 }
 
-func (c *checker) name(seen map[string]bool, path, name string) {
-	c.need(nameForm.MatchString(name), path, "not a name of lower-case letters, digits and hyphens")
-	c.need(!seen[name], path, "stands twice")
+// checkName requires a well-formed name that is not in seen, and adds it there.
+func (c *checker) checkName(seen map[string]bool, path, name string) {
+	c.require(namePattern.MatchString(name), path, "not a name of lower-case letters, digits and hyphens")
+	c.require(!seen[name], path, "is a duplicate")
 	seen[name] = true
 }
 
-func at(list string, i int, field string) string {
+// fieldPath returns the path of a field of the list's element i.
+func fieldPath(list string, i int, field string) string {
 	return list + "[" + strconv.Itoa(i) + "]." + field
 }
 
 func (c *checker) zones(zones []types.Zone) {
-	c.need(len(zones) > 0, "zones", "at least one availability zone is needed")
+	c.require(len(zones) > 0, "zones", "at least one availability zone is needed")
 	seen := map[string]bool{}
 	for i, zone := range zones {
-		c.name(seen, at("zones", i, "name"), zone.Name)
-		c.need(zone.Region != "", at("zones", i, "region"), "missing")
-		c.need(zone.Slots > 0 && zone.Slots <= maxSlots, at("zones", i, "slots"), "not between 1 and 4096")
+		c.checkName(seen, fieldPath("zones", i, "name"), zone.Name)
+		c.require(zone.Region != "", fieldPath("zones", i, "region"), "missing")
+		c.require(zone.Slots > 0 && zone.Slots <= maxSlots, fieldPath("zones", i, "slots"), "not between 1 and 4096")
 	}
 }
 
 func (c *checker) workspaces(workspaces []types.Workspace) {
 	seen, hashes := map[string]bool{}, map[string]bool{}
 	for i, workspace := range workspaces {
-		c.name(seen, at("workspaces", i, "name"), workspace.Name)
-		c.need(workspace.Share >= 0, at("workspaces", i, "share"), "negative")
+		c.checkName(seen, fieldPath("workspaces", i, "name"), workspace.Name)
+		c.require(workspace.Share >= 0, fieldPath("workspaces", i, "share"), "negative")
 		for _, hash := range workspace.TokenHashes {
 			raw, err := hex.DecodeString(hash)
-			c.need(err == nil && len(raw) == hashBytes, at("workspaces", i, "token_hashes"), "not a SHA-256 sum in hexadecimal")
-			c.need(!hashes[hash], at("workspaces", i, "token_hashes"), "stands twice")
+			c.require(err == nil && len(raw) == hashBytes, fieldPath("workspaces", i, "token_hashes"),
+				"not a SHA-256 sum in hexadecimal")
+			c.require(!hashes[hash], fieldPath("workspaces", i, "token_hashes"), "is a duplicate")
 			hashes[hash] = true
 		}
 	}
@@ -83,30 +89,31 @@
 func (c *checker) models(models []types.Model) {
 	seen := map[string]bool{}
 	for i, model := range models {
-		c.name(seen, at("models", i, "name"), model.Name)
-		c.need(model.MinWarm >= 0, at("models", i, "min_warm"), "negative")
+		c.checkName(seen, fieldPath("models", i, "name"), model.Name)
+		c.require(model.MinWarm >= 0, fieldPath("models", i, "min_warm"), "negative")
 	}
 }
 
 func (c *checker) services(services []types.Service) {
 	seen := map[string]bool{}
 	for i, svc := range services {
-		c.name(seen, at("services", i, "name"), svc.Name)
-		c.need(svc.Price >= 0, at("services", i, "price"), "negative")
-		c.need(svc.Timeout >= 0, at("services", i, "timeout"), "negative")
-		c.need(svc.HedgeAfter == 0 || svc.Repeatable, at("services", i, "hedge_after"), "only repeatable services may be hedged")
+		c.checkName(seen, fieldPath("services", i, "name"), svc.Name)
+		c.require(svc.Price >= 0, fieldPath("services", i, "price"), "negative")
+		c.require(svc.Timeout >= 0, fieldPath("services", i, "timeout"), "negative")
+		c.require(svc.HedgeAfter == 0 || svc.Repeatable, fieldPath("services", i, "hedge_after"),
+			"only repeatable services may be hedged")
 	}
 }
 
 func (c *checker) defaults(d types.Defaults) {
-	c.need(d.Turns > 0 && d.Turns <= maxTurns, "defaults.turns", "not between 1 and 100000")
-	c.need(d.Depth >= 0, "defaults.depth", "negative")
-	c.need(d.FanOut >= 0, "defaults.fan_out", "negative")
-	c.need(time.Duration(d.Idle) > 0, "defaults.idle", "not positive")
-	c.need(time.Duration(d.Deadline) > 0, "defaults.deadline", "not positive")
-	c.need(d.MaxTokens > 0, "defaults.max_tokens", "not positive")
-	c.need(d.GrantChunk > 0, "defaults.grant_chunk", "not positive")
-	c.need(d.TailBytes > 0, "defaults.tail_bytes", "not positive")
-	c.need(time.Duration(d.LogWait) > 0, "defaults.log_wait", "not positive")
-	c.need(time.Duration(d.KeyRetention) > 0, "defaults.key_retention", "not positive")
+	c.require(d.Turns > 0 && d.Turns <= maxTurns, "defaults.turns", "not between 1 and 100000")
+	c.require(d.Depth >= 0, "defaults.depth", "negative")
+	c.require(d.FanOut >= 0, "defaults.fan_out", "negative")
+	c.require(time.Duration(d.Idle) > 0, "defaults.idle", "not positive")
+	c.require(time.Duration(d.Deadline) > 0, "defaults.deadline", "not positive")
+	c.require(d.MaxTokens > 0, "defaults.max_tokens", "not positive")
+	c.require(d.GrantChunk > 0, "defaults.grant_chunk", "not positive")
+	c.require(d.TailBytes > 0, "defaults.tail_bytes", "not positive")
+	c.require(time.Duration(d.LogWait) > 0, "defaults.log_wait", "not positive")
+	c.require(time.Duration(d.KeyRetention) > 0, "defaults.key_retention", "not positive")
 }
--- a/base/revs/fold.go
+++ b/base/revs/fold.go
@@ -11,10 +11,11 @@
 // Stream is the name of the configuration stream in the platform's log.
 const Stream = "config"
 
-// Verdict says what a fold did with an entry.
+// Verdict is the result of applying a revision.
 type Verdict string
 
-// The verdicts.
+// The verdicts. Lost means that the revision is not based on the current one, Known that it is
+// in force already or, for a copy, that it is no newer than the current one.
 const (
 	Accepted Verdict = "accepted"
 	Lost     Verdict = "lost_race"
@@ -23,24 +24,25 @@
 	Known    Verdict = "known"
 )
 
-// Fold is the state of the configuration stream up to Next.
+// Fold is the state of the configuration stream before the offset Next. It is not safe for
+// concurrent use.
 type Fold struct {
 	// Next is the offset to read from.
 	Next int64
-	// Current has the highest number that was accepted; it is never replaced by a lower one.
+	// Current is the accepted revision with the highest number; nil while there is none.
 	Current *types.Revision
-	// At is the offset of the newest entry that holds Current.
+	// At is the offset of the last entry that holds Current.
 	At int64
 
 	keys []ed25519.PublicKey
 }
 
-// New makes a fold that accepts revisions signed by one of the keys.
+// New returns an empty Fold that accepts revisions signed by one of the keys.
 func New(keys []ed25519.PublicKey) *Fold {
 	return &Fold{keys: keys}
 }
 
-// Apply folds one log entry.
+// Apply applies one entry of the stream and returns its revision and the verdict on it.
 func (f *Fold) Apply(entry types.LogEntry) (types.Revision, Verdict) {
 	f.Next = max(f.Next, entry.Offset+1)
 	var rev types.Revision
@@ -54,36 +56,38 @@
 	return rev, verdict
 }
 
-// Offer considers a revision, from the log or from a peer that has already accepted it
-// (then Carry is set).
+// Offer applies a revision from the log, or one that another box has accepted, which has Carry
+// set.
 func (f *Fold) Offer(rev types.Revision) Verdict {
 	if !f.verify(rev) {
 		return Forged
 	}
-	have := int64(0)
+	currentNumber := int64(0)
 	if f.Current != nil {
-		have = f.Current.Number
+		currentNumber = f.Current.Number
 	}
 	if rev.Carry {
-		return f.carry(rev, have)
+		return f.applyCopy(rev, currentNumber)
 	}
 	if f.Current != nil && rev.ID == f.Current.ID {
 		return Known
 	}
-	if rev.Base != have || rev.Number != have+1 {
+	if rev.Base != currentNumber || rev.Number != currentNumber+1 {
 		return Lost
 	}
-	return f.take(rev)
+	return f.accept(rev)
 }
 
-func (f *Fold) carry(rev types.Revision, have int64) Verdict {
-	if rev.Number <= have {
+// applyCopy applies a copy of an accepted revision. A copy needs no matching base.
+func (f *Fold) applyCopy(rev types.Revision, currentNumber int64) Verdict {
+	if rev.Number <= currentNumber {
 		return Known
 	}
-	return f.take(rev)
+	return f.accept(rev)
 }
 
-func (f *Fold) take(rev types.Revision) Verdict {
+// accept makes the revision current if its configuration is valid.
+func (f *Fold) accept(rev types.Revision) Verdict {
 	if Check(rev.Config) != nil {
 		return Invalid
 	}
@@ -92,7 +96,7 @@
 }
 
 func (f *Fold) verify(rev types.Revision) bool {
-	body, err := signed(rev)
+	body, err := signedBytes(rev)
 	if err != nil {
 		return false
 	}
@@ -104,9 +108,9 @@
 	return false
 }
 
-// Sign signs the revision with an operator's key.
+// Sign returns the revision with its signature by an operator's key.
 func Sign(rev types.Revision, key ed25519.PrivateKey) (types.Revision, error) {
-	body, err := signed(rev)
+	body, err := signedBytes(rev)
 	if err != nil {
 		return rev, err
 	}
@@ -114,12 +118,13 @@
 	return rev, nil
 }
 
-func signed(rev types.Revision) ([]byte, error) {
+// signedBytes returns the bytes that the signature covers: all fields but Signature and Carry.
+func signedBytes(rev types.Revision) ([]byte, error) {
 	rev.Signature = nil
 	rev.Carry = false
 	body, err := json.Marshal(rev)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "revision does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode revision").Because(err)
 	}
 	return body, nil
 }
--- a/base/revs/publish.go
+++ b/base/revs/publish.go
@@ -11,25 +11,26 @@
 	"mulleingate.dev/base/types"
 )
 
-// Log is the platform's log.
+// Log appends to and reads the platform's log.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
 	Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error)
 }
 
 const (
-	pageSize    = 500
-	settlePause = 200 * time.Millisecond
+	pageSize = 500 // entries
+	// readBackInterval is the delay between two reads of the stream for the verdict on an append.
+	readBackInterval = 200 * time.Millisecond
 )
 
-// Seen is an entry with the fold's verdict.
+// Seen is an entry of the stream with the verdict on it.
 type Seen struct {
 	Offset   int64          `json:"offset"`
 	Revision types.Revision `json:"revision"`
 	Verdict  Verdict        `json:"verdict"`
 }
 
-// History folds the whole stream and returns every entry that is still kept.
+// History reads the whole stream. It returns its state and every retained entry.
 func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*Fold, []Seen, error) {
 	fold := New(keys)
 	var all []Seen
@@ -49,19 +50,19 @@
 	}
 }
 
-// Draft is what an operator wants in force.
+// Draft is a configuration to be published.
 type Draft struct {
-	// Base is the revision that the draft was made from.
+	// Base is the number of the revision that the draft is based on.
 	Base   int64
 	Author string
 	Note   string
 	Config types.Config
 }
 
-// Publish appends the draft if its base is in force, and returns the accepted revision.
-// Of operators who race, exactly one wins; the others get revision_conflict. An append
-// whose answer is lost is settled by reading back.
-// keys are the public keys of all operators, as the boxes' settings have them.
+// Publish signs and appends the draft, reads the stream back for the verdict and returns the
+// accepted revision. If several operators publish on the same base, exactly one succeeds and the
+// others get a Conflict fault. If ctx ends before the verdict is known, the fault is
+// OutcomeUnknown. The keys are the public keys of all operators, as in the boxes' settings.
 func Publish(ctx context.Context, log Log, key ed25519.PrivateKey, keys []ed25519.PublicKey, draft Draft) (types.Revision, error) {
 	if err := Check(draft.Config); err != nil {
 		return types.Revision{}, err
@@ -75,31 +76,33 @@
 	}
 	raw, err := json.Marshal(rev)
 	if err != nil {
-		return rev, fault.Refuse(fault.Internal, "revision does not encode").Because(err)
+		return rev, fault.Refuse(fault.Internal, "cannot encode revision").Because(err)
 	}
 	_, appendErr := log.Append(ctx, Stream, raw)
 	if appendErr != nil && fault.From(appendErr).NotRun {
 		return rev, appendErr
 	}
-	return rev, settle(ctx, log, keys, rev)
+	return rev, awaitVerdict(ctx, log, keys, rev)
 }
 
-// settle reads the stream until it shows what became of the revision.
-func settle(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) error {
+// awaitVerdict reads the stream until it shows the verdict on the revision.
+func awaitVerdict(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) error {
 	for {
-		verdict, found, err := outcome(ctx, log, keys, rev)
+		verdict, found, err := findVerdict(ctx, log, keys, rev)
 		if err == nil && found {
-			return told(verdict)
+			return verdictError(verdict)
 		}
 		select {
 		case <-ctx.Done():
 			return fault.Fail(fault.OutcomeUnknown, "the revision may have been published; look at the history").Because(err)
-		case <-time.After(settlePause):
+		case <-time.After(readBackInterval):
 		}
 	}
 }
 
-func outcome(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) (Verdict, bool, error) {
+// findVerdict returns the verdict on the revision, and whether the stream shows one. A revision
+// that is missing counts as Lost once one with the same or a higher number is in force.
+func findVerdict(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) (Verdict, bool, error) {
 	fold, all, err := History(ctx, log, keys)
 	if err != nil {
 		return "", false, err
@@ -116,18 +119,19 @@
 	return "", false, nil
 }
 
-func told(verdict Verdict) error {
+// verdictError returns the error that Publish reports for a verdict.
+func verdictError(verdict Verdict) error {
 	switch verdict {
 	case Accepted, Known:
 		return nil
 	case Lost:
 		return fault.Refuse(fault.Conflict, "another revision was published first; diff and publish again")
 	default:
-		return fault.Refuse(fault.BadConfig, "the log shows the revision as "+string(verdict))
+		return fault.Refuse(fault.BadConfig, "the revision was rejected: "+string(verdict))
 	}
 }
 
-// Keys lists public keys.
+// Keys returns its arguments as a slice.
 func Keys(keys ...ed25519.PublicKey) []ed25519.PublicKey {
 	return keys
 }
--- a/base/revs/revs_test.go
+++ b/base/revs/revs_test.go
@@ -26,7 +26,7 @@
 	return k.Public().(ed25519.PublicKey)
 }
 
-// example is a published configuration of the repository, with a data key.
+// example returns an example configuration of the repository with a data key added.
 func example(t *testing.T, name string) types.Config {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + "/config.json")
@@ -41,7 +41,7 @@
 	return cfg
 }
 
-func TestExamplesHold(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"ghent", "ndokwa"} {
 		if err := Check(example(t, name)); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -49,10 +49,11 @@
 	}
 }
 
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+// TestCheckNamesInvalidField checks that each error names the path of the invalid field.
+func TestCheckNamesInvalidField(t *testing.T) {
 	cases := []struct {
-		path string
-		spot func(cfg *types.Config)
+		path    string
+		corrupt func(cfg *types.Config)
 	}{
 		{"zones[1].name", func(c *types.Config) { c.Zones[1].Name = c.Zones[0].Name }},
 		{"zones[0].slots", func(c *types.Config) { c.Zones[0].Slots = 0 }},
@@ -67,30 +68,30 @@
 	}
 	for _, c := range cases {
 		cfg := example(t, "ghent")
-		c.spot(&cfg)
+		c.corrupt(&cfg)
 		err := Check(cfg)
 		if err == nil || !strings.Contains(err.Error(), c.path) {
-			t.Errorf("%s is not named in: %v", c.path, err)
+			t.Errorf("error does not name %s: %v", c.path, err)
 		}
 	}
 }
 
-// memory is a log that can lose answers.
-type memory struct {
-	entries []types.LogEntry
-	lose    bool
+// memoryLog is an in-memory Log. With loseAnswers set, appends succeed but return an error.
+type memoryLog struct {
+	entries     []types.LogEntry
+	loseAnswers bool
 }
 
-func (m *memory) Append(_ context.Context, _ string, data []byte) (int64, error) {
+func (m *memoryLog) Append(_ context.Context, _ string, data []byte) (int64, error) {
 	at := int64(len(m.entries) + 1)
 	m.entries = append(m.entries, types.LogEntry{Offset: at, Data: data})
-	if m.lose {
+	if m.loseAnswers {
 		return 0, fault.Fail(fault.LogUnavailable, "answer lost")
 	}
 	return at, nil
 }
 
-func (m *memory) Read(_ context.Context, _ string, from int64, _ int) (types.LogPage, error) {
+func (m *memoryLog) Read(_ context.Context, _ string, from int64, _ int) (types.LogPage, error) {
 	page := types.LogPage{First: 1, Next: int64(len(m.entries) + 1)}
 	for _, e := range m.entries {
 		if e.Offset >= from {
@@ -100,30 +101,34 @@
 	return page, nil
 }
 
+// TestOnlyOneOperatorWins checks that of two publications on the same base one is accepted, also
+// if the answers to the appends are lost.
 func TestOnlyOneOperatorWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 		defer stop()
-		log := &memory{lose: true}
+		log := &memoryLog{loseAnswers: true}
 		keys := Keys(public(key(1)), public(key(2)))
 		cfg := example(t, "ghent")
 		if _, err := Publish(ctx, log, key(1), keys, Draft{Config: cfg, Author: "a"}); err != nil {
-			t.Fatalf("a lost answer was not settled: %v", err)
+			t.Fatalf("Publish failed after a lost answer: %v", err)
 		}
 		_, err := Publish(ctx, log, key(2), keys, Draft{Config: cfg, Author: "b"})
 		if !fault.Is(err, fault.Conflict) {
-			t.Errorf("the second operator was told: %v", err)
+			t.Errorf("second Publish on the same base: got error %v, want a conflict", err)
 		}
 		fold, _, err := History(ctx, log, keys)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff("a", fold.Current.Author); diff != "" {
-			t.Errorf("author in force (-want +got):\n%s", diff)
+			t.Errorf("author of the current revision (-want +got):\n%s", diff)
 		}
 	})
 }
 
+// TestForgedAndOldRevisionsAreIgnored checks the verdicts on revisions with a wrong key, on copies,
+// on old numbers and on a gap.
 func TestForgedAndOldRevisionsAreIgnored(t *testing.T) {
 	cfg := example(t, "ghent")
 	sign := func(n int64, k ed25519.PrivateKey, carry bool) types.Revision {
