--- a/base/ident/digest.go
+++ b/base/ident/digest.go
@@ -5,7 +5,8 @@
 	"encoding/hex"
 )
 
-// KeyDigest is the SHA-256 of a caller's key, in hexadecimal: the only form in which boxes hold keys.
+// KeyDigest returns the SHA-256 hash of a caller's key or token, in hexadecimal. Boxes store keys
+// only in this form.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/base/ident/doc.go
+++ b/base/ident/doc.go
@@ -1,2 +1,3 @@
-// Package ident names slots, programs and attempts.
+// Package ident creates and parses the identifiers of slots and programs, and assigns keys to
+// names by rendezvous hashing.
 package ident
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -15,29 +15,29 @@
 
 const (
 	randomBytes = 8
-	// MaxLen bounds every identifier a caller may send, in bytes.
+	// MaxLen is the maximum length of an identifier in a request, in bytes.
 	MaxLen = 128
 )
 
-// Slot is a shard of ownership. Programs and idempotency keys hash to slots.
+// Slot is a shard that one box owns at a time. Each program and idempotency key belongs to a slot.
 type Slot struct {
-	// Zone is the availability zone that prefers to own the slot; never empty.
+	// Zone is the availability zone whose boxes should own the slot; never empty.
 	Zone string `json:"zone"`
 	// Number counts from 0 within the zone.
 	Number int `json:"number"`
 }
 
-// String renders the slot as zone.number.
+// String returns the slot in the form "zone.number".
 func (s Slot) String() string {
 	return s.Zone + "." + strconv.Itoa(s.Number)
 }
 
-// Stream is the name of the slot's stream in the platform's log.
+// Stream returns the name of the slot's stream in the platform's log.
 func (s Slot) Stream() string {
 	return "slot." + s.String()
 }
 
-// ParseSlot reads the form that String writes.
+// ParseSlot parses the form that String returns.
 func ParseSlot(text string) (Slot, error) {
 	zone, num, ok := strings.Cut(text, ".")
 	if !ok || zone == "" || len(text) > MaxLen {
@@ -50,12 +50,12 @@
 	return Slot{Zone: zone, Number: n}, nil
 }
 
-// NewProgram makes a program id in the slot.
+// NewProgram returns a new program ID in the slot.
 func NewProgram(slot Slot) string {
 	return slot.String() + "." + Random()
 }
 
-// ProgramSlot returns the slot that a program id names.
+// ProgramSlot returns the slot that a program ID names.
 func ProgramSlot(program string) (Slot, error) {
 	cut := strings.LastIndexByte(program, '.')
 	if cut < 0 || len(program) > MaxLen {
@@ -68,21 +68,20 @@
 	return slot, nil
 }
 
-// KeySlot hashes a workspace's idempotency key onto one of the slots.
+// KeySlot returns the slot to which a workspace's idempotency key hashes.
 func KeySlot(workspace, key string, slots []Slot) Slot {
 	h := xxhash.Sum64String(workspace + "\x00" + key)
 	return slots[h%uint64(len(slots))]
 }
 
-// Random returns a fresh identifier of 16 hexadecimal digits.
+// Random returns a random identifier of 16 hexadecimal digits.
 func Random() string {
 	raw := make([]byte, randomBytes)
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// Winner is the rendezvous (highest random weight) choice among names for key.
-// It returns "" when there are no names.
+// Winner returns the name with the highest rendezvous weight for key, or "" if there are no names.
 func Winner(key string, names []string) string {
 	best, bestScore := "", uint64(0)
 	for _, name := range names {
@@ -94,35 +93,35 @@
 	return best
 }
 
-// Closest is the rendezvous choice of n among several names for key, heaviest first. It
-// returns their indices; name tells the name of each.
-func Closest(key string, names int, name func(i int) string, n int) []int {
-	return ranked(names, func(i int) float64 { return uniform(key, name(i)) }, n)
+// Closest returns the indices of the n names with the highest rendezvous weights for key, highest
+// first. There are count names; name returns the one at an index.
+func Closest(key string, count int, name func(i int) string, n int) []int {
+	return ranked(count, func(i int) float64 { return uniform(key, name(i)) }, n)
 }
 
-// Shared is the same where names have shares: each is chosen in proportion to its own, above 0. A name
-// that comes or goes moves no key between two others.
-func Shared(key string, names int, name func(i int) (string, float64), n int) []int {
-	return ranked(names, func(i int) float64 {
+// Shared is Closest for names with shares, which must be above 0: each name comes first for a part
+// of the keys in proportion to its share. Adding or removing a name moves no key between two others.
+func Shared(key string, count int, name func(i int) (string, float64), n int) []int {
+	return ranked(count, func(i int) float64 {
 		name, share := name(i)
 		return share / -math.Log(uniform(key, name))
 	}, n)
 }
 
-// uniformBits is the part of a hash, in bits, that a number between 0 and 1 can hold.
+// uniformBits is the number of hash bits that fit the mantissa of a float64.
 const uniformBits = 53
 
-// uniform is the weight of name for key, between 0 and 1.
+// uniform returns the rendezvous weight of name for key, scaled to between 0 and 1. It is never 0.
 func uniform(key, name string) float64 {
 	return (float64(Weight(key, name)>>(64-uniformBits)) + 0.5) / (1 << uniformBits)
 }
 
-// ranked returns the n of several indices whose weights are greatest, in that order.
-func ranked(count int, of func(i int) float64, n int) []int {
+// ranked returns the n indices below count with the highest weights, highest first.
+func ranked(count int, weightOf func(i int) float64, n int) []int {
 	best := make([]int, 0, n+1)
 	weights := make([]float64, 0, n+1)
 	for i := range count {
-		weight := of(i)
+		weight := weightOf(i)
 		at := 0
 		for at < len(weights) && weights[at] >= weight {
 			at++
@@ -138,7 +137,7 @@
 	return best
 }
 
-// Weight is the rendezvous weight of name for key.
+// Weight returns the rendezvous weight (highest random weight) of name for key.
 func Weight(key, name string) uint64 {
 	return xxhash.Sum64String(key + "\x00" + name)
 }
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -8,8 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClosest checks the choice against a whole sort by weight, and that it begins with the
-// winner.
+// TestClosest compares Closest with a full sort by weight, and its first name with Winner.
 func TestClosest(t *testing.T) {
 	var names []string
 	for i := range 40 {
@@ -24,24 +23,24 @@
 				got = append(got, names[i])
 			}
 			if diff := cmp.Diff(append([]string(nil), want[:min(n, len(want))]...), got); diff != "" {
-				t.Errorf("the %d closest to %s (-want +got):\n%s", n, key, diff)
+				t.Errorf("Closest with n = %d for key %s (-want +got):\n%s", n, key, diff)
 			}
 		}
 		if got := Winner(key, names); got != want[0] {
-			t.Errorf("the winner for %s is %s, not %s", key, got, want[0])
+			t.Errorf("Winner for key %s is %s, want %s", key, got, want[0])
 		}
 	}
 }
 
-// TestShared checks that names are chosen by their shares, that equal shares choose as no shares do, and
-// that a name which goes moves only its own keys.
+// TestShared checks that names get keys in proportion to their shares, that with equal shares Shared
+// agrees with Closest, and that removing a name moves only its own keys.
 func TestShared(t *testing.T) {
 	var names []string
 	for i := range 40 {
 		names = append(names, "box-"+strconv.Itoa(i))
 	}
 	const keys = 20_000
-	large := func(i int) (string, float64) {
+	unequal := func(i int) (string, float64) {
 		if i < 8 {
 			return names[i], 4
 		}
@@ -51,19 +50,19 @@
 	first := 0
 	for key := range keys {
 		key := strconv.Itoa(key)
-		ranks := Shared(key, len(names), large, 2)
+		ranks := Shared(key, len(names), unequal, 2)
 		if ranks[0] < 8 {
 			first++
 		}
 		if diff := cmp.Diff(Closest(key, len(names), func(i int) string { return names[i] }, 3), Shared(key, len(names), equal, 3)); diff != "" {
-			t.Fatalf("key %s with equal shares (-want +got):\n%s", key, diff)
+			t.Fatalf("Shared for key %s with equal shares (-want +got):\n%s", key, diff)
 		}
-		without := Shared(key, len(names)-1, large, 1)[0]
+		without := Shared(key, len(names)-1, unequal, 1)[0]
 		if ranks[0] != len(names)-1 && without != ranks[0] {
-			t.Errorf("key %s moves from %d to %d though neither went", key, ranks[0], without)
+			t.Errorf("key %s moves from %d to %d though neither was removed", key, ranks[0], without)
 		}
 	}
 	if got := float64(first) / keys; got < 0.48 || got > 0.52 {
-		t.Errorf("eight names with half of all shares get %.3f of the keys", got)
+		t.Errorf("eight names with half of all shares get %.3f of the keys, want about half", got)
 	}
 }
