--- a/base/client/auth.go
+++ b/base/client/auth.go
@@ -4,12 +4,13 @@
 	"context"
 )
 
-// Auth is how a caller of a box shows who it is. Key makes a call run at most once.
+// Auth authorizes a call to a box. Token is the bearer token. Key is an optional idempotency key,
+// with which the call runs at most once.
 type Auth struct {
 	Token, Key string
 }
 
-// CallAs is Call with a bearer token and, if it is set, an idempotency key.
+// CallAs is Call with the bearer token and, if set, the idempotency key of auth.
 func (c *Client) CallAs(ctx context.Context, auth Auth, method, url string, in, out any) error {
 	req, err := Request(ctx, method, url, in)
 	if err != nil {
--- a/base/client/client.go
+++ b/base/client/client.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// MaxBody bounds an answer that is read whole, in bytes.
-	MaxBody     = 64 << 20
-	dialTimeout = time.Second
-	idleConns   = 256
-	idleTimeout = 90 * time.Second
+	// MaxBody is the maximum size of a response that Decode reads, in bytes. The rest is dropped.
+	MaxBody      = 64 << 20
+	dialTimeout  = time.Second
+	maxIdleConns = 256
+	idleTimeout  = 90 * time.Second
 )
 
-// Client calls one kind of remote service.
+// Client is an HTTP client for one kind of remote service.
 type Client struct {
 	svc httpc.Service
 }
 
-// New makes a client. The name must be unique to its purpose; transport may be nil.
+// New returns a client. Its name identifies it to go-zero and must be unique to its purpose. A nil
+// transport stands for a new one from Transport.
 func New(name string, transport *http.Transport) *Client {
 	if transport == nil {
 		transport = Transport()
@@ -37,32 +38,33 @@
 	return &Client{svc: httpc.NewServiceWithClient(name, &http.Client{Transport: transport})}
 }
 
-// Transport is the transport that all clients start from.
+// Transport returns a new transport with the default settings of all clients.
 func Transport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        idleConns,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// Do sends a request and returns the raw response. A failure to connect is said
-// with NotRun set; any other failure may have reached the target.
+// Do sends a request and returns the raw response. If no connection can be opened, the fault has
+// NotRun set; after any other failure the request may have reached the target.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
 	resp, err := c.svc.DoRequest(req)
 	if err == nil {
 		return resp, nil
 	}
 	if notSent(err) {
-		return nil, fault.Refuse(fault.TargetFailed, "connection refused").Because(err)
+		return nil, fault.Refuse(fault.TargetFailed, "cannot connect").Because(err)
 	}
-	return nil, fault.Fail(fault.TargetFailed, "call broke").Because(err)
+	return nil, fault.Fail(fault.TargetFailed, "call failed").Because(err)
 }
 
-// Call sends in as JSON and reads out as JSON; out may be nil. Problem bodies come back as faults.
+// Call sends in as JSON and decodes the response into out; both may be nil. An error response is
+// returned as a fault.
 func (c *Client) Call(ctx context.Context, method, url string, in, out any) error {
 	req, err := Request(ctx, method, url, in)
 	if err != nil {
@@ -76,19 +78,19 @@
 	return Decode(resp, out)
 }
 
-// Request builds a JSON request; in may be nil.
+// Request creates a request with in as its JSON body; in may be nil.
 func Request(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return nil, fault.Refuse(fault.Internal, "request does not encode").Because(err)
+			return nil, fault.Refuse(fault.Internal, "cannot encode request").Because(err)
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "request cannot be built").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot create request").Because(err)
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -96,14 +98,14 @@
 	return req, nil
 }
 
-// Decode reads a whole response into out, or returns its problem as a fault.
+// Decode reads a complete JSON response into out, or returns an error response as a fault.
 func Decode(resp *http.Response, out any) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 	if err != nil {
-		return fault.Fail(fault.TargetFailed, "answer broke off").Because(err)
+		return fault.Fail(fault.TargetFailed, "response was cut off").Because(err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return problem(resp.StatusCode, raw)
+		return responseFault(resp.StatusCode, raw)
 	}
 	if out == nil || len(raw) == 0 {
 		return nil
@@ -114,7 +116,9 @@
 	return nil
 }
 
-func problem(status int, raw []byte) error {
+// responseFault returns the fault for an error response. A status 429 without a problem body counts
+// as not run.
+func responseFault(status int, raw []byte) error {
 	var p fault.Problem
 	if json.Unmarshal(raw, &p) == nil && p.Title != "" {
 		return p.Fault()
@@ -125,8 +129,8 @@
 	return fault.Fail(fault.TargetFailed, "target answered "+http.StatusText(status))
 }
 
-// notSent reports whether err proves that no byte of the request was written.
+// notSent reports whether err proves that no byte of the request was sent.
 func notSent(err error) bool {
 	var op *net.OpError
-	return asOp(err, &op) && op.Op == "dial"
+	return asOpError(err, &op) && op.Op == "dial"
 }
--- a/base/client/doc.go
+++ b/base/client/doc.go
@@ -1,3 +1,3 @@
-// Package client makes HTTP calls through go-zero's httpc, with its circuit breakers off:
-// limits and retries are decided in one place, by the gate.
+// Package client makes HTTP calls through go-zero's httpc and reads event streams. The circuit
+// breakers of go-zero are disabled, since the gate decides about limits and retries.
 package client
--- a/base/client/stream.go
+++ b/base/client/stream.go
@@ -13,26 +13,26 @@
 
 const (
 	dataPrefix = "data: "
-	// Done is the last data of an event stream.
+	// Done is the data of the last event of a stream.
 	Done = "[DONE]"
-	// maxEvent bounds one event, in bytes.
+	// maxEvent is the maximum size of one event, in bytes.
 	maxEvent = 8 << 20
 )
 
-// Events reads a stream of server-sent events.
+// Events is a reader of server-sent events.
 type Events struct {
 	scan *bufio.Scanner
 }
 
-// NewEvents reads events from body.
+// NewEvents returns a reader of the events in body.
 func NewEvents(body io.Reader) *Events {
 	scan := bufio.NewScanner(body)
 	scan.Buffer(nil, maxEvent)
 	return &Events{scan: scan}
 }
 
-// Next returns the data of the next event; io.EOF after the end mark. A stream that
-// ends without its mark is a failure.
+// Next returns the data of the next event, which is valid until the next call, or io.EOF at the
+// event Done. A stream that ends without that event is a fault.
 func (e *Events) Next() ([]byte, error) {
 	for e.scan.Scan() {
 		data, ok := bytes.CutPrefix(e.scan.Bytes(), []byte(dataPrefix))
@@ -44,9 +44,10 @@
 		}
 		return data, nil
 	}
-	return nil, fault.Fail(fault.TargetFailed, "stream ended without its end mark").Because(e.scan.Err())
+	return nil, fault.Fail(fault.TargetFailed, "stream ended without its final event").Because(e.scan.Err())
 }
 
-func asOp(err error, op **net.OpError) bool {
+// asOpError is errors.As for a network error.
+func asOpError(err error, op **net.OpError) bool {
 	return errors.As(err, op)
 }
