--- a/base/server/doc.go
+++ b/base/server/doc.go
@@ -1,4 +1,4 @@
-// Package server serves HTTP through go-zero's rest router. The load shedding, breakers,
-// timeouts and logs that rest brings are off: admission belongs to the gate, and a
-// second judge would cut calls that the gate has accepted.
+// Package server serves HTTP through go-zero's rest router, and reads and writes JSON bodies,
+// problems and event streams. The load shedding, breakers, timeouts and logs of go-zero are
+// disabled: the gate decides about admission, and calls that it accepts must not be cut off.
 package server
--- a/base/server/server.go
+++ b/base/server/server.go
@@ -22,19 +22,20 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 64 << 10
-	maxConns      = 100_000
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	maxConns       = 100_000
 )
 
-// Server is an HTTP server over a listener of its own.
+// Server is an HTTP server with its own listener.
 type Server struct {
 	running *serve.Running
 	ln      net.Listener
 }
 
-// Handler builds a handler from routes.
+// Handler returns an HTTP handler for the routes. It also redirects go-zero's log messages to slog
+// for the whole process.
 func Handler(routes []rest.Route) (http.Handler, error) {
 	conf := rest.RestConf{Host: "127.0.0.1", MaxConns: maxConns}
 	conf.Name = "mulleingate"
@@ -50,12 +51,12 @@
 	srv.AddRoutes(routes, rest.WithTimeout(0))
 	bound, err := rest.NewServerless(srv)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "routes do not bind").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot bind routes").Because(err)
 	}
 	return http.HandlerFunc(bound.Serve), nil
 }
 
-// Listen binds addr and serves handler in the background; tlsConf may be nil.
+// Listen binds addr and serves handler in the background; without TLS if tlsConf is nil.
 func Listen(addr netip.AddrPort, handler http.Handler, tlsConf *tls.Config) (*Server, error) {
 	ln, err := serve.Listen(addr)
 	if err != nil {
@@ -68,23 +69,23 @@
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	ended := func(cause error) { slog.Error("server: listener ended", "cause", cause) }
 	return &Server{ln: ln, running: serve.Run(srv, ln, slog.Default(), ended)}, nil
 }
 
-// Addr is the address that was bound.
+// Addr returns the address that the listener is bound to.
 func (s *Server) Addr() netip.AddrPort {
 	return s.ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Stop waits for requests under way until ctx ends, then cuts them.
+// Stop waits for requests in flight until ctx ends, then closes their connections.
 func (s *Server) Stop(ctx context.Context) error {
 	return s.running.Stop(ctx)
 }
 
-// Read decodes a JSON body of at most limit bytes.
+// Read decodes a JSON request body of at most limit bytes into out.
 func Read(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -100,14 +101,14 @@
 	return nil
 }
 
-// Write answers with JSON.
+// Write sends body as a JSON response.
 func Write(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Fail answers with the problem of err.
+// Fail sends err as a problem response. The Retry-After header is rounded up to whole seconds.
 func Fail(w http.ResponseWriter, requestID string, err error) {
 	f := fault.From(err)
 	if f.RetryAfter > 0 {
@@ -119,13 +120,13 @@
 	_ = json.NewEncoder(w).Encode(f.Problem(requestID))
 }
 
-// Stream writes server-sent events.
+// Stream is a writer of server-sent events.
 type Stream struct {
 	w     http.ResponseWriter
 	flush *http.ResponseController
 }
 
-// NewStream starts an event stream.
+// NewStream writes the status and headers of an event stream.
 func NewStream(w http.ResponseWriter) *Stream {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -133,32 +134,33 @@
 	return &Stream{w: w, flush: http.NewResponseController(w)}
 }
 
-// Send writes one event.
+// Send writes one event with the JSON encoding of event as its data, and flushes it.
 func (s *Stream) Send(event any) error {
 	raw, err := json.Marshal(event)
 	if err != nil {
-		return fault.Fail(fault.Internal, "event does not encode").Because(err)
+		return fault.Fail(fault.Internal, "cannot encode event").Because(err)
 	}
-	return s.raw(raw)
+	return s.writeEvent(raw)
 }
 
-// Close writes the end mark.
+// Close writes the final event. It leaves the connection open.
 func (s *Stream) Close() error {
-	return s.raw([]byte(client.Done))
+	return s.writeEvent([]byte(client.Done))
 }
 
-func (s *Stream) raw(data []byte) error {
+// writeEvent writes and flushes one event.
+func (s *Stream) writeEvent(data []byte) error {
 	line := make([]byte, 0, len(data)+8)
 	line = append(line, "data: "...)
 	line = append(line, data...)
 	line = append(line, "\n\n"...)
 	if _, err := s.w.Write(line); err != nil {
-		return fault.Fail(fault.TargetFailed, "caller is gone").Because(err)
+		return fault.Fail(fault.TargetFailed, "cannot write to the caller").Because(err)
 	}
 	return s.flush.Flush()
 }
 
-// Cut breaks the connection without an answer, for stand-ins that lose answers.
+// Cut closes the connection without completing the response.
 func Cut(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
