--- a/base/serve/doc.go
+++ b/base/serve/doc.go
@@ -1,2 +1,2 @@
-// Package serve runs HTTP servers over listeners of their own and stops them.
+// Package serve runs HTTP servers in the background and shuts them down gracefully.
 package serve
--- a/base/serve/serve.go
+++ b/base/serve/serve.go
@@ -16,16 +16,15 @@
 )
 
 const (
-	// unusedFor is how long after it was accepted a connection may bring its first request
-	// once the server stops: a caller that connects to send does so at once, so that one which
-	// has not by then was opened for later. A caller that crosses the end opens another.
-	unusedFor = 500 * time.Millisecond
-	// unusedEvery is the time between two looks for such connections. One more passes after
-	// the last look, so that a request whose head has just come is seen to by its handler.
-	unusedEvery = 10 * time.Millisecond
+	// firstRequestTimeout is how long a stopping server waits for the first request on a connection,
+	// from its accept. A connection unused for longer is assumed to be kept for later requests.
+	firstRequestTimeout = 500 * time.Millisecond
+	// unusedPollInterval is the interval between two checks for such connections. Stop also waits
+	// for it after the last check, so that a request that has just been read reaches its handler.
+	unusedPollInterval = 10 * time.Millisecond
 )
 
-// Listen takes an address. A fault BadSettings means that it can't be had.
+// Listen opens a TCP listener on addr. It returns a BadSettings fault if that fails.
 func Listen(addr netip.AddrPort) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -34,29 +33,29 @@
 	return ln, nil
 }
 
-// Running is a server that serves a listener.
+// Running is an HTTP server that serves a listener in the background.
 type Running struct {
 	http *http.Server
 	ln   net.Listener
-	// served is closed once no connection is accepted any more.
-	served   chan struct{}
-	stopping atomic.Bool
+	// serveReturned is closed once Serve has returned and no more connections are accepted.
+	serveReturned chan struct{}
+	stopping      atomic.Bool
 
 	mu sync.Mutex
-	// unused holds when the connections were accepted that have not brought a request yet.
+	// unused holds the connections that have not sent a request, with the time of their accept.
 	unused map[net.Conn]time.Time
 }
 
-// Run serves the listener in the background and has the server write its own messages to the
-// logger. It calls ended if the server ends other than by Stop. It takes the server's hook for
-// the states of connections.
+// Run serves the listener in the background and logs the server's own messages at debug level. It
+// calls ended if the server ends other than by Stop. It overwrites the server's ErrorLog and
+// ConnState.
 func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Running {
-	r := &Running{http: srv, ln: ln, served: make(chan struct{}), unused: map[net.Conn]time.Time{}}
+	r := &Running{http: srv, ln: ln, serveReturned: make(chan struct{}), unused: map[net.Conn]time.Time{}}
 	srv.ErrorLog = slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
-	srv.ConnState = r.note
-	srv.RegisterOnShutdown(r.endUnused)
+	srv.ConnState = r.trackConn
+	srv.RegisterOnShutdown(r.closeUnused)
 	go func() {
-		defer close(r.served)
+		defer close(r.serveReturned)
 		if err := srv.Serve(ln); !r.stopping.Load() {
 			ended(err)
 		}
@@ -64,9 +63,9 @@
 	return r
 }
 
-// note keeps the unused connections. One counts as used once the head of its first request
-// has come.
-func (r *Running) note(conn net.Conn, state http.ConnState) {
+// trackConn updates the unused connections. A connection counts as used once the header of its
+// first request has been read.
+func (r *Running) trackConn(conn net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state == http.StateNew {
@@ -76,50 +75,51 @@
 	delete(r.unused, conn)
 }
 
-// Stop waits for requests under way until ctx ends, then cuts them. Connections that have not
-// been used hold it up for unusedFor at most; Shutdown alone waits seconds for them, and would
-// drop the requests that they bring meanwhile.
+// Stop waits for requests in flight until ctx ends, then closes their connections. Unused
+// connections delay it by at most firstRequestTimeout: http.Server.Shutdown alone waits several
+// seconds for them and drops requests that they send meanwhile.
 func (r *Running) Stop(ctx context.Context) error {
 	r.stopping.Store(true)
-	_ = r.ln.Close() // its end is what is wanted, and it may have ended before
-	<-r.served
-	r.awaitFirst(ctx)
+	_ = r.ln.Close() // it may be closed already
+	<-r.serveReturned
+	r.awaitFirstRequests(ctx)
 	if err := r.http.Shutdown(ctx); err != nil {
 		return errors.CombineErrors(err, r.http.Close())
 	}
 	return nil
 }
 
-// awaitFirst gives callers that have just connected the time to send.
-func (r *Running) awaitFirst(ctx context.Context) {
+// awaitFirstRequests waits until no unused connection is younger than firstRequestTimeout, or
+// until ctx ends.
+func (r *Running) awaitFirstRequests(ctx context.Context) {
 	for waiting := true; waiting; {
-		waiting = r.young(time.Now())
+		waiting = r.hasRecentUnused(time.Now())
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(unusedEvery):
+		case <-time.After(unusedPollInterval):
 		}
 	}
 }
 
-// young reports whether an unused connection may still bring a request.
-func (r *Running) young(now time.Time) bool {
+// hasRecentUnused reports whether any unused connection is younger than firstRequestTimeout.
+func (r *Running) hasRecentUnused(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, accepted := range r.unused {
-		if now.Sub(accepted) < unusedFor {
+		if now.Sub(accepted) < firstRequestTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// endUnused ends the connections that are still unused. From Shutdown's start on the server
-// runs no request that they bring.
-func (r *Running) endUnused() {
+// closeUnused closes the connections that are still unused. Once Shutdown has begun, the server
+// runs no requests from them.
+func (r *Running) closeUnused() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.unused {
-		_ = conn.Close() // its caller sees the end
+		_ = conn.Close() // the caller sees that the connection is closed
 	}
 }
