--- a/base/shell/doc.go
+++ b/base/shell/doc.go
@@ -1,3 +1,3 @@
-// Package shell is the command line that the programs share: commands register by name
-// and are found with their aliases, help and flags.
+// Package shell is the command-line framework of the programs: it registers commands with their
+// aliases, help and flags, runs them, and handles signals and exit codes.
 package shell
--- a/base/shell/shell.go
+++ b/base/shell/shell.go
@@ -13,28 +13,28 @@
 
 // Command is one command of a program.
 type Command interface {
-	// Aliases are its names, the usual one first.
+	// Aliases returns the names of the command, the primary one first.
 	Aliases() []string
-	// Help is one line.
+	// Help returns a one-line description.
 	Help() string
-	// Flags declares its flags.
+	// Flags defines the command's flags on cmd.
 	Flags(cmd *cobra.Command)
-	// Execute runs it until ctx ends.
+	// Execute runs the command until it is done or ctx ends, and writes its output to out.
 	Execute(ctx context.Context, out io.Writer, args []string) error
 }
 
-// Set is the commands of one program, by group; group "" holds those at the top.
+// Set holds the commands of one program by group; group "" holds the top-level commands.
 type Set struct {
-	groups map[string]map[string]Command
-	helps  map[string]string
+	groups    map[string]map[string]Command
+	groupHelp map[string]string
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
-	return &Set{groups: map[string]map[string]Command{}, helps: map[string]string{}}
+	return &Set{groups: map[string]map[string]Command{}, groupHelp: map[string]string{}}
 }
 
-// Register adds a command at the top.
+// Register adds a top-level command.
 func (s *Set) Register(cmd Command) {
 	s.RegisterIn("", cmd)
 }
@@ -47,12 +47,12 @@
 	s.groups[group][cmd.Aliases()[0]] = cmd
 }
 
-// Describe gives a group its help line.
+// Describe sets the help line of a group.
 func (s *Set) Describe(group, help string) {
-	s.helps[group] = help
+	s.groupHelp[group] = help
 }
 
-// The exit codes.
+// The exit codes of the programs.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
@@ -60,13 +60,13 @@
 	ExitConflict = 3
 )
 
-// Run runs the command line of a program and returns the exit code. It takes the signals of
-// the process for good.
+// Run runs the command line of a program and returns the exit code. The signal handlers that it
+// installs stay in place after it returns.
 func (s *Set) Run(name, help, version string, args []string, out, errOut io.Writer) int {
-	taken := takeSignals()
+	sigs := notifySignals()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	root := s.root(name, help, version, out, func(cmd Command) { taken.tell(cmd, stop) })
+	root := s.root(name, help, version, out, func(cmd Command) { sigs.dispatch(cmd, stop) })
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
@@ -88,22 +88,22 @@
 	return ExitFailed
 }
 
-// Root builds the command tree.
+// Root returns the command tree, without signal handling.
 func (s *Set) Root(name, help, version string, out io.Writer) *cobra.Command {
 	return s.root(name, help, version, out, func(Command) {})
 }
 
-// root builds the command tree; begin is called before a command is executed.
-func (s *Set) root(name, help, version string, out io.Writer, begin func(cmd Command)) *cobra.Command {
+// root returns the command tree; beforeRun is called before a command is executed.
+func (s *Set) root(name, help, version string, out io.Writer, beforeRun func(cmd Command)) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: help, Version: version, SilenceUsage: true, SilenceErrors: true}
 	for _, group := range sortedKeys(s.groups) {
-		under := root
+		parent := root
 		if group != "" {
-			under = &cobra.Command{Use: group, Short: s.helps[group]}
-			root.AddCommand(under)
+			parent = &cobra.Command{Use: group, Short: s.groupHelp[group]}
+			root.AddCommand(parent)
 		}
 		for _, cmd := range s.sorted(group) {
-			under.AddCommand(build(cmd, out, begin))
+			parent.AddCommand(buildCommand(cmd, out, beforeRun))
 		}
 	}
 	return root
@@ -127,11 +127,11 @@
 	return cmds
 }
 
-func build(cmd Command, out io.Writer, begin func(cmd Command)) *cobra.Command {
+func buildCommand(cmd Command, out io.Writer, beforeRun func(cmd Command)) *cobra.Command {
 	names := cmd.Aliases()
 	c := &cobra.Command{Use: names[0], Aliases: names[1:], Short: cmd.Help(), Args: cobra.ArbitraryArgs}
 	c.RunE = func(c *cobra.Command, args []string) error {
-		begin(cmd)
+		beforeRun(cmd)
 		return cmd.Execute(c.Context(), out, args)
 	}
 	cmd.Flags(c)
--- a/base/shell/signals.go
+++ b/base/shell/signals.go
@@ -7,42 +7,42 @@
 	"syscall"
 )
 
-// Reloader is a command that serves others while its process lives. It is told of SIGHUP, by
-// which operators say that settings have changed; other commands end on it.
+// Reloader is a long-running command that reloads its settings on SIGHUP. Other commands stop on
+// SIGHUP.
 type Reloader interface {
 	Command
-	// Reload must not block. It may be called at any moment, also before Execute and after it.
+	// Reload is called on SIGHUP. It must not block, and may be called before and after Execute.
 	Reload()
 }
 
-// pending bounds the signals that wait until the command is known; more of them say nothing new.
-const pending = 16
+// signalBuffer is the number of signals that are kept until the command is known. More are dropped.
+const signalBuffer = 16
 
-// signals are those that the process is sent. They are never given back: the default action of
-// a signal that nobody takes ends the process, and cuts whatever it still serves or finishes.
-type signals chan os.Signal
+// signalChan receives the signals of the process. It is never unregistered, since the default
+// action of a signal would kill the process while it is still shutting down.
+type signalChan chan os.Signal
 
-// takeSignals takes a hangup only where it would end the process: who starts a command so that
-// it outlives the terminal, as nohup does, has it ignore hangups, and taking them undoes that.
-func takeSignals() signals {
-	taken := make(signals, pending)
-	signal.Notify(taken, os.Interrupt, syscall.SIGTERM)
+// notifySignals returns a channel that receives SIGINT, SIGTERM and, unless the process was started
+// with it ignored (as by nohup), SIGHUP.
+func notifySignals() signalChan {
+	sigs := make(signalChan, signalBuffer)
+	signal.Notify(sigs, os.Interrupt, syscall.SIGTERM)
 	if !signal.Ignored(syscall.SIGHUP) {
-		signal.Notify(taken, syscall.SIGHUP)
+		signal.Notify(sigs, syscall.SIGHUP)
 	}
-	return taken
+	return sigs
 }
 
-// tell has stop called on a signal to stop, and the command told of each SIGHUP if it is a
-// Reloader. Such a command outlives the reader of its output too.
-func (s signals) tell(cmd Command, stop context.CancelFunc) {
-	reloader, reloads := cmd.(Reloader)
-	if reloads {
+// dispatch calls stop on each signal, except that a Reloader is reloaded on SIGHUP. A Reloader also
+// ignores SIGPIPE, so that it keeps running after the reader of its output has closed.
+func (s signalChan) dispatch(cmd Command, stop context.CancelFunc) {
+	reloader, canReload := cmd.(Reloader)
+	if canReload {
 		signal.Ignore(syscall.SIGPIPE)
 	}
 	go func() {
 		for sig := range s {
-			if reloads && sig == syscall.SIGHUP {
+			if canReload && sig == syscall.SIGHUP {
 				reloader.Reload()
 				continue
 			}
@@ -51,27 +51,27 @@
 	}()
 }
 
-// Changes makes the command that embeds it a Reloader. What it is told while nobody listens
-// counts once.
+// Changes makes a command that embeds it a Reloader. Calls of Reload that Serve has not handled yet
+// are merged into one.
 type Changes struct {
-	told chan struct{}
+	pending chan struct{}
 }
 
-// NewChanges makes changes that nobody was told of yet.
+// NewChanges returns Changes without a pending reload.
 func NewChanges() Changes {
-	return Changes{told: make(chan struct{}, 1)}
+	return Changes{pending: make(chan struct{}, 1)}
 }
 
-// Reload implements Reloader.
+// Reload requests a reload from Serve.
 func (c Changes) Reload() {
 	select {
-	case c.told <- struct{}{}:
+	case c.pending <- struct{}{}:
 	default:
 	}
 }
 
-// Serve waits until ctx ends, then stops, and returns once that is done. Until then it reloads
-// whenever settings have changed, also while it stops.
+// Serve calls reload on each request until the command has stopped, and returns the error of stop.
+// It calls stop when ctx ends, with a context that is not cancelled; reloads continue meanwhile.
 func (c Changes) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
 	stopped := make(chan error, 1)
 	go func() {
@@ -82,7 +82,7 @@
 		select {
 		case err := <-stopped:
 			return err
-		case <-c.told:
+		case <-c.pending:
 			reload()
 		}
 	}
