--- a/base/seal/ring.go
+++ b/base/seal/ring.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// KeySize is the size of root and data keys in bytes.
-	KeySize   = 32
+	// KeySize is the size of root and data keys, in bytes.
+	KeySize = 32
+	// version is the first byte of sealed data; the length of the key ID is the second.
 	version   = 1
 	headerLen = 2
-	rootInfo  = "mulleingate root"
-	dataInfo  = "mulleingate data "
+	// rootInfo and dataInfo are the context strings of the key derivation.
+	rootInfo = "mulleingate root"
+	dataInfo = "mulleingate data "
 )
 
-// Root wraps data keys. It comes from the settings and never leaves the process.
+// Root encrypts data keys. Its key comes from the settings and never leaves the process.
 type Root struct {
 	aead cipher.AEAD
 }
 
-// NewRoot makes a root from a key of KeySize bytes.
+// NewRoot returns a Root with a key of KeySize bytes.
 func NewRoot(key []byte) (*Root, error) {
 	if len(key) != KeySize {
 		return nil, fault.Refuse(fault.BadKey, "root key has the wrong size")
 	}
-	aead, err := derive(key, rootInfo)
+	aead, err := newAEAD(key, rootInfo)
 	if err != nil {
 		return nil, err
 	}
 	return &Root{aead: aead}, nil
 }
 
-// NewKey makes a random data key and seals it.
+// NewKey creates a random data key and returns it encrypted.
 func (r *Root) NewKey(id string) types.DataKey {
 	key := make([]byte, KeySize)
 	_, _ = rand.Read(key)
@@ -48,32 +50,35 @@
 	return types.DataKey{ID: id, Sealed: r.aead.Seal(nonce, nonce, key, []byte(id))}
 }
 
-func (r *Root) open(key types.DataKey) ([]byte, error) {
+// decryptKey decrypts a data key.
+func (r *Root) decryptKey(key types.DataKey) ([]byte, error) {
 	size := r.aead.NonceSize()
 	if len(key.Sealed) < size {
 		return nil, fault.Refuse(fault.BadKey, "sealed data key is too short")
 	}
 	plain, err := r.aead.Open(nil, key.Sealed[:size], key.Sealed[size:], []byte(key.ID))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "data key does not open under the root key").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cannot decrypt data key with the root key").Because(err)
 	}
 	return plain, nil
 }
 
-// Ring holds the data keys in force. The last one seals; all of them open.
+// Ring holds the data keys in use: the last one encrypts and all of them decrypt. It is safe for
+// concurrent use.
 type Ring struct {
 	keys    map[string][]byte
 	current string
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// aeads caches the derived ciphers by data key and workspace.
 	aeads map[string]cipher.AEAD
 }
 
-// NewRing opens the keys with the root.
+// NewRing decrypts the data keys with the root. There must be at least one.
 func NewRing(root *Root, keys []types.DataKey) (*Ring, error) {
 	ring := &Ring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
 	for _, key := range keys {
-		plain, err := root.open(key)
+		plain, err := root.decryptKey(key)
 		if err != nil {
 			return nil, err
 		}
@@ -86,7 +91,7 @@
 	return ring, nil
 }
 
-// Seal encrypts plain for the workspace; place must be given again to open it.
+// Seal encrypts plain for the workspace and binds it to place; Open needs the same values.
 func (r *Ring) Seal(workspace, place string, plain []byte) ([]byte, error) {
 	aead, err := r.aead(r.current, workspace)
 	if err != nil {
@@ -101,7 +106,8 @@
 	return aead.Seal(out, nonce, plain, []byte(place)), nil
 }
 
-// Open decrypts what Seal made for the same workspace and place.
+// Open decrypts data that Seal encrypted for the same workspace and place. It returns a
+// BadContinuation fault if that fails.
 func (r *Ring) Open(workspace, place string, sealed []byte) ([]byte, error) {
 	if len(sealed) < headerLen || sealed[0] != version {
 		return nil, fault.Refuse(fault.BadContinuation, "unknown sealed format")
@@ -120,18 +126,18 @@
 	}
 	plain, err := aead.Open(nil, rest[:aead.NonceSize()], rest[aead.NonceSize():], []byte(place))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or foreign").Because(err)
+		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or for another use").Because(err)
 	}
 	return plain, nil
 }
 
-// SealText is Seal in URL-safe base64.
+// SealText is Seal with the result in unpadded URL-safe base64.
 func (r *Ring) SealText(workspace, place string, plain []byte) (string, error) {
 	sealed, err := r.Seal(workspace, place, plain)
 	return base64.RawURLEncoding.EncodeToString(sealed), err
 }
 
-// OpenText is Open for SealText.
+// OpenText decrypts text that SealText returned.
 func (r *Ring) OpenText(workspace, place, text string) ([]byte, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
@@ -140,6 +146,7 @@
 	return r.Open(workspace, place, sealed)
 }
 
+// aead returns the cipher for a workspace under the data key with the ID.
 func (r *Ring) aead(id, workspace string) (cipher.AEAD, error) {
 	key, ok := r.keys[id]
 	if !ok {
@@ -151,7 +158,7 @@
 	if aead, ok := r.aeads[name]; ok {
 		return aead, nil
 	}
-	aead, err := derive(key, dataInfo+workspace)
+	aead, err := newAEAD(key, dataInfo+workspace)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +166,8 @@
 	return aead, nil
 }
 
-func derive(key []byte, info string) (cipher.AEAD, error) {
+// newAEAD returns an AES-256-GCM cipher whose key is derived from key and info.
+func newAEAD(key []byte, info string) (cipher.AEAD, error) {
 	sub, err := hkdf.Key(sha256.New, key, nil, info, KeySize)
 	if err != nil {
 		return nil, fault.Refuse(fault.BadKey, "key derivation failed").Because(err)
--- a/base/seal/seal_test.go
+++ b/base/seal/seal_test.go
@@ -8,7 +8,8 @@
 	"mulleingate.dev/base/types"
 )
 
-func ring(t testing.TB, ids ...string) *Ring {
+// newRing returns a ring of new data keys with the given IDs.
+func newRing(t testing.TB, ids ...string) *Ring {
 	t.Helper()
 	root, err := NewRoot(make([]byte, KeySize))
 	if err != nil {
@@ -25,42 +26,45 @@
 	return r
 }
 
+// TestOnlyTheSameWorkspaceAndPlaceOpen checks that Open rejects data of another workspace, another
+// place or an expired key.
 func TestOnlyTheSameWorkspaceAndPlaceOpen(t *testing.T) {
-	r := ring(t, "a", "b")
+	r := newRing(t, "a", "b")
 	sealed, err := r.Seal("one", "turn p", []byte("text"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	plain, err := r.Open("one", "turn p", sealed)
 	if err != nil || !bytes.Equal(plain, []byte("text")) {
-		t.Fatalf("got %q, %v", plain, err)
+		t.Fatalf("Open returned %q and error %v, want \"text\"", plain, err)
 	}
 	if _, err := r.Open("two", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
-		t.Errorf("another workspace: %v", err)
+		t.Errorf("Open for another workspace: got error %v, want BadContinuation", err)
 	}
 	if _, err := r.Open("one", "turn q", sealed); !fault.Is(err, fault.BadContinuation) {
-		t.Errorf("another place: %v", err)
+		t.Errorf("Open for another place: got error %v, want BadContinuation", err)
 	}
-	if _, err := ring(t, "c").Open("one", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
-		t.Errorf("an expired key: %v", err)
+	if _, err := newRing(t, "c").Open("one", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
+		t.Errorf("Open with an expired key: got error %v, want BadContinuation", err)
 	}
 }
 
+// FuzzOpen checks that altered data is never decrypted and that every error is BadContinuation.
 func FuzzOpen(f *testing.F) {
-	r := ring(f, "a")
-	good, err := r.Seal("one", "p", []byte("text"))
+	r := newRing(f, "a")
+	sealed, err := r.Seal("one", "p", []byte("text"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(sealed)
 	f.Add([]byte{1, 200})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		plain, err := r.Open("one", "p", raw)
-		if err == nil && !bytes.Equal(raw, good) {
-			t.Errorf("altered data opened: %q", plain)
+		if err == nil && !bytes.Equal(raw, sealed) {
+			t.Errorf("Open decrypted altered data: %q", plain)
 		}
 		if err != nil && !fault.Is(err, fault.BadContinuation) {
-			t.Errorf("failure without its type: %v", err)
+			t.Errorf("got error %v, want BadContinuation", err)
 		}
 	})
 }
