--- a/base/rules/doc.go
+++ b/base/rules/doc.go
@@ -1,3 +1,3 @@
-// Package rules compiles and runs the operators' policy programs, written in CEL.
-// They are type-checked and bounded in cost. A failing place program means no.
+// Package rules compiles and evaluates the operators' policy programs, which are written in CEL.
+// They are type-checked and their cost is bounded. A place program that fails denies the use.
 package rules
--- a/base/rules/rules.go
+++ b/base/rules/rules.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// costLimit bounds one run, in CEL cost units.
+	// costLimit is the maximum cost of one evaluation, in CEL cost units.
 	costLimit = 10_000
-	// maxSource bounds a policy program, in bytes.
+	// maxSource is the maximum size of a policy program, in bytes.
 	maxSource = 16 << 10
 )
 
-// Defaults for operators who publish no program.
+// The programs that apply where a policy has none.
 const (
 	defaultPlace = "true"
 	defaultOrder = "0"
 	defaultSpend = "budget"
 )
 
-// Set is a compiled policy. It is safe for use by many goroutines.
+// Set is a compiled policy. It is safe for concurrent use.
 type Set struct {
 	place cel.Program
 	order cel.Program
 	spend cel.Program
 }
 
-// Compile type-checks the three programs and runs the samples.
+// Compile compiles the three programs of a policy and checks its samples. If only a sample fails, it
+// returns both the set and an error.
 func Compile(policy types.Policy) (*Set, error) {
 	place, err := compile("place", policy.Place, defaultPlace, cel.BoolType, placeVars())
 	if err != nil {
@@ -46,9 +47,10 @@
 		return nil, err
 	}
 	set := &Set{place: place, order: order, spend: spend}
-	return set, set.check(policy.Samples)
+	return set, set.checkSamples(policy.Samples)
 }
 
+// placeVars declares the variables of place programs.
 func placeVars() []cel.EnvOption {
 	names := []string{"workspace", "data_class", "kind", "model", "zone", "region", "target", "use"}
 	opts := make([]cel.EnvOption, 0, len(names))
@@ -58,6 +60,7 @@
 	return opts
 }
 
+// allVars declares the variables of order and spend programs.
 func allVars() []cel.EnvOption {
 	opts := placeVars()
 	for _, name := range []string{"depth", "turn", "budget"} {
@@ -66,7 +69,9 @@
 	return opts
 }
 
-func compile(name, source, fallback string, want *cel.Type, vars []cel.EnvOption) (cel.Program, error) {
+// compile compiles one program, whose result must have the type wantType. The fallback replaces an
+// empty source.
+func compile(name, source, fallback string, wantType *cel.Type, vars []cel.EnvOption) (cel.Program, error) {
 	if source == "" {
 		source = fallback
 	}
@@ -75,25 +80,26 @@
 	}
 	env, err := cel.NewEnv(vars...)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "policy environment").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot create the policy environment").Because(err)
 	}
 	ast, issues := env.Compile(source)
 	if issues.Err() != nil {
 		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not compile").Because(issues.Err())
 	}
-	if !ast.OutputType().IsExactType(want) {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": gives "+ast.OutputType().String()+", not "+want.String())
+	if !ast.OutputType().IsExactType(wantType) {
+		return nil, fault.Refuse(fault.BadConfig,
+			"policy."+name+": result has type "+ast.OutputType().String()+", want "+wantType.String())
 	}
 	prog, err := env.Program(ast, cel.CostLimit(costLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not plan").Because(err)
+		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": cannot create the program").Because(err)
 	}
 	return prog, nil
 }
 
-// Place reports whether the use is allowed there; any failure denies.
+// Place reports whether the policy allows the use; false if the program fails.
 func (s *Set) Place(in types.RuleInput) bool {
-	val, err := run(s.place, in)
+	val, err := eval(s.place, in)
 	if err != nil {
 		return false
 	}
@@ -101,18 +107,19 @@
 	return isBool && ok
 }
 
-// Order is the priority, higher first; failures give 0.
+// Order returns the priority, where higher goes first; 0 if the program fails.
 func (s *Set) Order(in types.RuleInput) int64 {
-	return number(s.order, in, 0)
+	return evalInt(s.order, in, 0)
 }
 
-// Spend bounds the budget of a new program in tokens; failures give 0.
+// Spend returns the maximum budget of a new program in tokens; 0 if the policy program fails.
 func (s *Set) Spend(in types.RuleInput) int64 {
-	return number(s.spend, in, 0)
+	return evalInt(s.spend, in, 0)
 }
 
-func number(prog cel.Program, in types.RuleInput, fallback int64) int64 {
-	val, err := run(prog, in)
+// evalInt evaluates a program with an integer result; it returns fallback if that fails.
+func evalInt(prog cel.Program, in types.RuleInput, fallback int64) int64 {
+	val, err := eval(prog, in)
 	if err != nil {
 		return fallback
 	}
@@ -123,7 +130,8 @@
 	return n
 }
 
-func run(prog cel.Program, in types.RuleInput) (ref.Val, error) {
+// eval evaluates a program with the input as its variables.
+func eval(prog cel.Program, in types.RuleInput) (ref.Val, error) {
 	val, _, err := prog.Eval(map[string]any{
 		"workspace": in.Workspace, "data_class": in.DataClass, "kind": in.Kind, "model": in.Model,
 		"zone": in.Zone, "region": in.Region, "target": in.Target, "use": in.Use,
@@ -135,17 +143,18 @@
 	return val, nil
 }
 
-func (s *Set) check(samples []types.Sample) error {
+// checkSamples returns an error for the first sample whose result is not as expected.
+func (s *Set) checkSamples(samples []types.Sample) error {
 	for i, sample := range samples {
 		at := "policy.samples[" + strconv.Itoa(i) + "] " + sample.Name
 		if want := sample.Want.Place; want != nil && s.Place(sample.Input) != *want {
-			return fault.Refuse(fault.BadConfig, at+": place is not as wanted")
+			return fault.Refuse(fault.BadConfig, at+": place is not as expected")
 		}
 		if want := sample.Want.Order; want != nil && s.Order(sample.Input) != *want {
-			return fault.Refuse(fault.BadConfig, at+": order is not as wanted")
+			return fault.Refuse(fault.BadConfig, at+": order is not as expected")
 		}
 		if want := sample.Want.Spend; want != nil && s.Spend(sample.Input) != *want {
-			return fault.Refuse(fault.BadConfig, at+": spend is not as wanted")
+			return fault.Refuse(fault.BadConfig, at+": spend is not as expected")
 		}
 	}
 	return nil
