--- a/base/sample/doc.go
+++ b/base/sample/doc.go
@@ -1,3 +1,3 @@
-// Package sample makes the configurations and keys that development, tests and the bench
-// start from: those of the two deployments, and a small one.
+// Package sample creates configurations and keys for development, tests and benchmarks, including
+// those of the two example deployments.
 package sample
--- a/base/sample/sample.go
+++ b/base/sample/sample.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// Keys are the keys of a deployment that exists for development and tests only.
+// Keys holds the keys of a deployment for development and tests.
 type Keys struct {
 	Root     []byte
 	Operator ed25519.PrivateKey
@@ -19,21 +19,21 @@
 // NewKeys derives keys from a seed, so that separate processes agree on them.
 func NewKeys(seed string) Keys {
 	root := sha256.Sum256([]byte("root " + seed))
-	op := sha256.Sum256([]byte("operator " + seed))
-	return Keys{Root: root[:], Operator: ed25519.NewKeyFromSeed(op[:])}
+	operator := sha256.Sum256([]byte("operator " + seed))
+	return Keys{Root: root[:], Operator: ed25519.NewKeyFromSeed(operator[:])}
 }
 
-// Public is the operator's public key.
+// Public returns the operator's public key.
 func (k Keys) Public() ed25519.PublicKey {
 	return k.Operator.Public().(ed25519.PublicKey)
 }
 
-// Token is the bearer token of a workspace in samples.
+// Token returns the bearer token of a workspace in sample configurations.
 func Token(workspace string) string {
 	return "token-" + workspace
 }
 
-// Shape says what a sample configuration is for.
+// Shape describes a sample configuration. All zones are in one region, with Slots slots each.
 type Shape struct {
 	Region     string
 	Zones      []string
@@ -43,7 +43,7 @@
 	Services   []types.Service
 }
 
-// Ghent is the deployment of the two teams who book blood donors.
+// Ghent returns the example deployment of two teams that book blood donors.
 func Ghent() Shape {
 	return Shape{
 		Region: "be-central", Zones: []string{"hall-gent", "hall-mechelen", "hall-namur"}, Slots: 4,
@@ -55,7 +55,7 @@
 	}
 }
 
-// Ndokwa is the deployment of the trust that sells airtime.
+// Ndokwa returns the example deployment of a trust that sells airtime.
 func Ndokwa() Shape {
 	return Shape{
 		Region: "ng-south", Zones: []string{"enugu-a", "enugu-b", "onitsha-a", "aba-a"}, Slots: 4,
@@ -67,8 +67,8 @@
 	}
 }
 
-// Config makes the configuration of a shape. Personal data stays in its region, and
-// calls of callers on the line go before planning.
+// Config returns the configuration of a shape. Its policy keeps personal data in the region, and
+// gives priority to the kinds of programs that serve a waiting person (booking and recharge).
 func Config(shape Shape, keys Keys) (types.Config, error) {
 	root, err := seal.NewRoot(keys.Root)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return cfg, nil
 }
 
-// Defaults are limits that suit both deployments.
+// Defaults returns limits that suit both example deployments.
 func Defaults() types.Defaults {
 	return types.Defaults{
 		Turns: 600, Depth: 3, FanOut: 16, Idle: types.Duration(30 * time.Minute), Deadline: types.Duration(24 * time.Hour),
