--- a/base/logc/doc.go
+++ b/base/logc/doc.go
@@ -1,2 +1,2 @@
-// Package logc is the client of the platform's append-only log service.
+// Package logc is a client of the platform's append-only log service.
 package logc
--- a/base/logc/logc.go
+++ b/base/logc/logc.go
@@ -13,52 +13,54 @@
 	"mulleingate.dev/base/types"
 )
 
-// Log talks to the log service.
+// Log is a client of the log service.
 type Log struct {
-	base    string
+	baseURL string
 	timeout time.Duration
 	http    *client.Client
 }
 
-// New makes a client of the log at addr; timeout bounds every call.
+// New returns a client of the log service at addr. The timeout applies to each call.
 func New(addr netip.AddrPort, timeout time.Duration) *Log {
-	return &Log{base: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
+	return &Log{baseURL: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
 }
 
-// Append adds data to the stream and returns its offset. A failure with NotRun set
-// means that nothing was appended; after any other failure it may have been.
+// Append appends data to the stream and returns its offset. If a fault has NotRun set, nothing was
+// appended; after any other fault the data may have been appended.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
-	var at types.LogOffset
-	err := l.http.Call(ctx, http.MethodPost, l.url(stream), types.LogAppend{Data: data}, &at)
+	var appended types.LogOffset
+	err := l.http.Call(ctx, http.MethodPost, l.streamURL(stream), types.LogAppend{Data: data}, &appended)
 	if err != nil {
-		return 0, unavailable(err)
+		return 0, unavailableFault(err)
 	}
-	return at.Offset, nil
+	return appended.Offset, nil
 }
 
-// Read returns up to limit entries from an offset on.
+// Read returns up to limit entries, starting at the offset from.
 func (l *Log) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
 	query := "?from=" + strconv.FormatInt(from, 10) + "&limit=" + strconv.Itoa(limit)
 	var page types.LogPage
-	if err := l.http.Call(ctx, http.MethodGet, l.url(stream)+query, nil, &page); err != nil {
-		return page, unavailable(err)
+	if err := l.http.Call(ctx, http.MethodGet, l.streamURL(stream)+query, nil, &page); err != nil {
+		return page, unavailableFault(err)
 	}
 	return page, nil
 }
 
-func (l *Log) url(stream string) string {
-	return l.base + "/v1/streams/" + url.PathEscape(stream)
+func (l *Log) streamURL(stream string) string {
+	return l.baseURL + "/v1/streams/" + url.PathEscape(stream)
 }
 
-func unavailable(err error) error {
+// unavailableFault converts the error of a call to a LogUnavailable fault, or Overloaded if the log
+// service is overloaded. It keeps NotRun and drops the cause.
+func unavailableFault(err error) error {
 	f := fault.From(err)
 	kind := fault.LogUnavailable
 	if f.Kind == fault.Overloaded {
 		kind = fault.Overloaded
 	}
-	return &fault.Fault{Kind: kind, Detail: "the log does not take the call", NotRun: f.NotRun, RetryAfter: time.Second}
+	return &fault.Fault{Kind: kind, Detail: "call to the log failed", NotRun: f.NotRun, RetryAfter: time.Second}
 }
