--- a/base/logs/doc.go
+++ b/base/logs/doc.go
@@ -1,2 +1,2 @@
-// Package logs reads the structured logs that boxes write.
+// Package logs parses the structured logs that boxes write.
 package logs
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -11,30 +11,30 @@
 	"mulleingate.dev/base/fault"
 )
 
-// maxLine bounds a log line that is read, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	At    time.Time
 	Level string
-	// Fields holds all fields of the line; numbers are json.Number.
+	// Fields holds all fields of the line, also time and level; numbers are json.Number.
 	Fields map[string]any
 }
 
-// Text is the field of the name if it is a text, and empty otherwise.
+// Text returns the named field if it is a string, otherwise "".
 func (l Line) Text(name string) string {
 	text, _ := l.Fields[name].(string)
 	return text
 }
 
-// Flag is the field of the name if it is true or false, and false otherwise.
+// Flag returns the named field if it is a boolean, otherwise false.
 func (l Line) Flag(name string) bool {
 	flag, _ := l.Fields[name].(bool)
 	return flag
 }
 
-// Duration is the field of the name, which counts nanoseconds; zero if it is no number.
+// Duration returns the named field, a whole number of nanoseconds; 0 if it is anything else.
 func (l Line) Duration(name string) time.Duration {
 	number, ok := l.Fields[name].(json.Number)
 	if !ok {
@@ -47,29 +47,29 @@
 	return time.Duration(n)
 }
 
-// ReadFile reads the lines of a file; see Read.
+// ReadFile parses the lines of a file like Read.
 func ReadFile(name string) ([]Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "log file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "cannot open log file").Because(err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }()
 	return Read(file)
 }
 
-// Read reads JSON lines; what stands before the first brace, such as a collector's own time, is
-// passed over, and so are lines without one.
+// Read parses log lines in JSON. It ignores text before the first brace, such as a timestamp that a
+// log collector added, and skips lines without a JSON object or a valid time.
 func Read(in io.Reader) ([]Line, error) {
-	var read []Line
+	var lines []Line
 	scan := bufio.NewScanner(in)
 	scan.Buffer(nil, maxLine)
 	for scan.Scan() {
-		_, raw, ok := strings.Cut(scan.Text(), "{")
+		_, object, ok := strings.Cut(scan.Text(), "{")
 		if !ok {
 			continue
 		}
 		l := Line{}
-		decoder := json.NewDecoder(strings.NewReader("{" + raw))
+		decoder := json.NewDecoder(strings.NewReader("{" + object))
 		decoder.UseNumber()
 		if decoder.Decode(&l.Fields) != nil {
 			continue
@@ -79,10 +79,10 @@
 			continue
 		}
 		l.At, l.Level = at, l.Text("level")
-		read = append(read, l)
+		lines = append(lines, l)
 	}
 	if err := scan.Err(); err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "log cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "cannot read log").Because(err)
 	}
-	return read, nil
+	return lines, nil
 }
