--- a/base/fixed/doc.go
+++ b/base/fixed/doc.go
@@ -1,3 +1,3 @@
-// Package fixed gives rapid's fuzz tests a fixed seed unless the command line names one,
-// so that CI comes to the same verdict each time.
+// Package fixed runs tests that use rapid with a fixed seed, unless the command line sets one, so
+// that CI results are reproducible.
 package fixed
--- a/base/fixed/fixed.go
+++ b/base/fixed/fixed.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// seed is the seed of CI.
+// seed is the default value of -rapid.seed.
 const seed = "20261202"
 
-// Main runs the tests of a package with the fixed seed and the given number of checks;
-// -rapid.seed and -rapid.checks go before both.
+// Main runs the tests of a package with the fixed seed, the given number of checks and no fail
+// files, and returns the exit code. Flags of rapid on the command line take precedence.
 func Main(m *testing.M, checks string) int {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	setFlags := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { setFlags[f.Name] = true })
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.nofailfile": "true"} {
-		if !given[name] {
+		if !setFlags[name] {
 			_ = flag.Set(name, value)
 		}
 	}
