--- a/gate/fold/chain.go
+++ b/gate/fold/chain.go
@@ -7,12 +7,12 @@
 	"mulleingate.dev/base/types"
 )
 
-// Head is the number of the last answered turn, 0 before the first.
+// Head returns the number of the program's last answered turn, or 0 if it has none.
 func Head(prog *types.Program) int {
 	return len(prog.Turns)
 }
 
-// Last is the digest of the last answered turn, nil before the first.
+// Last returns the digest of the program's last answered turn, or nil if it has none.
 func Last(prog *types.Program) []byte {
 	if len(prog.Turns) == 0 {
 		return nil
@@ -20,19 +20,19 @@
 	return prog.Turns[len(prog.Turns)-1].Digest
 }
 
-// Digest chains a turn to the one before it: it covers program, workspace, number, what
-// was asked, the sealed content and the digest before.
-func Digest(b types.Begin, t types.Turn, before []byte) []byte {
-	sum := sha256.New()
-	part := func(data []byte) {
-		_ = binary.Write(sum, binary.BigEndian, uint64(len(data)))
-		_, _ = sum.Write(data)
+// Digest returns the hash that chains a turn to the previous one. It covers the program,
+// the workspace, the turn's number, request digest and sealed content, and the previous digest.
+func Digest(b types.Begin, t types.Turn, previous []byte) []byte {
+	hash := sha256.New()
+	writeField := func(data []byte) {
+		_ = binary.Write(hash, binary.BigEndian, uint64(len(data)))
+		_, _ = hash.Write(data)
 	}
-	part([]byte(b.ID))
-	part([]byte(b.Workspace))
-	_ = binary.Write(sum, binary.BigEndian, uint64(t.Number))
-	part(t.Ask)
-	part(t.Sealed)
-	part(before)
-	return sum.Sum(nil)
+	writeField([]byte(b.ID))
+	writeField([]byte(b.Workspace))
+	_ = binary.Write(hash, binary.BigEndian, uint64(t.Number))
+	writeField(t.Ask)
+	writeField(t.Sealed)
+	writeField(previous)
+	return hash.Sum(nil)
 }
--- a/gate/fold/doc.go
+++ b/gate/fold/doc.go
@@ -1,3 +1,3 @@
-// Package fold rebuilds a slot's state from its stream. It is a pure function of the
-// log: every box that folds the same entries has the same state.
+// Package fold rebuilds a slot's state by applying the entries of its log stream in order.
+// The state depends on the entries alone: boxes that apply the same entries have the same state.
 package fold
--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -7,36 +7,40 @@
 	"mulleingate.dev/base/types"
 )
 
-// Verdict says what became of an entry.
+// Verdict is the result of applying an entry.
 type Verdict int
 
-// The verdicts.
 const (
+	// Applied means that the entry's records were applied.
 	Applied Verdict = iota
+	// Claimed means that the entry is a claim and started a new epoch.
 	Claimed
+	// Stale means that the entry belongs to an older epoch and was ignored.
 	Stale
+	// Copy means that the entry was applied before and was ignored.
 	Copy
+	// Garbage means that the entry could not be decoded.
 	Garbage
 )
 
-// State is the folded state of one slot.
+// State is the state of one slot after the entries applied so far.
 type State struct {
-	// Next is the offset to read from.
+	// Next is the offset of the next entry to read.
 	Next int64
-	// Epoch is the offset of the newest claim; it never falls.
+	// Epoch is the offset of the newest claim. It never decreases.
 	Epoch int64
-	// Owner made the newest claim; it is zero if that claim is no longer retained.
+	// Owner is the newest claim, or zero if the log no longer retains it.
 	Owner types.Claim
-	// Released says that the owner gave the slot up.
+	// Released reports whether the owner released the slot.
 	Released bool
-	// Seq is the newest entry of Epoch that was applied.
+	// Seq is the sequence number of the last entry of Epoch that was applied.
 	Seq      int64
 	Programs map[string]*types.Program
 	Purses   map[string]*types.Purse
 	Keys     map[string]*types.KeyState
 }
 
-// New makes the state of an empty stream.
+// New returns the state of an empty stream.
 func New() *State {
 	return &State{
 		Programs: map[string]*types.Program{},
@@ -45,7 +49,7 @@
 	}
 }
 
-// Read folds one raw entry.
+// Read decodes one log entry and applies it.
 func (s *State) Read(entry types.LogEntry) Verdict {
 	s.Next = max(s.Next, entry.Offset+1)
 	var e types.Entry
@@ -55,18 +59,18 @@
 	return s.Apply(entry.Offset, e)
 }
 
-// Apply folds one entry. Entries of an epoch older than the newest claim are ignored,
-// and so are copies of an entry that was applied.
+// Apply applies one entry. It ignores entries of an older epoch than the newest claim's
+// and duplicates of entries that were already applied.
 func (s *State) Apply(offset int64, e types.Entry) Verdict {
 	if e.Claim != nil {
-		s.claim(offset, *e.Claim)
+		s.applyClaim(offset, *e.Claim)
 		return Claimed
 	}
 	if e.Epoch < s.Epoch {
 		return Stale
 	}
 	if e.Epoch > s.Epoch {
-		s.truncated(e.Epoch)
+		s.startUnclaimedEpoch(e.Epoch)
 	}
 	if e.Seq <= s.Seq {
 		return Copy
@@ -78,15 +82,16 @@
 	return Applied
 }
 
-// truncated takes an epoch over whose claim is no longer retained.
-func (s *State) truncated(epoch int64) {
+// startUnclaimedEpoch starts an epoch whose claim the log no longer retains.
+func (s *State) startUnclaimedEpoch(epoch int64) {
 	s.Epoch = epoch
 	s.Owner = types.Claim{}
 	s.Seq = 0
 }
 
-// claim makes everything granted count as spent: the owner before may have spent it.
-func (s *State) claim(offset int64, c types.Claim) {
+// applyClaim starts the epoch of a new owner. All granted tokens count as spent, since the
+// previous owner may have spent them.
+func (s *State) applyClaim(offset int64, c types.Claim) {
 	s.Epoch = offset
 	s.Owner = c
 	s.Released = false
@@ -96,27 +101,27 @@
 	}
 }
 
-// Record applies one record of the epoch in force.
+// Record applies one record of the current epoch.
 func (s *State) Record(rec types.Record) {
 	switch {
 	case rec.Begin != nil:
-		s.begin(*rec.Begin)
+		s.applyBegin(*rec.Begin)
 	case rec.Turn != nil:
-		s.turn(*rec.Turn)
+		s.applyTurn(*rec.Turn)
 	case rec.Grant != nil:
-		s.grant(*rec.Grant)
+		s.applyGrant(*rec.Grant)
 	case rec.Settle != nil:
-		s.settle(*rec.Settle)
+		s.applySettle(*rec.Settle)
 	case rec.End != nil:
-		s.end(*rec.End)
+		s.applyEnd(*rec.End)
 	case rec.Intent != nil:
-		s.intent(*rec.Intent)
+		s.applyIntent(*rec.Intent)
 	case rec.Outcome != nil:
-		s.outcome(*rec.Outcome)
+		s.applyOutcome(*rec.Outcome)
 	case rec.Release != nil:
 		s.Released = true
 	case rec.Program != nil:
-		s.program(*rec.Program)
+		s.applySnapshot(*rec.Program)
 	case rec.Purse != nil:
 		purse := *rec.Purse
 		s.Purses[purse.Root] = &purse
@@ -126,7 +131,7 @@
 	}
 }
 
-func (s *State) begin(b types.Begin) {
+func (s *State) applyBegin(b types.Begin) {
 	if _, ok := s.Programs[b.ID]; ok {
 		return
 	}
@@ -139,7 +144,7 @@
 	}
 }
 
-func (s *State) turn(t types.Turn) {
+func (s *State) applyTurn(t types.Turn) {
 	prog, ok := s.Programs[t.Program]
 	if !ok {
 		return
@@ -158,34 +163,34 @@
 	}
 }
 
-func (s *State) grant(g types.Grant) {
+func (s *State) applyGrant(g types.Grant) {
 	if purse, ok := s.Purses[g.Root]; ok {
 		purse.Granted = min(max(purse.Granted, g.Total), purse.Budget)
 	}
 }
 
-func (s *State) settle(set types.Settle) {
-	purse, ok := s.Purses[set.Root]
-	if ok && set.Spent <= purse.Granted {
-		purse.Granted = set.Spent
-		purse.Spent = set.Spent
+func (s *State) applySettle(settle types.Settle) {
+	purse, ok := s.Purses[settle.Root]
+	if ok && settle.Spent <= purse.Granted {
+		purse.Granted = settle.Spent
+		purse.Spent = settle.Spent
 	}
 }
 
-func (s *State) end(e types.End) {
+func (s *State) applyEnd(e types.End) {
 	if prog, ok := s.Programs[e.Program]; ok && prog.Ended == "" {
 		prog.Ended = e.Reason
 		prog.LastAt = e.At
 	}
 }
 
-func (s *State) intent(i types.Intent) {
+func (s *State) applyIntent(i types.Intent) {
 	if _, ok := s.Keys[i.Key]; !ok {
 		s.Keys[i.Key] = &types.KeyState{Intent: i, Epoch: s.Epoch}
 	}
 }
 
-func (s *State) outcome(o types.Outcome) {
+func (s *State) applyOutcome(o types.Outcome) {
 	key, ok := s.Keys[o.Key]
 	if !ok || key.Intent.Attempt != o.Attempt {
 		return
@@ -197,20 +202,21 @@
 	key.Outcome = &o
 }
 
-// program takes a snapshot; turns that are known stay.
-func (s *State) program(snap types.Program) {
-	have, ok := s.Programs[snap.Begin.ID]
+// applySnapshot applies a program's snapshot. A program that the state already has keeps its
+// turns; any other is added without turns.
+func (s *State) applySnapshot(snapshot types.Program) {
+	current, ok := s.Programs[snapshot.Begin.ID]
 	if !ok {
-		snap.Turns = nil
-		s.Programs[snap.Begin.ID] = &snap
+		snapshot.Turns = nil
+		s.Programs[snapshot.Begin.ID] = &snapshot
 		return
 	}
-	have.Ended = snap.Ended
-	have.Children = max(have.Children, snap.Children)
-	have.LastAt = snap.LastAt
+	current.Ended = snapshot.Ended
+	current.Children = max(current.Children, snapshot.Children)
+	current.LastAt = snapshot.LastAt
 }
 
-// Extends reports whether the turn is the next link of the program's hash chain.
+// Extends reports whether the turn is the next one in the program's hash chain.
 func Extends(prog *types.Program, t types.Turn) bool {
 	if t.Program != prog.Begin.ID || t.Number != Head(prog)+1 {
 		return false
@@ -218,13 +224,14 @@
 	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(prog)))
 }
 
-// Replaces reports whether the turn is another answer to the program's head turn.
+// Replaces reports whether the turn is an alternative to the program's last answered turn:
+// it has the same number and follows the same previous turn.
 func Replaces(prog *types.Program, t types.Turn) bool {
 	head := Head(prog)
 	if head == 0 || t.Program != prog.Begin.ID || t.Number != head {
 		return false
 	}
-	before := *prog
-	before.Turns = prog.Turns[:head-1]
-	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(&before)))
+	prefix := *prog
+	prefix.Turns = prog.Turns[:head-1]
+	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(&prefix)))
 }
--- a/gate/fold/fold_test.go
+++ b/gate/fold/fold_test.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/base/types"
 )
 
-func entry(t testing.TB, offset int64, e types.Entry) types.LogEntry {
+func logEntry(t testing.TB, offset int64, e types.Entry) types.LogEntry {
 	t.Helper()
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -19,22 +19,23 @@
 	return types.LogEntry{Offset: offset, Data: raw}
 }
 
-func claim(box string) types.Entry {
+func claimEntry(box string) types.Entry {
 	return types.Entry{Claim: &types.Claim{Box: box}}
 }
 
-func begin(epoch, seq int64, id string) types.Entry {
+func beginEntry(epoch, seq int64, id string) types.Entry {
 	b := types.Begin{ID: id, Root: id, Workspace: "one", Budget: 100, Grant: 30, Deadline: time.Unix(1000, 0)}
 	return types.Entry{Epoch: epoch, Seq: seq, Records: []types.Record{{Begin: &b}}}
 }
 
-func TestOldEpochsAndCopiesAreIgnored(t *testing.T) {
+func TestStaleEntriesAndDuplicatesAreIgnored(t *testing.T) {
 	s := New()
 	var got []Verdict
 	for i, e := range []types.Entry{
-		claim("a"), begin(1, 1, "p"), begin(1, 1, "copy"), claim("b"), begin(1, 2, "stale"), begin(4, 1, "q"),
+		claimEntry("a"), beginEntry(1, 1, "p"), beginEntry(1, 1, "copy"),
+		claimEntry("b"), beginEntry(1, 2, "stale"), beginEntry(4, 1, "q"),
 	} {
-		got = append(got, s.Read(entry(t, int64(i+1), e)))
+		got = append(got, s.Read(logEntry(t, int64(i+1), e)))
 	}
 	want := []Verdict{Claimed, Applied, Copy, Claimed, Stale, Applied}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -51,41 +52,41 @@
 	}
 }
 
-func TestClaimSpendsWhatWasGranted(t *testing.T) {
+func TestClaimCountsGrantsAsSpent(t *testing.T) {
 	s := New()
-	s.Read(entry(t, 1, claim("a")))
-	s.Read(entry(t, 2, begin(1, 1, "p")))
-	s.Read(entry(t, 3, claim("b")))
+	s.Read(logEntry(t, 1, claimEntry("a")))
+	s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
+	s.Read(logEntry(t, 3, claimEntry("b")))
 	want := &types.Purse{Root: "p", Budget: 100, Granted: 30, Spent: 30}
 	if diff := cmp.Diff(want, s.Purses["p"]); diff != "" {
 		t.Errorf("purse (-want +got):\n%s", diff)
 	}
 }
 
-func TestHistoryOnlyGrowsByLinks(t *testing.T) {
+func TestHistoryAcceptsOnlyTheNextChainedTurn(t *testing.T) {
 	s := New()
-	s.Read(entry(t, 1, claim("a")))
-	s.Read(entry(t, 2, begin(1, 1, "p")))
+	s.Read(logEntry(t, 1, claimEntry("a")))
+	s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
 	prog := s.Programs["p"]
-	link := func(n int, sealed string) types.Turn {
+	chainedTurn := func(n int, sealed string) types.Turn {
 		turn := types.Turn{Program: "p", Number: n, Sealed: []byte(sealed)}
 		turn.Digest = Digest(prog.Begin, turn, Last(prog))
 		return turn
 	}
-	one := link(1, "one")
-	s.Record(types.Record{Turn: &one})
+	first := chainedTurn(1, "one")
+	s.Record(types.Record{Turn: &first})
 	for name, turn := range map[string]types.Turn{
-		"a gap":           link(3, "three"),
-		"altered content": {Program: "p", Number: 2, Sealed: []byte("x"), Digest: link(2, "two").Digest},
-		"of another":      {Program: "q", Number: 2, Digest: link(2, "two").Digest},
+		"a gap":           chainedTurn(3, "three"),
+		"altered content": {Program: "p", Number: 2, Sealed: []byte("x"), Digest: chainedTurn(2, "two").Digest},
+		"another program": {Program: "q", Number: 2, Digest: chainedTurn(2, "two").Digest},
 	} {
 		s.Record(types.Record{Turn: &turn})
 		if Head(prog) != 1 {
-			t.Errorf("%s was taken", name)
+			t.Errorf("turn with %s was accepted", name)
 		}
 	}
-	two := link(2, "two")
-	s.Record(types.Record{Turn: &two})
+	second := chainedTurn(2, "two")
+	s.Record(types.Record{Turn: &second})
 	if diff := cmp.Diff(2, Head(prog)); diff != "" {
 		t.Errorf("head (-want +got):\n%s", diff)
 	}
@@ -96,11 +97,11 @@
 	f.Add([]byte(`{"epoch":1,"seq":1,"records":[{"turn":{"program":"p"}},{"purse":{"root":"p"}}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := New()
-		s.Read(entry(t, 1, claim("a")))
-		s.Read(entry(t, 2, begin(1, 1, "p")))
+		s.Read(logEntry(t, 1, claimEntry("a")))
+		s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
 		s.Read(types.LogEntry{Offset: 3, Data: raw})
 		if s.Next != 4 || s.Epoch < 1 {
-			t.Errorf("state went back: next %d, epoch %d", s.Next, s.Epoch)
+			t.Errorf("next offset or epoch is wrong: next %d, want 4; epoch %d, want at least 1", s.Next, s.Epoch)
 		}
 	})
 }
