--- a/gate/slots/claim.go
+++ b/gate/slots/claim.go
@@ -17,51 +17,53 @@
 	claimTimeout = 10 * time.Second
 )
 
-// claim starts a claim unless one is under way, was tried a moment ago, or the box leaves.
-func (o *owner) claim() {
+// startClaim claims the slot in a new goroutine. It does nothing if the slot is owned, being
+// claimed or being released, and rejects the waiting operations if the last attempt began
+// less than claimRetryDelay ago.
+func (o *owner) startClaim() {
 	if o.claiming || o.desk != nil || o.releasing != nil {
 		return
 	}
-	if time.Since(o.lastTry) < claimPause {
-		o.refuseWaiting(notOwner())
+	if time.Since(o.lastClaim) < claimRetryDelay {
+		o.rejectWaiting(notOwner())
 		return
 	}
 	o.claiming = true
-	o.lastTry = time.Now()
+	o.lastClaim = time.Now()
 	o.svc.done.Go(func() {
 		start := time.Now()
 		ctx, stop := context.WithTimeout(o.svc.ctx, claimTimeout)
 		defer stop()
-		state, err := o.svc.claim(ctx, o.id)
+		state, err := o.svc.appendClaim(ctx, o.id)
 		o.send(claimedMsg{state: state, err: err, took: time.Since(start)})
 	})
 }
 
-// claim appends a claim and reads the stream up to it. It succeeds only if the claim is
-// the newest in the log.
-func (s *Slots) claim(ctx context.Context, id ident.Slot) (*fold.State, error) {
-	mine := types.Claim{Box: s.self.Name, Incarnation: s.inc, Attempt: ident.Random()}
-	data, err := json.Marshal(types.Entry{Claim: &mine})
+// appendClaim appends a claim and reads the whole stream. It returns the slot's state if the
+// claim is the newest in the log, and an error otherwise.
+func (s *Slots) appendClaim(ctx context.Context, id ident.Slot) (*fold.State, error) {
+	claim := types.Claim{Box: s.self.Name, Incarnation: s.incarnation, Attempt: ident.Random()}
+	data, err := json.Marshal(types.Entry{Claim: &claim})
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "claim does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode the claim").Because(err)
 	}
 	_, appendErr := s.log.Append(ctx, id.Stream(), data)
 	if appendErr != nil && fault.From(appendErr).NotRun {
 		return nil, appendErr
 	}
-	// An append whose answer was lost is settled by what the stream shows.
-	state, err := s.readAll(ctx, id)
+	// If the append failed without proof that it did not run, the stream shows whether it did.
+	state, err := s.readStream(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	if state.Owner != mine {
-		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").After(claimPause)
+	if state.Owner != claim {
+		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").After(claimRetryDelay)
 	}
 	return state, nil
 }
 
-// readAll folds the whole stream.
-func (s *Slots) readAll(ctx context.Context, id ident.Slot) (*fold.State, error) {
+// readStream reads the slot's whole stream and returns the state that it gives.
+func (s *Slots) readStream(ctx context.Context, id ident.Slot) (*fold.State, error) {
 	state := fold.New()
 	for {
 		page, err := s.log.Read(ctx, id.Stream(), state.Next, pageSize)
@@ -78,19 +80,19 @@
 	}
 }
 
-func (o *owner) claimed(m claimedMsg) {
+func (o *owner) finishClaim(m claimedMsg) {
 	o.claiming = false
 	if m.err != nil {
 		o.svc.logger.Debug("slots: claim failed", "slot", o.id.String(), "error", m.err)
-		o.refuseWaiting(m.err)
+		o.rejectWaiting(m.err)
 		return
 	}
-	o.desk = desk.New(m.state, o.svc.inc)
+	o.desk = desk.New(m.state, o.svc.incarnation)
 	o.seq = m.state.Seq
 	o.epoch.Store(m.state.Epoch)
 	o.svc.counts.Count("slots.claims", 1)
 	o.svc.counts.Time("slots.claim_time", m.took)
-	o.svc.logger.Info("slots: claimed", "slot", o.id.String(), "epoch", m.state.Epoch, "programs", len(m.state.Programs), "took", m.took)
+	o.svc.logger.Info("slots: claimed slot", "slot", o.id.String(), "epoch", m.state.Epoch, "programs", len(m.state.Programs), "took", m.took)
 	for _, w := range o.svc.watchers {
 		go w.Claimed(o.id)
 	}
@@ -101,9 +103,9 @@
 	}
 }
 
-func (o *owner) refuseWaiting(err error) {
+func (o *owner) rejectWaiting(err error) {
 	for _, m := range o.waiting {
-		m.reply <- doReply{err: err}
+		m.reply <- operationReply{err: err}
 	}
 	o.waiting = nil
 }
--- a/gate/slots/owner.go
+++ b/gate/slots/owner.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	inboxSize   = 256
-	sweepEvery  = time.Second
-	firstRetry  = 20 * time.Millisecond
-	lastRetry   = time.Second
-	claimPause  = 200 * time.Millisecond
-	snapshotDiv = 3
-	// turnGrace is how long a planned release waits for running turns.
+	inboxSize             = 256
+	sweepInterval         = time.Second
+	minRetryDelay         = 20 * time.Millisecond
+	maxRetryDelay         = time.Second
+	claimRetryDelay       = 200 * time.Millisecond
+	snapshotsPerRetention = 3
+	// turnGrace is how long a planned release waits for turns in flight.
 	turnGrace = 2 * time.Second
 )
 
-// message is anything that the event loop of a slot takes.
+// message is an event that the event loop of a slot handles.
 type message interface{ isMessage() }
 
 type claimMsg struct{}
@@ -34,67 +34,69 @@
 	took  time.Duration
 }
 
-type doMsg struct {
+type operationMsg struct {
 	ctx   context.Context
 	mode  desk.Mode
 	op    desk.Op
-	reply chan doReply
+	reply chan operationReply
 }
 
-type doReply struct {
+type operationReply struct {
 	ticket *desk.Ticket
 	err    error
 }
 
-type sentMsg struct {
-	batch *batch
-	sent  sent
+type appendedMsg struct {
+	batch  *batch
+	result appendResult
 }
 
 type retryMsg struct{ batch *batch }
 
 type flushMsg struct{}
 
-type lostMsg struct{ epoch int64 }
+type supersededMsg struct{ epoch int64 }
 
 type releaseMsg struct{ done chan struct{} }
 
-func (claimMsg) isMessage()   {}
-func (claimedMsg) isMessage() {}
-func (doMsg) isMessage()      {}
-func (sentMsg) isMessage()    {}
-func (retryMsg) isMessage()   {}
-func (flushMsg) isMessage()   {}
-func (lostMsg) isMessage()    {}
-func (releaseMsg) isMessage() {}
-
-// owner is the event loop of one slot. Only the loop touches its fields, except epoch.
+func (claimMsg) isMessage()      {}
+func (claimedMsg) isMessage()    {}
+func (operationMsg) isMessage()  {}
+func (appendedMsg) isMessage()   {}
+func (retryMsg) isMessage()      {}
+func (flushMsg) isMessage()      {}
+func (supersededMsg) isMessage() {}
+func (releaseMsg) isMessage()    {}
+
+// owner runs the event loop of one slot. Only the loop accesses the mutable fields; epoch is
+// also read by other goroutines.
 type owner struct {
 	svc   *Slots
 	id    ident.Slot
 	inbox chan message
-	// epoch is 0 while the slot is not held.
+	// epoch is 0 while this box does not own the slot.
 	epoch atomic.Int64
 
 	desk *desk.Desk
-	// seq is the newest entry handed to the log under this epoch.
-	seq      int64
-	claiming bool
-	lastTry  time.Time
-	// waiting are operations that came while the claim was under way.
-	waiting   []doMsg
-	queue     []queued
-	queuedLen int
-	// urgent says that something in queue must not wait for company.
-	urgent  bool
-	timed   bool
-	sending *batch
-	// releasing is set during a planned release, since releasingAt, and closed at its end.
+	// seq is the sequence number of the last entry created in this epoch.
+	seq       int64
+	claiming  bool
+	lastClaim time.Time
+	// waiting holds operations that arrived while the slot was being claimed.
+	waiting       []operationMsg
+	queue         []queuedOperation
+	queuedRecords int
+	// flushNow reports whether the queue must be sent without waiting for more records.
+	flushNow       bool
+	flushScheduled bool
+	inFlight       *batch
+	// releasing is not nil during a planned release, which began at releasingAt; it is closed
+	// when the release ends.
 	releasing   chan struct{}
 	releasingAt time.Time
 }
 
-type queued struct {
+type queuedOperation struct {
 	recs   []types.Record
 	ticket *desk.Ticket
 }
@@ -111,8 +113,8 @@
 }
 
 func (o *owner) do(ctx context.Context, mode desk.Mode, op desk.Op) (*desk.Ticket, error) {
-	reply := make(chan doReply, 1)
-	o.send(doMsg{ctx: ctx, mode: mode, op: op, reply: reply})
+	reply := make(chan operationReply, 1)
+	o.send(operationMsg{ctx: ctx, mode: mode, op: op, reply: reply})
 	select {
 	case r := <-reply:
 		return r.ticket, r.err
@@ -132,16 +134,16 @@
 }
 
 func (o *owner) run() {
-	sweep := time.NewTicker(sweepEvery)
-	defer sweep.Stop()
+	sweepTicker := time.NewTicker(sweepInterval)
+	defer sweepTicker.Stop()
 	for {
 		select {
 		case <-o.svc.ctx.Done():
-			o.drop(fault.Refuse(fault.Stopping, "box is stopping"))
+			o.clearOwnership(fault.Refuse(fault.Stopping, "box is stopping"))
 			return
 		case m := <-o.inbox:
 			o.handle(m)
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			o.sweep()
 		}
 		o.tryRelease()
@@ -151,22 +153,22 @@
 func (o *owner) handle(m message) {
 	switch m := m.(type) {
 	case claimMsg:
-		o.claim()
+		o.startClaim()
 	case claimedMsg:
-		o.claimed(m)
-	case doMsg:
-		o.accept(m)
-	case sentMsg:
-		o.sent(m)
+		o.finishClaim(m)
+	case operationMsg:
+		o.handleOperation(m)
+	case appendedMsg:
+		o.handleAppended(m)
 	case retryMsg:
-		if o.sending == m.batch {
-			o.transmit(m.batch)
+		if o.inFlight == m.batch {
+			o.startAppend(m.batch)
 		}
 	case flushMsg:
-		o.timed = false
-		o.urgent = true
+		o.flushScheduled = false
+		o.flushNow = true
 		o.flush()
-	case lostMsg:
+	case supersededMsg:
 		if o.desk != nil && o.desk.State.Epoch == m.epoch {
 			o.stepDown("a live box holds a newer claim")
 		}
@@ -176,7 +178,7 @@
 	}
 }
 
-func (o *owner) accept(m doMsg) {
+func (o *owner) handleOperation(m operationMsg) {
 	switch {
 	case o.desk != nil:
 		o.perform(m)
@@ -184,44 +186,44 @@
 		o.waiting = append(o.waiting, m)
 	case o.svc.mayClaim(o.id):
 		o.waiting = append(o.waiting, m)
-		o.claim()
+		o.startClaim()
 	default:
-		m.reply <- doReply{err: notOwner()}
+		m.reply <- operationReply{err: notOwner()}
 	}
 }
 
 func notOwner() error {
-	return fault.Refuse(fault.NotOwner, "this box does not own the slot").After(claimPause)
+	return fault.Refuse(fault.NotOwner, "this box does not own the slot").After(claimRetryDelay)
 }
 
-func (o *owner) perform(m doMsg) {
+func (o *owner) perform(m operationMsg) {
 	if m.ctx.Err() != nil {
-		m.reply <- doReply{err: fault.Refuse(fault.DeadlineMissed, "caller is gone").Because(m.ctx.Err())}
+		m.reply <- operationReply{err: fault.Refuse(fault.DeadlineMissed, "the caller is gone").Because(m.ctx.Err())}
 		return
 	}
 	if o.releasing != nil && m.mode < desk.Finish {
-		m.reply <- doReply{err: notOwner()}
+		m.reply <- operationReply{err: notOwner()}
 		return
 	}
 	if m.mode == desk.Durable && !o.desk.LogUp {
-		m.reply <- doReply{err: fault.Refuse(fault.LogUnavailable, "the log is away").After(time.Second)}
+		m.reply <- operationReply{err: fault.Refuse(fault.LogUnavailable, "the log is unavailable").After(time.Second)}
 		return
 	}
-	if o.queuedLen > o.svc.timing.MaxQueued && m.mode < desk.Finish {
-		m.reply <- doReply{err: fault.Refuse(fault.Overloaded, "too much waits for the log").After(time.Second)}
+	if o.queuedRecords > o.svc.timing.MaxQueued && m.mode < desk.Finish {
+		m.reply <- operationReply{err: fault.Refuse(fault.Overloaded, "too many records wait for the log").After(time.Second)}
 		return
 	}
-	// Records are kept even if the operation fails after them: they are applied already.
+	// The records are enqueued even if the operation failed, since it has already applied them.
 	recs, err := m.op(time.Now(), o.desk)
-	ticket := o.enqueue(recs, m.mode == desk.Durable || m.mode == desk.Urgent || awaited(recs))
-	m.reply <- doReply{ticket: ticket, err: err}
+	ticket := o.enqueue(recs, m.mode == desk.Durable || m.mode == desk.Urgent || anyAwaited(recs))
+	m.reply <- operationReply{ticket: ticket, err: err}
 	if o.desk != nil && o.desk.Superseded {
 		o.stepDown("a continuation shows a newer claim")
 	}
 }
 
-// awaited reports whether work waits for one of the records.
-func awaited(recs []types.Record) bool {
+// anyAwaited reports whether the records include a grant or an intent, which calls wait for.
+func anyAwaited(recs []types.Record) bool {
 	for _, rec := range recs {
 		if rec.Grant != nil || rec.Intent != nil {
 			return true
@@ -230,53 +232,55 @@
 	return false
 }
 
-// enqueue hands records to the writer. Without records the ticket is good at once.
+// enqueue queues records for the next batch. If there are none, the ticket succeeds at once.
 func (o *owner) enqueue(recs []types.Record, urgent bool) *desk.Ticket {
 	ticket := desk.NewTicket()
 	if len(recs) == 0 {
 		ticket.Close(nil)
 		return ticket
 	}
-	o.queue = append(o.queue, queued{recs: recs, ticket: ticket})
-	o.queuedLen += len(recs)
-	o.urgent = o.urgent || urgent
+	o.queue = append(o.queue, queuedOperation{recs: recs, ticket: ticket})
+	o.queuedRecords += len(recs)
+	o.flushNow = o.flushNow || urgent
 	o.flush()
 	return ticket
 }
 
-// stepDown forgets everything: another box owns the slot, or may.
-func (o *owner) stepDown(why string) {
-	o.svc.logger.Info("slots: stepped down", "slot", o.id.String(), "epoch", o.epoch.Load(), "why", why)
+// stepDown discards the slot's state and fails its operations, since another box owns the
+// slot or may own it.
+func (o *owner) stepDown(reason string) {
+	o.svc.logger.Info("slots: stepped down", "slot", o.id.String(), "epoch", o.epoch.Load(), "why", reason)
 	o.svc.counts.Count("slots.step_downs", 1)
-	o.drop(notOwner())
+	o.clearOwnership(notOwner())
 }
 
-func (o *owner) drop(err error) {
+func (o *owner) clearOwnership(err error) {
 	o.epoch.Store(0)
 	o.desk = nil
-	if o.sending != nil {
-		o.sending.fail(err)
-		o.sending = nil
+	if o.inFlight != nil {
+		o.inFlight.fail(err)
+		o.inFlight = nil
 	}
 	for _, q := range o.queue {
 		q.ticket.Close(err)
 	}
-	o.queue, o.queuedLen = nil, 0
+	o.queue, o.queuedRecords = nil, 0
 	for _, m := range o.waiting {
-		m.reply <- doReply{err: err}
+		m.reply <- operationReply{err: err}
 	}
 	o.waiting = nil
 }
 
-// sweep ends what is over and carries what the log would forget.
+// sweep ends expired programs and appends snapshots of the items that the log's retention
+// would soon delete.
 func (o *owner) sweep() {
 	if o.desk == nil {
 		return
 	}
 	now := time.Now()
 	ended, recs := o.desk.Sweep(now, o.svc.settings.KeyRetention())
-	if keep := o.svc.timing.Retention; keep > 0 && o.desk.LogUp {
-		recs = append(recs, o.desk.Snapshot(now, keep/snapshotDiv)...)
+	if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogUp {
+		recs = append(recs, o.desk.Snapshot(now, retention/snapshotsPerRetention)...)
 	}
 	o.enqueue(recs, false)
 	if len(ended) == 0 {
@@ -287,13 +291,14 @@
 	}
 }
 
-// tryRelease gives the slot up once its runs are finished.
+// tryRelease completes a planned release. It appends the release record once no calls are
+// running and turns have finished or their grace has passed, and ends when the queue is empty.
 func (o *owner) tryRelease() {
 	if o.releasing == nil {
 		return
 	}
 	if o.desk == nil && !o.claiming {
-		o.released()
+		o.finishRelease()
 		return
 	}
 	if o.desk == nil || len(o.desk.Calls) > 0 {
@@ -307,14 +312,14 @@
 		o.desk.State.Released = true
 		o.enqueue(recs, true)
 	}
-	if o.sending == nil && len(o.queue) == 0 {
+	if o.inFlight == nil && len(o.queue) == 0 {
 		o.svc.logger.Info("slots: released", "slot", o.id.String(), "epoch", o.epoch.Load())
-		o.drop(notOwner())
-		o.released()
+		o.clearOwnership(notOwner())
+		o.finishRelease()
 	}
 }
 
-func (o *owner) released() {
+func (o *owner) finishRelease() {
 	close(o.releasing)
 	o.releasing = nil
 }
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -16,70 +16,70 @@
 	"mulleingate.dev/gate/desk"
 )
 
-// Log is the platform's log.
+// Log is the platform's durable log.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
 	Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error)
 }
 
-// View is what this box believes of the others.
+// View is this box's view of the live boxes and the slots that they own.
 type View interface {
-	// Settled reports whether the view has been heard out long enough to claim by it.
+	// Settled reports whether the view is complete enough to decide on claims.
 	Settled() bool
-	// Live lists the boxes that answer, this one included.
+	// Live lists the live boxes, including this one.
 	Live() []types.Member
-	// Owner is the live box that says it owns the slot, with the highest epoch.
+	// Owner returns the live box that announces the slot with the highest epoch, and the epoch.
 	Owner(slot string) (types.Member, int64, bool)
-	// Announce adds to what this box says in its heartbeats.
+	// Announce registers a function that adds to this box's heartbeats.
 	Announce(fill func(beat *wire.BeatRequest))
 }
 
-// Settings are the configured parts of ownership.
+// Settings provides the configuration of slots.
 type Settings interface {
-	// Slots lists all slots of the configuration, or none while there is none.
+	// Slots lists all configured slots, or none before a configuration is loaded.
 	Slots() []ident.Slot
-	// KeyRetention is how long idempotency keys are kept.
+	// KeyRetention returns how long idempotency keys are kept.
 	KeyRetention() time.Duration
 }
 
-// Watcher learns of programs that ended without their caller, and of slots taken over.
+// Watcher is notified of programs that the owner ended and of slots that this box claimed.
 type Watcher interface {
 	Ended(slot ident.Slot, programs []string)
 	Claimed(slot ident.Slot)
 }
 
-// Timing holds the intervals of ownership.
+// Timing holds the intervals and limits of slot ownership.
 type Timing struct {
-	// Tick is how often ownership is looked at.
+	// Tick is the interval between checks of slot ownership.
 	Tick time.Duration
-	// FlushAfter is how long a record that nobody waits for may wait for company.
+	// FlushAfter is how long records that are not urgent wait to be batched with others.
 	FlushAfter time.Duration
-	// AdoptAfter is how long a zone must be without boxes before another zone takes its slots.
+	// AdoptAfter is how long a zone must have no live boxes before other zones claim its slots.
 	AdoptAfter time.Duration
-	// Retention is how long the log keeps entries; 0 is for ever.
+	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
-	// AppendShare bounds this box's appends a second; 0 is without bound.
+	// AppendShare limits this box's appends per second; 0 means no limit.
 	AppendShare float64
-	// MaxQueued bounds the records waiting for one slot's stream.
+	// MaxQueued limits the records waiting to be appended for one slot.
 	MaxQueued int
 }
 
-// Slots is the service.
+// Slots is the service that claims, serves and releases slots on this box.
 type Slots struct {
-	self     types.Member
-	inc      string
-	log      Log
-	view     View
-	settings Settings
-	timing   Timing
-	logger   *slog.Logger
-	pace     *rate.Limiter
-	counts   Counts
+	self          types.Member
+	incarnation   string
+	log           Log
+	view          View
+	settings      Settings
+	timing        Timing
+	logger        *slog.Logger
+	appendLimiter *rate.Limiter
+	counts        Counts
 
 	mu       sync.Mutex
 	watchers []Watcher
 	owners   map[ident.Slot]*owner
-	// emptySince is when a zone was first seen without live boxes.
+	// emptySince holds the time since which a zone has had no live boxes.
 	emptySince map[string]time.Time
 	leaving    bool
 	ctx        context.Context
@@ -87,40 +87,41 @@
 	done       sync.WaitGroup
 }
 
-// Counts receives figures about ownership.
+// Counts receives metrics of slot ownership.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// New makes the service; self must hold the name, zone and peer address of the box.
-func New(self types.Member, inc string, log Log, view View, settings Settings, timing Timing, counts Counts, logger *slog.Logger) *Slots {
+// New creates the service; self must hold the name, zone and peer address of this box.
+func New(self types.Member, incarnation string, log Log, view View, settings Settings, timing Timing, counts Counts, logger *slog.Logger) *Slots {
 	limit := rate.Inf
 	if timing.AppendShare > 0 {
 		limit = rate.Limit(timing.AppendShare)
 	}
 	return &Slots{
-		self: self, inc: inc, log: log, view: view, settings: settings, timing: timing, counts: counts, logger: logger,
-		pace:   rate.NewLimiter(limit, max(1, int(timing.AppendShare))),
-		owners: map[ident.Slot]*owner{}, emptySince: map[string]time.Time{},
+		self: self, incarnation: incarnation, log: log, view: view, settings: settings, timing: timing, counts: counts, logger: logger,
+		appendLimiter: rate.NewLimiter(limit, max(1, int(timing.AppendShare))),
+		owners:        map[ident.Slot]*owner{}, emptySince: map[string]time.Time{},
 	}
 }
 
-// Watch adds a watcher. It must come before Start.
+// Watch adds a watcher. It must be called before Start.
 func (s *Slots) Watch(w Watcher) {
 	s.watchers = append(s.watchers, w)
 }
 
-// Start begins to claim the slots that prefer this box.
+// Start starts claiming the slots that rendezvous hashing assigns to this box.
 func (s *Slots) Start(context.Context) error {
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.view.Announce(s.announce)
+	s.view.Announce(s.fillHeartbeat)
 	s.done.Go(s.run)
 	return nil
 }
 
-// Release gives all slots up in order: calls that may not be repeated end first, turns
-// get a short grace, and what runs on after it travels in continuations.
+// Release releases all slots. For each slot it waits until calls that may not be repeated
+// have ended, and a short grace for turns; turns that finish later are returned in
+// continuations. It returns early if ctx ends.
 func (s *Slots) Release(ctx context.Context) {
 	s.mu.Lock()
 	s.leaving = true
@@ -136,14 +137,15 @@
 	group.Wait()
 }
 
-// Stop ends the service at once; slots that were not released are found ownerless.
+// Stop ends the service at once. Slots that were not released stay unowned until another box
+// claims them.
 func (s *Slots) Stop(context.Context) error {
 	s.stop()
 	s.done.Wait()
 	return nil
 }
 
-func (s *Slots) announce(beat *wire.BeatRequest) {
+func (s *Slots) fillHeartbeat(beat *wire.BeatRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, o := range s.owners {
@@ -161,28 +163,28 @@
 		case <-s.ctx.Done():
 			return
 		case <-tick.C:
-			s.look()
+			s.reconcile()
 		}
 	}
 }
 
-// look claims slots that prefer this box and have no live owner, and gives up those that
-// a live box holds under a higher epoch.
-func (s *Slots) look() {
+// reconcile claims the slots that have no live owner and whose preferred box is this one, and
+// gives up those that a live box owns under a higher epoch.
+func (s *Slots) reconcile() {
 	live := s.view.Live()
-	s.noteEmpty(live)
+	s.updateEmptyZones(live)
 	held := s.Held()
-	idle := !s.view.Settled() || s.isLeaving()
+	mayNotClaim := !s.view.Settled() || s.isLeaving()
 	for _, id := range s.settings.Slots() {
 		holder, epoch, ok := s.view.Owner(id.String())
-		mine := held[id]
-		if ok && mine > 0 && epoch > mine && holder.Name != s.self.Name {
-			s.owner(id).send(lostMsg{epoch: mine})
+		ownEpoch := held[id]
+		if ok && ownEpoch > 0 && epoch > ownEpoch && holder.Name != s.self.Name {
+			s.owner(id).send(supersededMsg{epoch: ownEpoch})
 		}
-		if ok || mine > 0 || idle {
+		if ok || ownEpoch > 0 || mayNotClaim {
 			continue
 		}
-		if s.preferred(id, live) == s.self.Name {
+		if s.preferredBox(id, live) == s.self.Name {
 			s.owner(id).send(claimMsg{})
 		}
 	}
@@ -194,15 +196,15 @@
 	return s.leaving
 }
 
-func (s *Slots) noteEmpty(live []types.Member) {
+func (s *Slots) updateEmptyZones(live []types.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := map[string]bool{}
+	populated := map[string]bool{}
 	for _, m := range live {
-		seen[m.Zone] = true
+		populated[m.Zone] = true
 	}
 	for _, id := range s.settings.Slots() {
-		if seen[id.Zone] {
+		if populated[id.Zone] {
 			delete(s.emptySince, id.Zone)
 			continue
 		}
@@ -212,32 +214,34 @@
 	}
 }
 
-// preferred is the rendezvous winner among live boxes of the slot's zone, or among all
-// once that zone has been empty long enough; "" if there is none yet.
-func (s *Slots) preferred(id ident.Slot, live []types.Member) string {
-	var home, all []string
+// preferredBox returns the box that rendezvous hashing selects among the live boxes of the
+// slot's zone, or among all live boxes once that zone has been empty for AdoptAfter. Leaving
+// boxes are excluded. It returns "" if there is no candidate.
+func (s *Slots) preferredBox(id ident.Slot, live []types.Member) string {
+	var sameZone, all []string
 	for _, m := range live {
 		if m.Leaving {
 			continue
 		}
 		all = append(all, m.Name)
 		if m.Zone == id.Zone {
-			home = append(home, m.Name)
+			sameZone = append(sameZone, m.Name)
 		}
 	}
-	if len(home) > 0 {
-		return ident.Winner(id.String(), home)
+	if len(sameZone) > 0 {
+		return ident.Winner(id.String(), sameZone)
 	}
 	s.mu.Lock()
-	since, empty := s.emptySince[id.Zone]
+	since, isEmpty := s.emptySince[id.Zone]
 	s.mu.Unlock()
-	if !empty || time.Since(since) < s.timing.AdoptAfter {
+	if !isEmpty || time.Since(since) < s.timing.AdoptAfter {
 		return ""
 	}
 	return ident.Winner(id.String(), all)
 }
 
-// Locate says which box serves the slot: this one (true) or another.
+// Locate returns the box that serves the slot, and whether it is this one. It fails with
+// owner_unavailable if no box serves the slot now.
 func (s *Slots) Locate(id ident.Slot) (types.Member, bool, error) {
 	if s.Owns(id) {
 		return s.self, true, nil
@@ -246,8 +250,8 @@
 		return holder, false, nil
 	}
 	live := s.view.Live()
-	s.noteEmpty(live)
-	name := s.preferred(id, live)
+	s.updateEmptyZones(live)
+	name := s.preferredBox(id, live)
 	if name == s.self.Name {
 		return s.self, true, nil
 	}
@@ -259,12 +263,12 @@
 	return types.Member{}, false, fault.Refuse(fault.OwnerUnknown, "no box serves the slot now").After(time.Second)
 }
 
-// Live reports whether a box answers heartbeats, as far as this one knows.
+// Live reports whether a box is live in this box's view.
 func (s *Slots) Live(box string) bool {
 	return slices.ContainsFunc(s.view.Live(), func(m types.Member) bool { return m.Name == box })
 }
 
-// Owns reports whether this box holds the slot as far as it knows.
+// Owns reports whether this box owns the slot, as far as it knows.
 func (s *Slots) Owns(id ident.Slot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,31 +276,32 @@
 	return ok && o.epoch.Load() > 0
 }
 
-// Held lists the slots that this box holds, and their epochs.
+// Held returns the slots that this box owns and their epochs.
 func (s *Slots) Held() map[ident.Slot]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[ident.Slot]int64{}
+	epochs := map[ident.Slot]int64{}
 	for id, o := range s.owners {
 		if epoch := o.epoch.Load(); epoch > 0 {
-			out[id] = epoch
+			epochs[id] = epoch
 		}
 	}
-	return out
+	return epochs
 }
 
-// Describe fills in the state of a held slot.
-func (s *Slots) Describe(ctx context.Context, id ident.Slot, st *types.SlotStatus) {
+// Describe fills in the status of a slot that this box owns.
+func (s *Slots) Describe(ctx context.Context, id ident.Slot, status *types.SlotStatus) {
 	_, err := s.Do(ctx, id, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		d.Describe(st)
+		d.Describe(status)
 		return nil, nil
 	})
 	if err != nil {
-		s.logger.Debug("slots: slot was not described", "slot", id.String(), "error", err)
+		s.logger.Debug("slots: cannot describe slot", "slot", id.String(), "error", err)
 	}
 }
 
-// Pick chooses a held slot for a new program: one of this zone first, at random by seed.
+// Pick selects one of the slots that this box owns for a new program, by rendezvous hashing
+// of the seed. It returns false if this box owns none.
 func (s *Slots) Pick(seed string) (ident.Slot, bool) {
 	var names []string
 	for id := range s.Held() {
@@ -309,7 +314,8 @@
 	return id, err == nil
 }
 
-// Do runs op on the slot if this box owns it, claiming it first if nobody else seems to.
+// Do runs op on the slot's state if this box owns the slot. It claims the slot first if no
+// live box owns it and this box is its preferred one.
 func (s *Slots) Do(ctx context.Context, id ident.Slot, mode desk.Mode, op desk.Op) (*desk.Ticket, error) {
 	return s.owner(id).do(ctx, mode, op)
 }
@@ -326,7 +332,7 @@
 	return o
 }
 
-// mayClaim reports whether a call may claim the slot on the spot.
+// mayClaim reports whether this box may claim the slot to serve an operation.
 func (s *Slots) mayClaim(id ident.Slot) bool {
 	if s.isLeaving() || !s.view.Settled() {
 		return false
@@ -334,5 +340,5 @@
 	if _, _, ok := s.view.Owner(id.String()); ok {
 		return false
 	}
-	return s.preferred(id, s.view.Live()) == s.self.Name
+	return s.preferredBox(id, s.view.Live()) == s.self.Name
 }
--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -11,16 +11,16 @@
 	"mulleingate.dev/gate/desk"
 )
 
-// batch is one entry on its way to the log. It is sent again, with the same Seq, until
-// the log has answered; a fold ignores copies.
+// batch is one log entry in flight. It is appended again with the same Seq until the log
+// confirms it; readers ignore duplicates.
 type batch struct {
 	data    []byte
 	recs    []types.Record
 	tickets []*desk.Ticket
-	// expect is the offset that the entry gets if nobody else has written.
-	expect int64
-	pause  time.Duration
-	first  time.Time
+	// expectedOffset is the entry's offset if no other entry was appended before it.
+	expectedOffset int64
+	retryDelay     time.Duration
+	firstSent      time.Time
 }
 
 func (b *batch) fail(err error) {
@@ -29,68 +29,69 @@
 	}
 }
 
-// sent is the result of one transmission.
-type sent struct {
+// appendResult is the result of one attempt to append a batch.
+type appendResult struct {
 	offset int64
-	// gap holds what others, or earlier copies, put before the entry.
+	// gap holds the entries between the expected offset and the actual one.
 	gap []types.LogEntry
 	err error
 }
 
-// flush sends what is queued, unless an entry is on its way or company may still come.
+// flush appends the queued records as one entry, unless an entry is in flight. Records that
+// are not urgent wait for the scheduled flush.
 func (o *owner) flush() {
-	if o.desk == nil || o.sending != nil || len(o.queue) == 0 {
+	if o.desk == nil || o.inFlight != nil || len(o.queue) == 0 {
 		return
 	}
-	if !o.urgent {
-		o.flushLater()
+	if !o.flushNow {
+		o.scheduleFlush()
 		return
 	}
-	b := &batch{expect: o.desk.State.Next, pause: firstRetry, first: time.Now()}
+	b := &batch{expectedOffset: o.desk.State.Next, retryDelay: minRetryDelay, firstSent: time.Now()}
 	for _, q := range o.queue {
 		b.recs = append(b.recs, q.recs...)
 		b.tickets = append(b.tickets, q.ticket)
 	}
-	o.queue, o.queuedLen, o.urgent = nil, 0, false
+	o.queue, o.queuedRecords, o.flushNow = nil, 0, false
 	o.seq++
 	data, err := json.Marshal(types.Entry{Epoch: o.desk.State.Epoch, Seq: o.seq, Records: b.recs})
 	if err != nil {
-		b.fail(fault.Refuse(fault.Internal, "entry does not encode").Because(err))
-		o.stepDown("an entry does not encode")
+		b.fail(fault.Refuse(fault.Internal, "cannot encode the log entry").Because(err))
+		o.stepDown("a log entry cannot be encoded")
 		return
 	}
 	b.data = data
-	o.sending = b
-	o.transmit(b)
+	o.inFlight = b
+	o.startAppend(b)
 }
 
-func (o *owner) flushLater() {
-	if o.timed {
+func (o *owner) scheduleFlush() {
+	if o.flushScheduled {
 		return
 	}
-	o.timed = true
+	o.flushScheduled = true
 	time.AfterFunc(o.svc.timing.FlushAfter, func() { o.send(flushMsg{}) })
 }
 
-func (o *owner) transmit(b *batch) {
+func (o *owner) startAppend(b *batch) {
 	o.svc.done.Go(func() {
-		o.send(sentMsg{batch: b, sent: o.svc.transmit(o.svc.ctx, o.id.Stream(), b)})
+		o.send(appendedMsg{batch: b, result: o.svc.appendBatch(o.svc.ctx, o.id.Stream(), b)})
 	})
 }
 
-func (s *Slots) transmit(ctx context.Context, stream string, b *batch) sent {
-	if err := s.pace.Wait(ctx); err != nil {
-		return sent{err: fault.Refuse(fault.Stopping, "box is stopping").Because(err)}
+func (s *Slots) appendBatch(ctx context.Context, stream string, b *batch) appendResult {
+	if err := s.appendLimiter.Wait(ctx); err != nil {
+		return appendResult{err: fault.Refuse(fault.Stopping, "box is stopping").Because(err)}
 	}
 	offset, err := s.log.Append(ctx, stream, b.data)
 	if err != nil {
-		return sent{err: err}
+		return appendResult{err: err}
 	}
-	if offset == b.expect {
-		return sent{offset: offset}
+	if offset == b.expectedOffset {
+		return appendResult{offset: offset}
 	}
-	gap, err := s.readGap(ctx, stream, b.expect, offset)
-	return sent{offset: offset, gap: gap, err: err}
+	gap, err := s.readGap(ctx, stream, b.expectedOffset, offset)
+	return appendResult{offset: offset, gap: gap, err: err}
 }
 
 // readGap reads the entries in [from, to).
@@ -102,7 +103,7 @@
 			return nil, err
 		}
 		if page.First > from || len(page.Entries) == 0 {
-			return nil, fault.Fail(fault.LogUnavailable, "entries are gone before they were read")
+			return nil, fault.Fail(fault.LogUnavailable, "log entries were deleted before they were read")
 		}
 		for _, entry := range page.Entries {
 			if entry.Offset < to {
@@ -114,40 +115,40 @@
 	return gap, nil
 }
 
-func (o *owner) sent(m sentMsg) {
-	if o.sending != m.batch {
+func (o *owner) handleAppended(m appendedMsg) {
+	if o.inFlight != m.batch {
 		return
 	}
-	if m.sent.err != nil {
-		o.failed(m.batch, m.sent.err)
+	if m.result.err != nil {
+		o.scheduleRetry(m.batch, m.result.err)
 		return
 	}
-	if foreign(m.sent.gap) {
+	if containsClaim(m.result.gap) {
 		o.stepDown("the log shows another claim")
 		return
 	}
 	now := time.Now()
-	o.sending = nil
-	o.desk.State.Next = m.sent.offset + 1
+	o.inFlight = nil
+	o.desk.State.Next = m.result.offset + 1
 	o.desk.State.Seq = o.seq
 	o.desk.Confirm(now, m.batch.recs)
 	if !o.desk.LogUp {
-		o.svc.logger.Info("slots: log is back", "slot", o.id.String())
+		o.svc.logger.Info("slots: log is available again", "slot", o.id.String())
 	}
 	o.desk.LogUp = true
 	o.svc.counts.Count("slots.appends", 1)
 	o.svc.counts.Count("slots.records", int64(len(m.batch.recs)))
 	o.svc.counts.Count("slots.append_bytes", int64(len(m.batch.data)))
-	o.svc.counts.Time("slots.append_time", now.Sub(m.batch.first))
+	o.svc.counts.Time("slots.append_time", now.Sub(m.batch.firstSent))
 	for _, t := range m.batch.tickets {
 		t.Close(nil)
 	}
 	o.flush()
 }
 
-// foreign reports whether a claim lies in the gap. Copies and entries of older epochs
-// are no harm: every fold ignores them.
-func foreign(gap []types.LogEntry) bool {
+// containsClaim reports whether one of the entries is a claim. Duplicates and entries of
+// older epochs are harmless, since readers ignore them.
+func containsClaim(gap []types.LogEntry) bool {
 	for _, entry := range gap {
 		var e types.Entry
 		if json.Unmarshal(entry.Data, &e) == nil && e.Claim != nil {
@@ -157,16 +158,17 @@
 	return false
 }
 
-// failed schedules the same entry again. Only a refusal for overload leaves the log up.
-func (o *owner) failed(b *batch, err error) {
+// scheduleRetry schedules another attempt to append the batch, with exponential backoff and
+// jitter. Any error except overload marks the log as unavailable.
+func (o *owner) scheduleRetry(b *batch, err error) {
 	o.svc.counts.Count("slots.append_failures", 1)
 	if !fault.Is(err, fault.Overloaded) {
 		if o.desk.LogUp {
-			o.svc.logger.Warn("slots: log is away", "slot", o.id.String(), "error", err)
+			o.svc.logger.Warn("slots: log is unavailable", "slot", o.id.String(), "error", err)
 		}
 		o.desk.LogUp = false
 	}
-	wait := b.pause/2 + rand.N(b.pause)
-	b.pause = min(2*b.pause, lastRetry)
+	wait := b.retryDelay/2 + rand.N(b.retryDelay)
+	b.retryDelay = min(2*b.retryDelay, maxRetryDelay)
 	time.AfterFunc(wait, func() { o.send(retryMsg{batch: b}) })
 }
