--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -10,26 +10,26 @@
 	"mulleingate.dev/gate/desk"
 )
 
-// endWait bounds how long an end waits for the log.
-const endWait = 2 * time.Second
+// endConfirmTimeout is how long End waits for the log to confirm.
+const endConfirmTimeout = 2 * time.Second
 
-// Begin creates a program whose id names a slot of this box. A repeat with the same id
-// gives the same program.
+// Begin creates a program whose id names a slot that this box owns. Repeating the call with
+// the same id returns the existing program. parent is the parent's continuation token, if any.
 func (p *Prog) Begin(ctx context.Context, begin types.Begin, parent string) (types.ProgramState, error) {
 	slot, err := ident.ProgramSlot(begin.ID)
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	if err := p.placed(input(begin)); err != nil {
+	if err := p.checkPlacement(ruleInput(begin)); err != nil {
 		return types.ProgramState{}, err
 	}
-	cont, err := p.open(begin.Workspace, begin.Parent, parent)
+	cont, err := p.openToken(begin.Workspace, begin.Parent, parent)
 	if err != nil {
 		return types.ProgramState{}, err
 	}
 	ask := desk.BeginAsk{Begin: begin, Chunk: p.policies.Defaults().GrantChunk}
 	ticket, err := p.owner.Do(ctx, slot, desk.Lazy, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		recs, err := adopt(d, cont)
+		recs, err := adoptContinuation(d, cont)
 		if err != nil {
 			return nil, err
 		}
@@ -40,13 +40,13 @@
 		return types.ProgramState{}, err
 	}
 	p.counts.Count("prog.begun", 1)
-	p.await(ctx, ticket)
+	p.awaitConfirmation(ctx, ticket)
 	return p.State(ctx, begin.Workspace, begin.ID, "")
 }
 
-// await gives the log its short time to confirm; what it has not confirmed by then
-// travels in the continuation.
-func (p *Prog) await(ctx context.Context, ticket *desk.Ticket) {
+// awaitConfirmation waits up to LogWait for the log to confirm the records. Continuations
+// carry whatever the log has not confirmed by then.
+func (p *Prog) awaitConfirmation(ctx context.Context, ticket *desk.Ticket) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(p.policies.Defaults().LogWait))
 	defer stop()
 	if ticket.Wait(ctx) != nil {
@@ -54,27 +54,28 @@
 	}
 }
 
-func adopt(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
 	return d.Adopt(*cont)
 }
 
-// State describes a program; token may bring what the log does not hold.
+// State returns the state of a program. It first adopts the continuation in token, if any,
+// which may hold records that the log lacks.
 func (p *Prog) State(ctx context.Context, workspace, id, token string) (types.ProgramState, error) {
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	given, err := p.open(workspace, id, token)
+	callerCont, err := p.openToken(workspace, id, token)
 	if err != nil {
 		return types.ProgramState{}, err
 	}
 	var state types.ProgramState
 	var cont types.Continuation
 	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		recs, err := adopt(d, given)
+		recs, err := adoptContinuation(d, callerCont)
 		if err != nil {
 			return nil, err
 		}
@@ -82,18 +83,18 @@
 		if err != nil {
 			return recs, err
 		}
-		state = describe(d, prog)
+		state = programState(d, prog)
 		cont = d.Continuation(prog, state.Turn)
 		return recs, nil
 	})
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	state.Continuation, err = p.token(cont)
+	state.Continuation, err = p.sealToken(cont)
 	return state, err
 }
 
-func describe(d *desk.Desk, prog *types.Program) types.ProgramState {
+func programState(d *desk.Desk, prog *types.Program) types.ProgramState {
 	spent, budget := d.Spent(prog)
 	_, running := d.Turns[prog.Begin.ID]
 	return types.ProgramState{
@@ -103,8 +104,9 @@
 	}
 }
 
-// End closes a program and all below it, cancels their runs and frees their caches. It
-// answers once the log holds the end: else a crash could bring the program back.
+// End ends a program and all its descendants, cancels their runs and releases their caches.
+// It returns once the log has confirmed the end, since a crash before that would restore the
+// program.
 func (p *Prog) End(ctx context.Context, workspace, id string) (types.ProgramState, error) {
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
@@ -120,27 +122,28 @@
 		var recs []types.Record
 		ids, recs = d.End(now, id, desk.EndedByCaller)
 		if len(recs) == 0 {
-			// A repeat waits for a record of its own: the first may not be in the log yet.
+			// A repeated call writes a record of its own to wait for, since the log may not
+			// have confirmed the first one yet.
 			recs = []types.Record{{End: &types.End{Program: id, Reason: prog.Ended, At: now}}}
 		}
-		cancel(d, ids)
-		state = describe(d, prog)
+		cancelRuns(d, ids)
+		state = programState(d, prog)
 		return recs, nil
 	})
 	if err != nil {
 		return types.ProgramState{}, err
 	}
 	p.done.Go(func() { p.Ended(slot, ids) })
-	ctx, stop := context.WithTimeout(ctx, endWait)
+	ctx, stop := context.WithTimeout(ctx, endConfirmTimeout)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log does not hold the end yet").After(time.Second).Because(err)
+		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log has not confirmed the program's end yet").After(time.Second).Because(err)
 	}
 	return state, nil
 }
 
-// cancel stops the runs of ended programs.
-func cancel(d *desk.Desk, ids []string) {
+// cancelRuns cancels the running turns of ended programs.
+func cancelRuns(d *desk.Desk, ids []string) {
 	for _, id := range ids {
 		run, ok := d.Turns[id]
 		if !ok {
--- a/gate/prog/doc.go
+++ b/gate/prog/doc.go
@@ -1,3 +1,3 @@
-// Package prog runs programs: it keeps their turns in order, their history whole, and
-// their spending within budget, on the box that owns the program's slot.
+// Package prog runs the turns of programs on the box that owns the program's slot. It keeps
+// turns in order, the history complete and the spending within the budget.
 package prog
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -9,8 +9,8 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// evacuate moves the caches of live programs off engines that leave, to engines where
-// the policy allows them.
+// evacuate moves the caches of live programs from leaving engines to engines where the
+// policy allows them.
 func (p *Prog) evacuate() {
 	leaving := p.queue.Leaving()
 	if len(leaving) == 0 {
@@ -18,35 +18,35 @@
 	}
 	holders := p.queue.Holders()
 	for _, name := range leaving {
-		from, ok := p.engines.Target(name)
+		source, ok := p.engines.Target(name)
 		if !ok {
 			continue
 		}
 		for _, id := range holders[name] {
-			p.move(id, from)
+			p.moveCache(id, source)
 		}
 	}
 }
 
-func (p *Prog) move(id string, from types.Target) {
-	begin, ok := p.live(id)
+func (p *Prog) moveCache(id string, source types.Target) {
+	begin, ok := p.liveProgram(id)
 	if !ok {
 		return
 	}
-	to, ok := p.queue.Refuge(lease.Ask{Input: input(begin), Program: id})
+	destination, ok := p.queue.Refuge(lease.Ask{Input: ruleInput(begin), Program: id})
 	if !ok {
 		return
 	}
-	p.engines.Move(id, from, to)
+	p.engines.Move(id, source, destination)
 }
 
-// live finds a program that this box owns and that goes on.
-func (p *Prog) live(id string) (types.Begin, bool) {
+// liveProgram returns a program if this box owns it and it has not ended.
+func (p *Prog) liveProgram(id string) (types.Begin, bool) {
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
 		return types.Begin{}, false
 	}
-	if _, mine := p.owner.Held()[slot]; !mine {
+	if _, owned := p.owner.Held()[slot]; !owned {
 		return types.Begin{}, false
 	}
 	var begin types.Begin
@@ -60,8 +60,8 @@
 	return begin, found && err == nil
 }
 
-// Tightened releases caches on engines where the policy in force no longer allows them.
-// A turn that runs there is let finish; the next one goes elsewhere.
+// Tightened releases caches on engines where the current policy no longer allows them. It does
+// not interrupt running turns.
 func (p *Prog) Tightened() {
 	for name, ids := range p.queue.Holders() {
 		target, ok := p.engines.Target(name)
@@ -69,7 +69,7 @@
 			continue
 		}
 		for _, id := range ids {
-			begin, ok := p.live(id)
+			begin, ok := p.liveProgram(id)
 			if !ok || p.mayCache(begin, target) {
 				continue
 			}
@@ -79,7 +79,7 @@
 }
 
 func (p *Prog) mayCache(begin types.Begin, target types.Target) bool {
-	in := input(begin)
+	in := ruleInput(begin)
 	in.Zone, in.Target, in.Use = target.Zone, target.Name, "cache"
 	return p.policies.Allowed(in)
 }
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -14,100 +14,102 @@
 )
 
 const (
-	grantWait   = 2 * time.Second
-	finishWait  = 5 * time.Second
-	maxAttempts = 4
-	// expectShare of max_tokens is what an answer is expected to take.
-	expectShare = 0.5
+	grantTimeout  = 2 * time.Second
+	finishTimeout = 5 * time.Second
+	maxAttempts   = 4
+	// expectedOutputShare is the expected length of an answer as a share of max_tokens.
+	expectedOutputShare = 0.5
 )
 
-// execute runs the turn to its end. It goes on when its callers go: a repeat joins it.
-func (p *Prog) execute(j *job, run *Run, turnRun *desk.TurnRun, cont types.Continuation, ticket *desk.Ticket) {
+// execute runs the turn to its end. It continues when its callers disconnect, and a repeated
+// call joins it.
+func (p *Prog) execute(j *turnJob, run *Run, turnRun *desk.TurnRun, cont types.Continuation, ticket *desk.Ticket) {
 	ctx, stop := context.WithDeadline(run.ctx, j.begin.Deadline)
 	defer stop()
 	if ticket != nil {
-		if err := p.granted(ctx, ticket); err != nil {
-			p.fail(j, run, turnRun, 0, err)
+		if err := p.awaitGrant(ctx, ticket); err != nil {
+			p.failTurn(j, run, turnRun, 0, err)
 			return
 		}
 	}
-	end, attempt, err := p.attempts(ctx, j, run, turnRun)
+	end, attempt, err := p.runWithRetries(ctx, j, run, turnRun)
 	if err != nil {
-		p.fail(j, run, turnRun, attempt.spent, ended(run, err))
+		p.failTurn(j, run, turnRun, attempt.charge, preferEndedReason(run, err))
 		return
 	}
 	content := types.TurnContent{
 		Ask: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
 		Usage: end.Usage, Finish: end.Finish, ID: attempt.id,
 	}
-	p.conclude(j, run, turnRun, cont, content)
+	p.completeTurn(j, run, turnRun, cont, content)
 }
 
-func (p *Prog) granted(ctx context.Context, ticket *desk.Ticket) error {
-	ctx, stop := context.WithTimeout(ctx, grantWait)
+func (p *Prog) awaitGrant(ctx context.Context, ticket *desk.Ticket) error {
+	ctx, stop := context.WithTimeout(ctx, grantTimeout)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return fault.Refuse(fault.LogUnavailable, "the log has not granted the call in time").After(time.Second).Because(err)
+		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the grant in time").After(time.Second).Because(err)
 	}
 	return nil
 }
 
-// ended prefers the reason for which the run was cancelled.
-func ended(run *Run, err error) error {
+// preferEndedReason returns the cause of the run's cancellation if the program ended, or err.
+func preferEndedReason(run *Run, err error) error {
 	if cause := context.Cause(run.ctx); cause != nil && fault.Is(cause, fault.ProgramEnded) {
 		return cause
 	}
 	return err
 }
 
-// attempt is one try at an engine.
+// attempt is one attempt to run the call on an engine.
 type attempt struct {
 	id string
-	// spent is what the try may have cost if it failed, in tokens.
-	spent int64
+	// charge is what a failed attempt may have cost, in tokens.
+	charge int64
 }
 
-// attempts tries engines until one gives the whole answer. A try that may have begun is
-// charged in full before the next.
-func (p *Prog) attempts(ctx context.Context, j *job, run *Run, turnRun *desk.TurnRun) (types.EngineEvent, attempt, error) {
-	var avoid []string
-	touched := false
+// runWithRetries tries engines until one returns the complete answer, at most maxAttempts
+// times. An attempt that may have run is charged in full before the next one.
+func (p *Prog) runWithRetries(ctx context.Context, j *turnJob, run *Run, turnRun *desk.TurnRun) (types.EngineEvent, attempt, error) {
+	var failed []string
+	mayHaveRun := false
 	for n := 1; ; n++ {
 		try := attempt{id: run.attempt + "." + strconv.Itoa(n)}
-		end, target, err := p.try(ctx, j, run, try.id, avoid)
+		end, target, err := p.tryEngine(ctx, j, run, try.id, failed)
 		if err == nil {
 			return end, try, nil
 		}
 		f := fault.From(err)
 		if !f.NotRun {
-			touched = true
-			try.spent = turnRun.Reserved
+			mayHaveRun = true
+			try.charge = turnRun.Reserved
 		}
 		p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "attempt failed", Why: string(f.Kind), Target: target})
 		if target == "" || n == maxAttempts || ctx.Err() != nil {
-			return end, try, told(f, touched)
+			return end, try, clearNotRun(f, mayHaveRun)
 		}
 		p.counts.Count("prog.retries", 1)
-		avoid = append(avoid, target)
+		failed = append(failed, target)
 		if f.NotRun {
 			continue
 		}
-		run.restart()
-		if err := p.again(ctx, j, turnRun); err != nil {
-			return end, attempt{id: try.id}, told(fault.From(err), true)
+		run.reset()
+		if err := p.reserveRetry(ctx, j, turnRun); err != nil {
+			return end, attempt{id: try.id}, clearNotRun(fault.From(err), true)
 		}
 	}
 }
 
-// told takes NotRun back if an engine may have begun the call.
-func told(f *fault.Fault, touched bool) error {
-	out := *f
-	out.NotRun = f.NotRun && !touched
-	return &out
+// clearNotRun returns a copy of the fault with NotRun cleared if an engine may have run the call.
+func clearNotRun(f *fault.Fault, mayHaveRun bool) error {
+	copied := *f
+	copied.NotRun = f.NotRun && !mayHaveRun
+	return &copied
 }
 
-// again charges the broken try and reserves for another.
-func (p *Prog) again(ctx context.Context, j *job, turnRun *desk.TurnRun) error {
+// reserveRetry charges the failed attempt, reserves tokens for another one, and waits for the
+// log to confirm the grant if one is needed.
+func (p *Prog) reserveRetry(ctx context.Context, j *turnJob, turnRun *desk.TurnRun) error {
 	chunk := p.policies.Defaults().GrantChunk
 	covered := false
 	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
@@ -118,36 +120,37 @@
 	if err != nil || covered {
 		return err
 	}
-	return p.granted(ctx, ticket)
+	return p.awaitGrant(ctx, ticket)
 }
 
-// try runs the call on one engine. The target is empty if none was given.
-func (p *Prog) try(ctx context.Context, j *job, run *Run, id string, avoid []string) (types.EngineEvent, string, error) {
-	in := input(j.begin)
+// tryEngine runs the call on one engine and returns the target's name, which is empty if the
+// queue assigned none.
+func (p *Prog) tryEngine(ctx context.Context, j *turnJob, run *Run, id string, failed []string) (types.EngineEvent, string, error) {
+	in := ruleInput(j.begin)
 	in.Turn = int64(j.ask.Body.Turn)
 	work := sched.ProgramProgress{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
-	place, err := p.queue.Acquire(ctx, lease.Ask{
-		Input: in, Program: j.ask.Program, Work: work, Prompt: j.known + tokens(j.ask.Body.Messages),
-		Expected: int(float64(j.maxTokens) * expectShare), Fresh: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
-		Deadline: j.begin.Deadline, Avoid: avoid,
+	reservation, err := p.queue.Acquire(ctx, lease.Ask{
+		Input: in, Program: j.ask.Program, Work: work, Prompt: j.historyTokens + estimateTokens(j.ask.Body.Messages),
+		Expected: int(float64(j.maxTokens) * expectedOutputShare), Fresh: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
+		Deadline: j.begin.Deadline, Avoid: failed,
 	})
 	if err != nil {
 		return types.EngineEvent{}, "", err
 	}
 	p.notes.Note(types.Step{
-		Request: j.ask.Request, Program: j.ask.Program, What: "target chosen", Target: place.Target.Name, Weighed: place.Weighed,
+		Request: j.ask.Request, Program: j.ask.Program, What: "target chosen", Target: reservation.Target.Name, Weighed: reservation.Weighed,
 	})
 	call := types.EngineCall{
 		Attempt: id, Model: j.begin.Model, Messages: append(j.history[:len(j.history):len(j.history)], j.ask.Body.Messages...),
-		MaxTokens: j.maxTokens, Priority: place.Rank, CacheKey: j.ask.Program,
-		Hold: place.Hold, Class: j.begin.Kind,
+		MaxTokens: j.maxTokens, Priority: reservation.Rank, CacheKey: j.ask.Program,
+		Hold: reservation.Hold, Class: j.begin.Kind,
 	}
-	end, err := p.stream(ctx, j, run, place, call)
-	return end, place.Target.Name, err
+	end, err := p.streamAnswer(ctx, j, run, reservation, call)
+	return end, reservation.Target.Name, err
 }
 
-// tokens guesses the length of messages that were not counted yet.
-func tokens(messages []types.Message) int {
+// estimateTokens estimates the length of messages whose tokens were not counted yet.
+func estimateTokens(messages []types.Message) int {
 	n := 0
 	for _, m := range messages {
 		n += 1 + len(m.Content)/4
@@ -155,86 +158,87 @@
 	return n
 }
 
-// stream follows the call and gives the place back with what was learned.
-func (p *Prog) stream(ctx context.Context, j *job, run *Run, place *lease.Lease, call types.EngineCall) (types.EngineEvent, error) {
+// streamAnswer runs the call on the reserved engine, appends the streamed text to the run, and
+// ends the reservation with the result and the observed latencies.
+func (p *Prog) streamAnswer(ctx context.Context, j *turnJob, run *Run, reservation *lease.Lease, call types.EngineCall) (types.EngineEvent, error) {
 	began := time.Now()
-	first := time.Time{}
-	end, err := p.engines.Run(ctx, place.Target, call, func(ev types.EngineEvent) {
-		if first.IsZero() {
-			first = time.Now()
-			p.counts.Latency("prog.first_token", j.begin.Workspace, j.begin.DataClass, first.Sub(j.started))
+	firstToken := time.Time{}
+	end, err := p.engines.Run(ctx, reservation.Target, call, func(ev types.EngineEvent) {
+		if firstToken.IsZero() {
+			firstToken = time.Now()
+			p.counts.Latency("prog.first_token", j.begin.Workspace, j.begin.DataClass, firstToken.Sub(j.started))
 		}
-		run.add(ev.Text)
+		run.appendPiece(ev.Text)
 	})
-	res := lease.Result{OK: err == nil, Program: j.ask.Program, Usage: end.Usage}
+	result := lease.Result{OK: err == nil, Program: j.ask.Program, Usage: end.Usage}
 	if err != nil {
-		res.Refused = fault.From(err).NotRun
+		result.Refused = fault.From(err).NotRun
 		if ctx.Err() != nil {
-			p.done.Go(func() { p.engines.Cancel(place.Target, call.Attempt) })
+			p.done.Go(func() { p.engines.Cancel(reservation.Target, call.Attempt) })
 			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").Because(ctx.Err())
 		}
-		place.Finish(res)
+		reservation.Finish(result)
 		return end, err
 	}
-	res.First = first.Sub(began)
+	result.First = firstToken.Sub(began)
 	if n := end.Usage.CompletionTokens; n > 1 {
-		res.PerToken = time.Since(first) / time.Duration(n-1)
-		p.counts.Time("prog.token_gap", res.PerToken)
+		result.PerToken = time.Since(firstToken) / time.Duration(n-1)
+		p.counts.Time("prog.token_gap", result.PerToken)
 	}
-	place.Finish(res)
-	if movedHere(place) {
-		p.done.Go(func() { p.engines.Trim(j.ask.Program, place.Target.Name) })
+	reservation.Finish(result)
+	if cachedElsewhere(reservation) {
+		p.done.Go(func() { p.engines.Trim(j.ask.Program, reservation.Target.Name) })
 	}
 	return end, nil
 }
 
-// movedHere reports whether another engine holds an older prefix of the program.
-func movedHere(place *lease.Lease) bool {
-	for _, w := range place.Weighed {
-		if w.Cached > 0 && w.Name != place.Target.Name {
+// cachedElsewhere reports whether another candidate engine has a prefix of the program cached.
+func cachedElsewhere(reservation *lease.Lease) bool {
+	for _, w := range reservation.Weighed {
+		if w.Cached > 0 && w.Name != reservation.Target.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// fail ends the run without an answer.
-func (p *Prog) fail(j *job, run *Run, turnRun *desk.TurnRun, spent int64, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), finishWait)
+// failTurn ends the run with err and charges spent tokens.
+func (p *Prog) failTurn(j *turnJob, run *Run, turnRun *desk.TurnRun, spent int64, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
 	_, doErr := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		d.FailTurn(j.ask.Program, turnRun, spent)
 		return nil, nil
 	})
 	if doErr != nil {
-		p.logger.Debug("prog: failed turn was not settled", "program", j.ask.Program, "error", doErr)
+		p.logger.Debug("prog: cannot settle failed turn", "program", j.ask.Program, "error", doErr)
 	}
 	p.counts.Count("prog.failed_turns", 1)
 	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn failed", Why: string(fault.From(err).Kind)})
 	run.finish(types.TurnAnswer{}, err)
 }
 
-// conclude writes the answered turn, gives the log its short time, and answers with a
-// continuation that carries whatever the log does not hold by then.
-func (p *Prog) conclude(j *job, run *Run, turnRun *desk.TurnRun, before types.Continuation, content types.TurnContent) {
+// completeTurn records the answered turn and waits a short time for the log. The answer's
+// continuation carries whatever the log has not confirmed by then.
+func (p *Prog) completeTurn(j *turnJob, run *Run, turnRun *desk.TurnRun, previous types.Continuation, content types.TurnContent) {
 	sealed, err := p.seal(j.begin, content)
 	if err != nil {
-		p.fail(j, run, turnRun, turnRun.Reserved, err)
+		p.failTurn(j, run, turnRun, turnRun.Reserved, err)
 		return
 	}
 	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, Ask: j.digest, Sealed: sealed, At: time.Now()}
-	turn.Digest = fold.Digest(j.begin, turn, before.Digest)
-	cont, err := p.record(j, turnRun, turn, content.Usage)
+	turn.Digest = fold.Digest(j.begin, turn, previous.Digest)
+	cont, err := p.recordTurn(j, turnRun, turn, content.Usage)
 	if fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Stopping) {
-		// The slot went to another box during the run: the token carries the turn there.
+		// Another box took the slot over during the run: the token carries the turn to it.
 		p.counts.Count("prog.orphaned_turns", 1)
-		cont, err = extend(before, turn), nil
+		cont, err = extendContinuation(previous, turn), nil
 	}
 	if err != nil {
-		p.fail(j, run, turnRun, turnRun.Reserved, err)
+		p.failTurn(j, run, turnRun, turnRun.Reserved, err)
 		return
 	}
-	token, err := p.token(cont)
+	token, err := p.sealToken(cont)
 	if err != nil {
 		run.finish(types.TurnAnswer{}, err)
 		return
@@ -242,19 +246,19 @@
 	p.counts.Count("prog.turns", 1)
 	p.counts.Latency("prog.turn", j.begin.Workspace, j.begin.DataClass, time.Since(j.started))
 	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn answered"})
-	run.finish(reply(j, content, token), nil)
+	run.finish(turnAnswer(j, content, token), nil)
 }
 
-// extend adds a turn to a continuation.
-func extend(cont types.Continuation, turn types.Turn) types.Continuation {
+// extendContinuation returns the continuation with a turn added.
+func extendContinuation(cont types.Continuation, turn types.Turn) types.Continuation {
 	cont.Tail = append(cont.Tail[:len(cont.Tail):len(cont.Tail)], turn)
 	cont.Turn = turn.Number
 	cont.Digest = turn.Digest
 	return cont
 }
 
-func (p *Prog) record(j *job, turnRun *desk.TurnRun, turn types.Turn, usage types.Usage) (types.Continuation, error) {
-	ctx, stop := context.WithTimeout(context.Background(), finishWait)
+func (p *Prog) recordTurn(j *turnJob, turnRun *desk.TurnRun, turn types.Turn, usage types.Usage) (types.Continuation, error) {
+	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
 	spent := int64(usage.PromptTokens + usage.CompletionTokens)
 	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
@@ -263,12 +267,12 @@
 	if err != nil {
 		return types.Continuation{}, err
 	}
-	p.await(ctx, ticket)
+	p.awaitConfirmation(ctx, ticket)
 	var cont types.Continuation
 	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		prog, err := d.Program(j.ask.Program, j.ask.Workspace)
 		if err != nil || fold.Head(prog) < turn.Number {
-			return nil, fault.Fail(fault.NotOwner, "the program has moved").Because(err)
+			return nil, fault.Fail(fault.NotOwner, "the program's slot has moved to another box").Because(err)
 		}
 		cont = d.Continuation(prog, turn.Number)
 		return nil, nil
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -14,13 +14,13 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// Owner decides on a slot's memory.
+// Owner runs operations on the state of the slots that this box owns.
 type Owner interface {
 	Do(ctx context.Context, id ident.Slot, mode desk.Mode, op desk.Op) (*desk.Ticket, error)
 	Held() map[ident.Slot]int64
 }
 
-// Queue gives places at engines.
+// Queue assigns calls to engines.
 type Queue interface {
 	Acquire(ctx context.Context, ask lease.Ask) (*lease.Lease, error)
 	Leaving() []string
@@ -28,7 +28,7 @@
 	Refuge(ask lease.Ask) (types.Target, bool)
 }
 
-// Engines run model calls.
+// Engines runs model calls and manages the engines' caches.
 type Engines interface {
 	Run(ctx context.Context, target types.Target, call types.EngineCall, emit func(types.EngineEvent)) (types.EngineEvent, error)
 	Cancel(target types.Target, attempt string)
@@ -40,7 +40,7 @@
 	Drop(program, name string)
 }
 
-// Policies is the configuration in force.
+// Policies provides the current configuration.
 type Policies interface {
 	Ring() (*seal.Ring, error)
 	Defaults() types.Defaults
@@ -48,12 +48,12 @@
 	Order(in types.RuleInput) int64
 }
 
-// Notes keeps decisions for operators.
+// Notes records scheduling decisions for operators.
 type Notes interface {
 	Note(step types.Step)
 }
 
-// Counts receives figures.
+// Counts receives metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
@@ -61,13 +61,13 @@
 }
 
 const (
-	sweepEvery = 10 * time.Second
-	sweepAfter = 2 * time.Second
-	// evacuateEvery is how often caches on leaving engines are looked for.
-	evacuateEvery = time.Second
+	sweepInterval   = 10 * time.Second
+	claimSweepDelay = 2 * time.Second
+	// evacuateInterval is the interval between searches for caches on leaving engines.
+	evacuateInterval = time.Second
 )
 
-// Prog is the service.
+// Prog is the service that runs programs.
 type Prog struct {
 	zone     string
 	owner    Owner
@@ -84,7 +84,7 @@
 	runs sync.WaitGroup
 }
 
-// New makes the service for a box in zone.
+// New creates the service for a box in zone.
 func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, notes Notes, logger *slog.Logger) *Prog {
 	p := &Prog{
 		zone: zone, owner: owner, queue: queue, engines: engines, policies: policies,
@@ -94,14 +94,14 @@
 	return p
 }
 
-// Start begins the regular sweep of engine caches.
+// Start starts the periodic sweep and evacuation of engine caches.
 func (p *Prog) Start(context.Context) error {
-	p.done.Go(func() { p.every(sweepEvery, p.sweep) })
-	p.done.Go(func() { p.every(evacuateEvery, p.evacuate) })
+	p.done.Go(func() { p.runEvery(sweepInterval, p.sweep) })
+	p.done.Go(func() { p.runEvery(evacuateInterval, p.evacuate) })
 	return nil
 }
 
-func (p *Prog) every(interval time.Duration, do func()) {
+func (p *Prog) runEvery(interval time.Duration, do func()) {
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -112,7 +112,7 @@
 	}
 }
 
-// Stop waits for the runs under way until ctx ends, then cuts them.
+// Stop waits for running turns until ctx ends, then cancels the rest.
 func (p *Prog) Stop(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
@@ -128,23 +128,24 @@
 	return nil
 }
 
-// Ended frees the caches of programs that the slot's owner has ended.
+// Ended releases the caches of programs that the slot's owner has ended.
 func (p *Prog) Ended(slot ident.Slot, programs []string) {
 	p.counts.Count("prog.ended", int64(len(programs)))
 	p.logger.Info("prog: programs ended", "slot", slot.String(), "count", len(programs))
 	p.engines.Release(programs)
 }
 
-// Claimed sweeps after a takeover: the owner before may have left caches behind.
+// Claimed sweeps caches some time after a takeover, since the previous owner may not have
+// released them.
 func (p *Prog) Claimed(ident.Slot) {
 	select {
 	case <-p.ctx.Done():
-	case <-time.After(sweepAfter):
+	case <-time.After(claimSweepDelay):
 		p.sweep()
 	}
 }
 
-// sweep releases cached programs of held slots that are gone.
+// sweep releases the caches of programs in owned slots that ended or no longer exist.
 func (p *Prog) sweep() {
 	held := p.owner.Held()
 	live := map[string]bool{}
@@ -164,13 +165,14 @@
 		if err != nil {
 			return false
 		}
-		_, mine := held[slot]
-		return mine && !live[id]
+		_, owned := held[slot]
+		return owned && !live[id]
 	})
 }
 
-// placed reports why the program's data may not be on this box or in its log, if so.
-func (p *Prog) placed(in types.RuleInput) error {
+// checkPlacement returns an error if the policy forbids the program's data on this box, in
+// plaintext or as a checkpoint.
+func (p *Prog) checkPlacement(in types.RuleInput) error {
 	in.Zone = p.zone
 	for _, use := range []string{"plaintext", "checkpoint"} {
 		in.Use = use
@@ -181,7 +183,7 @@
 	return nil
 }
 
-func input(b types.Begin) types.RuleInput {
+func ruleInput(b types.Begin) types.RuleInput {
 	return types.RuleInput{
 		Workspace: b.Workspace, DataClass: b.DataClass, Kind: b.Kind, Model: b.Model,
 		Depth: int64(b.Depth), Budget: b.Budget,
--- a/gate/prog/run.go
+++ b/gate/prog/run.go
@@ -9,8 +9,8 @@
 	"mulleingate.dev/base/types"
 )
 
-// Run is one model call under way, or an answer that is kept. Any number of callers may
-// read it from the start.
+// Run is a model call in flight or a stored answer. Any number of callers may read it from the
+// beginning.
 type Run struct {
 	attempt string
 	ctx     context.Context
@@ -18,7 +18,7 @@
 
 	mu     sync.Mutex
 	pieces []string
-	// round counts how often the answer started anew.
+	// round counts how often the answer was restarted.
 	round   int
 	done    bool
 	answer  types.TurnAnswer
@@ -26,13 +26,14 @@
 	changed chan struct{}
 }
 
-// Piece is what a reader gets next.
+// Piece is the next part of an answer for a reader.
 type Piece struct {
-	// Text is the next piece; empty with Done.
+	// Text is the text of the piece; it is empty if Done is set.
 	Text string
-	// Round grows when the answer starts anew; pieces of earlier rounds are void.
+	// Round grows each time the answer is restarted, which invalidates pieces of earlier rounds.
 	Round int
-	Done  bool
+	// Done reports that the run has ended.
+	Done bool
 }
 
 func newRun(ctx context.Context, attempt string) *Run {
@@ -45,19 +46,19 @@
 	return r.attempt
 }
 
-func (r *Run) add(text string) {
+func (r *Run) appendPiece(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pieces = append(r.pieces, text)
-	r.signal()
+	r.notify()
 }
 
-func (r *Run) restart() {
+func (r *Run) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pieces = nil
 	r.round++
-	r.signal()
+	r.notify()
 }
 
 func (r *Run) finish(answer types.TurnAnswer, err error) {
@@ -67,19 +68,20 @@
 		return
 	}
 	r.answer, r.err, r.done = answer, err, true
-	r.signal()
+	r.notify()
 	r.cancel(nil)
 }
 
-func (r *Run) signal() {
+func (r *Run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Next waits for piece i of a round. With Done the run has ended: see Answer.
+// Next waits for piece i of a round, or for the first piece of a newer round. If Done is set,
+// the run has ended and Answer returns its result.
 func (r *Run) Next(ctx context.Context, round, i int) (Piece, error) {
 	for {
-		piece, changed := r.look(round, i)
+		piece, changed := r.tryNext(round, i)
 		if changed == nil {
 			return piece, nil
 		}
@@ -91,7 +93,7 @@
 	}
 }
 
-func (r *Run) look(round, i int) (Piece, chan struct{}) {
+func (r *Run) tryNext(round, i int) (Piece, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if round != r.round && len(r.pieces) > 0 {
--- a/gate/prog/token.go
+++ b/gate/prog/token.go
@@ -7,23 +7,24 @@
 	"mulleingate.dev/base/types"
 )
 
-const tokenPlace = "continuation"
+const tokenContext = "continuation"
 
-// token seals a continuation for its workspace.
-func (p *Prog) token(cont types.Continuation) (string, error) {
+// sealToken encrypts a continuation with its workspace's key and returns it as a token.
+func (p *Prog) sealToken(cont types.Continuation) (string, error) {
 	ring, err := p.policies.Ring()
 	if err != nil {
 		return "", err
 	}
 	raw, err := json.Marshal(cont)
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "continuation does not encode").Because(err)
+		return "", fault.Fail(fault.Internal, "cannot encode the continuation").Because(err)
 	}
-	return ring.SealText(cont.Workspace, tokenPlace, raw)
+	return ring.SealText(cont.Workspace, tokenContext, raw)
 }
 
-// open reads a token; nil without one. A token of another program or workspace is refused.
-func (p *Prog) open(workspace, program, token string) (*types.Continuation, error) {
+// openToken decrypts a continuation token. It returns nil if the token is empty, and an error
+// if it belongs to another program or workspace.
+func (p *Prog) openToken(workspace, program, token string) (*types.Continuation, error) {
 	if token == "" {
 		return nil, nil
 	}
@@ -31,27 +32,27 @@
 	if err != nil {
 		return nil, err
 	}
-	raw, err := ring.OpenText(workspace, tokenPlace, token)
+	raw, err := ring.OpenText(workspace, tokenContext, token)
 	if err != nil {
 		return nil, err
 	}
 	var cont types.Continuation
 	if json.Unmarshal(raw, &cont) != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "continuation does not decode")
+		return nil, fault.Refuse(fault.BadContinuation, "cannot decode the continuation")
 	}
 	if cont.Workspace != workspace || cont.Program != program {
-		return nil, fault.Refuse(fault.BadContinuation, "continuation is of another program")
+		return nil, fault.Refuse(fault.BadContinuation, "the continuation belongs to another program")
 	}
 	return &cont, nil
 }
 
-// Continuation opens a token for other services.
+// Continuation returns the continuation in a program's token, or nil if the token is empty.
 func (p *Prog) Continuation(workspace, program, token string) (*types.Continuation, error) {
-	return p.open(workspace, program, token)
+	return p.openToken(workspace, program, token)
 }
 
-// contentPlace binds sealed content to its program.
-func contentPlace(program string) string {
+// contentContext returns the encryption context that binds a turn's content to its program.
+func contentContext(program string) string {
 	return "turn " + program
 }
 
@@ -62,9 +63,9 @@
 	}
 	raw, err := json.Marshal(content)
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "turn does not encode").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot encode the turn").Because(err)
 	}
-	return ring.Seal(b.Workspace, contentPlace(b.ID), raw)
+	return ring.Seal(b.Workspace, contentContext(b.ID), raw)
 }
 
 func (p *Prog) unseal(b types.Begin, turn types.Turn) (types.TurnContent, error) {
@@ -73,12 +74,12 @@
 	if err != nil {
 		return content, err
 	}
-	raw, err := ring.Open(b.Workspace, contentPlace(b.ID), turn.Sealed)
+	raw, err := ring.Open(b.Workspace, contentContext(b.ID), turn.Sealed)
 	if err != nil {
 		return content, err
 	}
 	if json.Unmarshal(raw, &content) != nil {
-		return content, fault.Refuse(fault.Internal, "turn does not decode")
+		return content, fault.Refuse(fault.Internal, "cannot decode the turn")
 	}
 	return content, nil
 }
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -13,7 +13,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// TurnAsk is a call of one turn.
+// TurnAsk is a caller's request to run one turn of a program.
 type TurnAsk struct {
 	Program   string
 	Workspace string
@@ -21,42 +21,42 @@
 	Body      types.TurnRequest
 }
 
-// view is what a turn needs of the program, copied out of the slot's memory.
-type view struct {
+// programView is the part of a program that a turn needs, copied from the slot's state.
+type programView struct {
 	begin types.Begin
 	turns []types.Turn
 	ended string
 }
 
-// Turn starts the turn, joins it if it runs, or finds its kept answer.
+// Turn starts the turn, joins it if it is running, or returns its stored answer.
 func (p *Prog) Turn(ctx context.Context, ask TurnAsk) (*Run, error) {
 	slot, err := ident.ProgramSlot(ask.Program)
 	if err != nil {
 		return nil, err
 	}
-	cont, err := p.open(ask.Workspace, ask.Program, ask.Body.Continuation)
+	cont, err := p.openToken(ask.Workspace, ask.Program, ask.Body.Continuation)
 	if err != nil {
 		return nil, err
 	}
-	seen, err := p.look(ctx, slot, ask, cont)
+	program, err := p.adoptAndRead(ctx, slot, ask, cont)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.placed(input(seen.begin)); err != nil {
+	if err := p.checkPlacement(ruleInput(program.begin)); err != nil {
 		return nil, err
 	}
-	job, err := p.prepare(slot, ask, seen)
+	job, err := p.prepare(slot, ask, program)
 	if err != nil {
 		return nil, err
 	}
-	return p.start(ctx, job)
+	return p.startTurn(ctx, job)
 }
 
-// look adopts the continuation and copies the program.
-func (p *Prog) look(ctx context.Context, slot ident.Slot, ask TurnAsk, cont *types.Continuation) (view, error) {
-	var seen view
+// adoptAndRead adopts the continuation, if any, and returns a copy of the program.
+func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, ask TurnAsk, cont *types.Continuation) (programView, error) {
+	var program programView
 	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		recs, err := adopt(d, cont)
+		recs, err := adoptContinuation(d, cont)
 		if err != nil {
 			return nil, err
 		}
@@ -64,46 +64,47 @@
 		if err != nil {
 			return recs, err
 		}
-		seen = view{begin: prog.Begin, turns: prog.Turns[:len(prog.Turns):len(prog.Turns)], ended: prog.Ended}
+		program = programView{begin: prog.Begin, turns: prog.Turns[:len(prog.Turns):len(prog.Turns)], ended: prog.Ended}
 		return recs, nil
 	})
-	return seen, err
+	return program, err
 }
 
-// job is a turn with all that its run needs.
-type job struct {
+// turnJob is a requested turn with everything that its run needs.
+type turnJob struct {
 	slot    ident.Slot
 	ask     TurnAsk
 	begin   types.Begin
 	digest  []byte
 	history []types.Message
-	// known is the length of the history, in tokens; prompt bounds the whole prompt.
-	known  int
-	prompt int64
-	// attained is the service that the program had so far, in tokens.
+	// historyTokens is the length of the history and prompt an upper bound of the whole
+	// prompt's, both in tokens.
+	historyTokens int
+	prompt        int64
+	// attained is the work done for the program so far: computed prompt and output tokens.
 	attained  int64
 	maxTokens int
 	started   time.Time
 }
 
-// bytesPerMessage covers what a model adds around a message; a token is never shorter
-// than a byte, so bytes bound the tokens of text that was not counted yet.
+// bytesPerMessage allows for what a model adds around a message. A token has at least one
+// byte, so the number of bytes is an upper bound of the tokens of text not counted yet.
 const bytesPerMessage = 8
 
-func (p *Prog) prepare(slot ident.Slot, ask TurnAsk, seen view) (*job, error) {
-	j := &job{slot: slot, ask: ask, begin: seen.begin, digest: digest(ask.Body.Messages), started: time.Now()}
-	before := min(max(ask.Body.Turn-1, 0), len(seen.turns))
-	for _, turn := range seen.turns[:before] {
-		content, err := p.unseal(seen.begin, turn)
+func (p *Prog) prepare(slot ident.Slot, ask TurnAsk, program programView) (*turnJob, error) {
+	j := &turnJob{slot: slot, ask: ask, begin: program.begin, digest: requestDigest(ask.Body.Messages), started: time.Now()}
+	answered := min(max(ask.Body.Turn-1, 0), len(program.turns))
+	for _, turn := range program.turns[:answered] {
+		content, err := p.unseal(program.begin, turn)
 		if err != nil {
 			return nil, err
 		}
 		j.history = append(j.history, content.Ask...)
 		j.history = append(j.history, content.Answer)
-		j.known = content.Usage.PromptTokens + content.Usage.CompletionTokens
+		j.historyTokens = content.Usage.PromptTokens + content.Usage.CompletionTokens
 		j.attained += int64(content.Usage.PromptTokens - content.Usage.CachedTokens + content.Usage.CompletionTokens)
 	}
-	j.prompt = int64(j.known)
+	j.prompt = int64(j.historyTokens)
 	for _, m := range append(ask.Body.Messages, types.Message{}) {
 		j.prompt += int64(len(m.Content) + bytesPerMessage)
 	}
@@ -114,73 +115,76 @@
 	return j, nil
 }
 
-// digest identifies what a caller sent, to tell a repeat from another request.
-func digest(messages []types.Message) []byte {
+// requestDigest returns a hash of the caller's messages, which tells a repeated request from a
+// different one.
+func requestDigest(messages []types.Message) []byte {
 	raw, _ := json.Marshal(messages)
 	sum := sha256.Sum256(raw)
 	return sum[:]
 }
 
-// start decides on the turn in the slot's loop.
-func (p *Prog) start(ctx context.Context, j *job) (*Run, error) {
+// startTurn decides in the slot's event loop whether to run the turn, to join a running one or
+// to return a stored answer.
+func (p *Prog) startTurn(ctx context.Context, j *turnJob) (*Run, error) {
 	defaults := p.policies.Defaults()
 	run := newRun(p.ctx, ident.Random())
-	var start desk.TurnStart
+	var decision desk.TurnStart
 	var cont types.Continuation
 	covered := false
 	ticket, err := p.owner.Do(ctx, j.slot, desk.Lazy, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		if err := tailFits(d, j.ask.Program, defaults.TailBytes); err != nil {
+		if err := checkTailSize(d, j.ask.Program, defaults.TailBytes); err != nil {
 			return nil, err
 		}
 		var recs []types.Record
 		var err error
-		start, recs, err = d.StartTurn(now, desk.TurnAsk{
+		decision, recs, err = d.StartTurn(now, desk.TurnAsk{
 			Program: j.ask.Program, Workspace: j.ask.Workspace, Turn: j.ask.Body.Turn, Ask: j.digest,
 			Prompt: j.prompt, MaxTokens: int64(j.maxTokens), Chunk: defaults.GrantChunk,
 		})
 		if err != nil {
 			return recs, err
 		}
-		if start.Run != nil {
-			start.Run.Run = run
-			covered = d.Covered(start.Program.Begin.Root)
+		if decision.Run != nil {
+			decision.Run.Run = run
+			covered = d.Covered(decision.Program.Begin.Root)
 		}
-		cont = d.Continuation(start.Program, startTurn(start))
+		cont = d.Continuation(decision.Program, continuationTurn(decision))
 		return recs, nil
 	})
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case start.Join != nil:
-		joined, ok := start.Join.(*Run)
+	case decision.Join != nil:
+		joined, ok := decision.Join.(*Run)
 		if !ok {
-			return nil, fault.Fail(fault.Internal, "the run is of another kind")
+			return nil, fault.Fail(fault.Internal, "the running turn has an unexpected type")
 		}
 		return joined, nil
-	case start.Stored != nil:
-		return p.kept(j, run, *start.Stored, cont)
+	case decision.Stored != nil:
+		return p.storedAnswer(j, run, *decision.Stored, cont)
 	}
 	if covered {
 		ticket = nil
 	}
-	j.maxTokens = int(start.MaxTokens)
+	j.maxTokens = int(decision.MaxTokens)
 	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn started"})
-	p.runs.Go(func() { p.execute(j, run, start.Run, cont, ticket) })
+	p.runs.Go(func() { p.execute(j, run, decision.Run, cont, ticket) })
 	return run, nil
 }
 
-// startTurn is the turn that the continuation taken at the start is of: the stored one,
-// or the one before the run.
-func startTurn(start desk.TurnStart) int {
-	if start.Stored != nil {
-		return start.Stored.Number
+// continuationTurn returns the turn that the first continuation refers to: the stored turn, or
+// the last answered turn before the run.
+func continuationTurn(decision desk.TurnStart) int {
+	if decision.Stored != nil {
+		return decision.Stored.Number
 	}
-	return fold.Head(start.Program)
+	return fold.Head(decision.Program)
 }
 
-// tailFits bounds what continuations have to carry while the log is away.
-func tailFits(d *desk.Desk, program string, most int) error {
+// checkTailSize returns an error if the program's turns that the log has not confirmed exceed
+// maxBytes, since continuations have to carry them.
+func checkTailSize(d *desk.Desk, program string, maxBytes int) error {
 	prog, ok := d.State.Programs[program]
 	if !ok {
 		return nil
@@ -190,28 +194,28 @@
 	for _, turn := range prog.Turns[min(logged, len(prog.Turns)):] {
 		size += len(turn.Sealed)
 	}
-	if size > most {
-		return fault.Refuse(fault.TailTooLong, "the log has been away too long for this program").After(time.Second)
+	if size > maxBytes {
+		return fault.Refuse(fault.TailTooLong, "the log has been unavailable too long for this program").After(time.Second)
 	}
 	return nil
 }
 
-// kept gives the answer of a turn that was answered before.
-func (p *Prog) kept(j *job, run *Run, turn types.Turn, cont types.Continuation) (*Run, error) {
+// storedAnswer finishes the run with the stored answer of a turn that was answered before.
+func (p *Prog) storedAnswer(j *turnJob, run *Run, turn types.Turn, cont types.Continuation) (*Run, error) {
 	content, err := p.unseal(j.begin, turn)
 	if err != nil {
 		return nil, err
 	}
-	token, err := p.token(cont)
+	token, err := p.sealToken(cont)
 	if err != nil {
 		return nil, err
 	}
-	run.add(content.Answer.Content)
-	run.finish(reply(j, content, token), nil)
+	run.appendPiece(content.Answer.Content)
+	run.finish(turnAnswer(j, content, token), nil)
 	return run, nil
 }
 
-func reply(j *job, content types.TurnContent, token string) types.TurnAnswer {
+func turnAnswer(j *turnJob, content types.TurnContent, token string) types.TurnAnswer {
 	usage := content.Usage
 	answer := content.Answer
 	return types.TurnAnswer{
