--- a/gate/plain/flight.go
+++ b/gate/plain/flight.go
@@ -8,77 +8,77 @@
 	"mulleingate.dev/base/types"
 )
 
-// flight is one run of a keyed call and the callers that wait for it.
-type flight struct {
+// keyedRun is one run of a call with a key, and the callers that wait for it.
+type keyedRun struct {
 	attempt string
 	done    chan struct{}
 	answer  types.ServiceAnswer
 	err     error
 
 	mu sync.Mutex
-	// callers wait for the run. Without any, it is never dispatched.
+	// callers is the number of waiting callers. The run is not dispatched if there are none.
 	callers    int
 	dispatched bool
 }
 
-func newFlight(attempt string) *flight {
-	return &flight{attempt: attempt, done: make(chan struct{}), callers: 1}
+func newKeyedRun(attempt string) *keyedRun {
+	return &keyedRun{attempt: attempt, done: make(chan struct{}), callers: 1}
 }
 
 // Attempt implements desk.Run.
-func (f *flight) Attempt() string {
-	return f.attempt
+func (r *keyedRun) Attempt() string {
+	return r.attempt
 }
 
-// dispatch says whether the call may be handed to a target now. Once it has said yes, no
-// caller is told that the call was not run.
-func (f *flight) dispatch() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.dispatched = f.callers > 0
-	return f.dispatched
+// markDispatched marks the call as dispatched and returns true if a caller still waits for it.
+// From then on no caller is told that the call was not run.
+func (r *keyedRun) markDispatched() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.dispatched = r.callers > 0
+	return r.dispatched
 }
 
-func (f *flight) finish(answer types.ServiceAnswer, err error) {
-	f.answer, f.err = answer, err
-	close(f.done)
+func (r *keyedRun) finish(answer types.ServiceAnswer, err error) {
+	r.answer, r.err = answer, err
+	close(r.done)
 }
 
-// join is wait for a caller other than the first.
-func (f *flight) join(ctx context.Context) (types.ServiceAnswer, error) {
-	f.mu.Lock()
-	f.callers++
-	f.mu.Unlock()
-	return f.wait(ctx)
+// join adds a caller and waits like wait.
+func (r *keyedRun) join(ctx context.Context) (types.ServiceAnswer, error) {
+	r.mu.Lock()
+	r.callers++
+	r.mu.Unlock()
+	return r.wait(ctx)
 }
 
-// wait returns the answer. A caller that goes before dispatch is told that nothing ran.
-func (f *flight) wait(ctx context.Context) (types.ServiceAnswer, error) {
-	limit, stop := context.WithTimeout(ctx, intentWait)
+// wait waits for the answer. A caller that gives up before dispatch gets an error with NotRun.
+func (r *keyedRun) wait(ctx context.Context) (types.ServiceAnswer, error) {
+	dispatchCtx, stop := context.WithTimeout(ctx, intentTimeout)
 	defer stop()
 	select {
-	case <-f.done:
-		return f.answer, f.err
-	case <-limit.Done():
+	case <-r.done:
+		return r.answer, r.err
+	case <-dispatchCtx.Done():
 	}
-	if f.leave() {
-		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log has not taken the intent in time").After(intentWait)
+	if r.abandon() {
+		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log did not confirm the intent in time").After(intentTimeout)
 	}
 	select {
-	case <-f.done:
-		return f.answer, f.err
+	case <-r.done:
+		return r.answer, r.err
 	case <-ctx.Done():
 		return types.ServiceAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").Because(ctx.Err())
 	}
 }
 
-// leave reports whether the caller goes before dispatch.
-func (f *flight) leave() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.dispatched {
+// abandon removes a caller and returns true if the call was not dispatched yet.
+func (r *keyedRun) abandon() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.dispatched {
 		return false
 	}
-	f.callers--
+	r.callers--
 	return true
 }
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -15,45 +15,45 @@
 	"mulleingate.dev/gate/desk"
 )
 
-// Owner decides on a slot's memory.
+// Owner runs operations on the state of the slots that this box owns.
 type Owner interface {
 	Do(ctx context.Context, id ident.Slot, mode desk.Mode, op desk.Op) (*desk.Ticket, error)
 }
 
-// Replicas sends calls to services.
+// Replicas sends calls to the replicas of services.
 type Replicas interface {
 	Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
 	Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
 	Probe(ctx context.Context, svc types.Service, in types.RuleInput, key string) (json.RawMessage, bool, error)
 }
 
-// Sealer encrypts what the log keeps.
+// Sealer provides the keys that encrypt stored answers.
 type Sealer interface {
 	Ring() (*seal.Ring, error)
 }
 
 const (
-	// intentWait bounds how long a caller waits for the log to hold the intent.
-	intentWait  = 2 * time.Second
-	outcomeWait = 2 * time.Second
-	callTimeout = 30 * time.Second
-	probeWait   = 2 * time.Second
+	// intentTimeout is how long a caller waits for the log to confirm the intent.
+	intentTimeout  = 2 * time.Second
+	outcomeTimeout = 2 * time.Second
+	callTimeout    = 30 * time.Second
+	probeTimeout   = 2 * time.Second
 )
 
 // Ask is a call to a tool or plain service.
 type Ask struct {
 	Service types.Service
 	Input   types.RuleInput
-	// Key is empty for calls without one. It is the caller's, within its workspace.
+	// Key is the caller's idempotency key, unique within its workspace; it may be empty.
 	Key     string
 	Program string
 	Body    json.RawMessage
 	Chunk   int64
-	// Adopt is the program's opened continuation, if the caller sent one.
+	// Adopt is the program's decrypted continuation, if the caller sent one.
 	Adopt *types.Continuation
 }
 
-// Plain is the service.
+// Plain is the service that runs calls of tools and plain services.
 type Plain struct {
 	owner  Owner
 	pools  Replicas
@@ -63,7 +63,7 @@
 	done   sync.WaitGroup
 }
 
-// New makes the service.
+// New creates the service.
 func New(owner Owner, pools Replicas, sealer Sealer, counts Counts, logger *slog.Logger) *Plain {
 	return &Plain{owner: owner, pools: pools, sealer: sealer, counts: counts, logger: logger}
 }
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Stop waits for the calls under way.
+// Stop waits until calls in flight have ended or ctx ends.
 func (p *Plain) Stop(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
@@ -87,87 +87,88 @@
 	return nil
 }
 
-// Call runs the call on the slot's owner.
+// Call runs a call. This box must own the slot, or be able to claim it, if the call is recorded
+// in the slot's stream or charged to a program.
 func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
 	if !ask.Service.Repeatable && ask.Key != "" {
-		return p.keyed(ctx, slot, ask)
+		return p.callWithKey(ctx, slot, ask)
 	}
-	if err := p.pay(ctx, slot, ask); err != nil {
+	if err := p.chargeCall(ctx, slot, ask); err != nil {
 		return types.ServiceAnswer{}, err
 	}
 	body := Body{Key: ident.Random(), Input: ask.Body}
 	if ask.Key != "" {
-		body.Key = scoped(ask)
+		body.Key = scopedKey(ask)
 	}
 	send := p.pools.Repeat
 	if !ask.Service.Repeatable {
 		send = p.pools.Once
 	}
-	out, err := send(ctx, ask.Service, ask.Input, body)
+	output, err := send(ctx, ask.Service, ask.Input, body)
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	return types.ServiceAnswer{ID: body.Key, Output: out}, nil
+	return types.ServiceAnswer{ID: body.Key, Output: output}, nil
 }
 
-// scoped is the key as the log and the service see it.
-func scoped(ask Ask) string {
+// scopedKey returns the caller's key prefixed with its workspace, as logged and sent.
+func scopedKey(ask Ask) string {
 	return ask.Input.Workspace + "/" + ask.Key
 }
 
-// pay charges a call without an intent before it is sent.
-func (p *Plain) pay(ctx context.Context, slot ident.Slot, ask Ask) error {
+// chargeCall charges the program for a call that has no intent, before it is sent.
+func (p *Plain) chargeCall(ctx context.Context, slot ident.Slot, ask Ask) error {
 	if ask.Program == "" || ask.Service.Price == 0 {
 		return nil
 	}
 	intent := types.Intent{Workspace: ask.Input.Workspace, Program: ask.Program}
-	price := desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk}
+	call := desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk}
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adopt(d, ask.Adopt)
+		adopted, err := adoptContinuation(d, ask.Adopt)
 		if err != nil {
 			return nil, err
 		}
-		recs, err := d.PayCall(now, price)
+		recs, err := d.PayCall(now, call)
 		return append(adopted, recs...), err
 	})
 	if err != nil {
 		return err
 	}
-	return p.logged(ctx, ticket)
+	return p.awaitLog(ctx, ticket)
 }
 
-func adopt(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
 	return d.Adopt(*cont)
 }
 
-func (p *Plain) logged(ctx context.Context, ticket *desk.Ticket) error {
-	ctx, stop := context.WithTimeout(ctx, intentWait)
+func (p *Plain) awaitLog(ctx context.Context, ticket *desk.Ticket) error {
+	ctx, stop := context.WithTimeout(ctx, intentTimeout)
 	defer stop()
 	return ticket.Wait(ctx)
 }
 
-func (p *Plain) keyed(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
-	sum := sha256.New()
-	_, _ = sum.Write([]byte(ask.Service.Name + "\x00"))
-	_, _ = sum.Write(ask.Body)
+func (p *Plain) callWithKey(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
+	hash := sha256.New()
+	_, _ = hash.Write([]byte(ask.Service.Name + "\x00"))
+	_, _ = hash.Write(ask.Body)
 	intent := types.Intent{
-		Key: scoped(ask), Attempt: ident.Random(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
-		Program: ask.Program, Ask: sum.Sum(nil), At: time.Now(),
+		Key: scopedKey(ask), Attempt: ident.Random(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
+		Program: ask.Program, Ask: hash.Sum(nil), At: time.Now(),
 	}
-	fl := newFlight(intent.Attempt)
+	run := newKeyedRun(intent.Attempt)
 	var start desk.CallStart
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adopt(d, ask.Adopt)
+		adopted, err := adoptContinuation(d, ask.Adopt)
 		if err != nil {
 			return nil, err
 		}
 		var recs []types.Record
 		start, recs, err = d.StartCall(now, desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk})
 		if start.Run != nil {
-			start.Run.Run = fl
+			start.Run.Run = run
 		}
 		return append(adopted, recs...), err
 	})
@@ -176,72 +177,73 @@
 	}
 	switch {
 	case start.Stored != nil:
-		return p.stored(ask, *start.Stored)
+		return p.storedAnswer(ask, *start.Stored)
 	case start.Unknown != nil:
-		return p.unknown(ctx, slot, ask, *start.Unknown)
+		return p.resolveUnknown(ctx, slot, ask, *start.Unknown)
 	case start.Join != nil:
-		joined, ok := start.Join.(*flight)
+		joined, ok := start.Join.(*keyedRun)
 		if !ok {
-			return types.ServiceAnswer{}, fault.Fail(fault.Internal, "the run is of another kind")
+			return types.ServiceAnswer{}, fault.Fail(fault.Internal, "the running call has an unexpected type")
 		}
 		return joined.join(ctx)
 	}
-	p.done.Go(func() { p.fly(slot, ask, start.Run, fl, ticket) })
-	return fl.wait(ctx)
+	p.done.Go(func() { p.dispatchOnce(slot, ask, start.Run, run, ticket) })
+	return run.wait(ctx)
 }
 
-// fly waits for the log to hold the intent, dispatches once, and logs the outcome.
-func (p *Plain) fly(slot ident.Slot, ask Ask, callRun *desk.CallRun, fl *flight, ticket *desk.Ticket) {
-	began := time.Now()
+// dispatchOnce waits until the log has confirmed the intent, dispatches the call once, and
+// logs the outcome.
+func (p *Plain) dispatchOnce(slot ident.Slot, ask Ask, callRun *desk.CallRun, run *keyedRun, ticket *desk.Ticket) {
+	started := time.Now()
 	<-ticket.Done()
 	if err := ticket.Wait(context.Background()); err != nil {
-		fl.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the slot was lost before dispatch").After(time.Second).Because(err))
+		run.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "this box lost the slot before it dispatched the call").After(time.Second).Because(err))
 		return
 	}
-	p.counts.Time("plain.intent_time", time.Since(began))
-	if !fl.dispatch() {
-		p.end(slot, callRun, types.Outcome{NotRun: true})
-		fl.finish(types.ServiceAnswer{}, fault.Refuse(fault.DeadlineMissed, "all callers had gone before dispatch"))
+	p.counts.Time("plain.intent_time", time.Since(started))
+	if !run.markDispatched() {
+		p.finishCall(slot, callRun, types.Outcome{NotRun: true})
+		run.finish(types.ServiceAnswer{}, fault.Refuse(fault.DeadlineMissed, "all callers gave up before the call was dispatched"))
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	out, err := p.pools.Once(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
-	p.land(slot, ask, callRun, fl, out, err)
+	p.logOutcome(slot, ask, callRun, run, out, err)
 }
 
-// land logs how the dispatched call ended, then tells the callers. A refusal with not_run
-// frees the key; any other failure leaves the outcome unknown.
-func (p *Plain) land(slot ident.Slot, ask Ask, callRun *desk.CallRun, fl *flight, out json.RawMessage, err error) {
+// logOutcome logs the outcome of a dispatched call and then answers the callers. A fault with
+// NotRun frees the key; any other failure leaves the outcome unknown.
+func (p *Plain) logOutcome(slot ident.Slot, ask Ask, callRun *desk.CallRun, run *keyedRun, out json.RawMessage, err error) {
 	if err != nil {
 		f := fault.From(err)
-		p.end(slot, callRun, types.Outcome{NotRun: f.NotRun, Unknown: !f.NotRun})
+		p.finishCall(slot, callRun, types.Outcome{NotRun: f.NotRun, Unknown: !f.NotRun})
 		if !f.NotRun {
 			f = fault.Fail(fault.OutcomeUnknown, "the call was dispatched and its outcome is not known").Because(err)
 		}
-		fl.finish(types.ServiceAnswer{}, f)
+		run.finish(types.ServiceAnswer{}, f)
 		return
 	}
 	sealed, err := p.seal(ask, out)
 	if err != nil {
-		p.end(slot, callRun, types.Outcome{Unknown: true})
-		fl.finish(types.ServiceAnswer{}, err)
+		p.finishCall(slot, callRun, types.Outcome{Unknown: true})
+		run.finish(types.ServiceAnswer{}, err)
 		return
 	}
-	p.end(slot, callRun, types.Outcome{Status: 200, Sealed: sealed})
-	fl.finish(types.ServiceAnswer{ID: callRun.Intent.Attempt, Output: out}, nil)
+	p.finishCall(slot, callRun, types.Outcome{Status: 200, Sealed: sealed})
+	run.finish(types.ServiceAnswer{ID: callRun.Intent.Attempt, Output: out}, nil)
 }
 
-func (p *Plain) end(slot ident.Slot, callRun *desk.CallRun, out types.Outcome) {
+func (p *Plain) finishCall(slot ident.Slot, callRun *desk.CallRun, out types.Outcome) {
 	out.Key, out.Attempt, out.At = callRun.Intent.Key, callRun.Intent.Attempt, time.Now()
-	ctx, stop := context.WithTimeout(context.Background(), outcomeWait)
+	ctx, stop := context.WithTimeout(context.Background(), outcomeTimeout)
 	defer stop()
 	_, err := p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		return d.FinishCall(callRun, out), nil
 	})
 	if err != nil {
 		p.counts.Count("plain.outcomes_unlogged", 1)
-		p.logger.Info("plain: outcome was not logged", "attempt", out.Attempt, "error", err)
+		p.logger.Info("plain: cannot log outcome", "attempt", out.Attempt, "error", err)
 	}
 }
 
@@ -250,44 +252,44 @@
 	if err != nil {
 		return nil, err
 	}
-	return ring.Seal(ask.Input.Workspace, scoped(ask), out)
+	return ring.Seal(ask.Input.Workspace, scopedKey(ask), out)
 }
 
-func (p *Plain) stored(ask Ask, out types.Outcome) (types.ServiceAnswer, error) {
+func (p *Plain) storedAnswer(ask Ask, out types.Outcome) (types.ServiceAnswer, error) {
 	ring, err := p.sealer.Ring()
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	plain, err := ring.Open(ask.Input.Workspace, scoped(ask), out.Sealed)
+	output, err := ring.Open(ask.Input.Workspace, scopedKey(ask), out.Sealed)
 	if err != nil {
 		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").Because(err)
 	}
-	return types.ServiceAnswer{ID: out.Attempt, Output: plain, Stored: true}, nil
+	return types.ServiceAnswer{ID: out.Attempt, Output: output, Stored: true}, nil
 }
 
-// unknown settles an intent of which nobody here knows the outcome, if the service can
-// be asked; it never runs the call again.
-func (p *Plain) unknown(ctx context.Context, slot ident.Slot, ask Ask, intent types.Intent) (types.ServiceAnswer, error) {
-	failed := fault.Fail(fault.OutcomeUnknown, "the call was begun and its outcome is not known")
+// resolveUnknown probes the service for the outcome of an intent if the service has a probe
+// path. It never runs the call again.
+func (p *Plain) resolveUnknown(ctx context.Context, slot ident.Slot, ask Ask, intent types.Intent) (types.ServiceAnswer, error) {
+	unknown := fault.Fail(fault.OutcomeUnknown, "the call was started and its outcome is not known")
 	if ask.Service.ProbePath == "" {
-		return types.ServiceAnswer{}, failed
+		return types.ServiceAnswer{}, unknown
 	}
-	ctx, stop := context.WithTimeout(ctx, probeWait)
+	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
 	out, done, err := p.pools.Probe(ctx, ask.Service, ask.Input, intent.Key)
 	if err != nil || !done {
-		return types.ServiceAnswer{}, failed.Because(err)
+		return types.ServiceAnswer{}, unknown.Because(err)
 	}
 	sealed, err := p.seal(ask, out)
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	settled := types.Outcome{Key: intent.Key, Attempt: intent.Attempt, Status: 200, Sealed: sealed, At: time.Now()}
+	outcome := types.Outcome{Key: intent.Key, Attempt: intent.Attempt, Status: 200, Sealed: sealed, At: time.Now()}
 	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		return d.SettleCall(settled), nil
+		return d.SettleCall(outcome), nil
 	})
 	if err != nil {
-		p.logger.Debug("plain: probed outcome was not logged", "attempt", intent.Attempt, "error", err)
+		p.logger.Debug("plain: cannot log probed outcome", "attempt", intent.Attempt, "error", err)
 	}
 	return types.ServiceAnswer{ID: intent.Attempt, Output: out, Stored: true}, nil
 }
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -16,86 +16,86 @@
 	"mulleingate.dev/gate/limit"
 )
 
-// Pools routes to the replicas of services.
+// Pools sends calls to the replicas of services and tracks their load and failures.
 type Pools struct {
 	zone   string
 	places Places
 	counts Counts
 	http   *client.Client
 
-	mu       sync.Mutex
-	replicas map[string]*replica
-	eject    *limit.Ejector
-	retries  map[string]*limit.Retries
+	mu           sync.Mutex
+	replicas     map[string]*replica
+	ejector      *limit.Ejector
+	retryBudgets map[string]*limit.Retries
 }
 
 type replica struct {
-	target types.Target
-	mine   int
-	limit  *limit.Adaptive
-	// took is the mean time of a call.
-	took time.Duration
+	target   types.Target
+	inFlight int
+	limit    *limit.Adaptive
+	// meanTime is the moving average of the time that a call takes.
+	meanTime time.Duration
 }
 
 const (
-	firstLimit  = 8
-	mostLimit   = 256
-	tookGain    = 0.2
-	firstTook   = 20 * time.Millisecond
-	retryShare  = 0.1
-	retryRate   = 1
-	retryMost   = 20
-	maxAttempts = 4
-	slowFactor  = 4
-	backoffBase = 10 * time.Millisecond
-	backoffMost = 500 * time.Millisecond
+	initialLimit    = 8
+	maxLimit        = 256
+	meanTimeGain    = 0.2
+	initialMeanTime = 20 * time.Millisecond
+	retryShare      = 0.1
+	retryRate       = 1
+	maxRetryBudget  = 20
+	maxAttempts     = 4
+	slowCallFactor  = 4
+	backoffBase     = 10 * time.Millisecond
+	backoffMax      = 500 * time.Millisecond
 )
 
-// Places says where a use of data is allowed.
+// Places decides where the policy allows a use of data.
 type Places interface {
 	Allowed(in types.RuleInput) bool
 }
 
-// Counts receives figures.
+// Counts receives metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// NewPools makes the pools of a box in zone.
+// NewPools creates the pools of a box in zone.
 func NewPools(zone string, places Places, counts Counts) *Pools {
 	return &Pools{
 		zone: zone, places: places, counts: counts, http: client.New("plain", nil),
-		replicas: map[string]*replica{}, eject: limit.NewEjector(), retries: map[string]*limit.Retries{},
+		replicas: map[string]*replica{}, ejector: limit.NewEjector(), retryBudgets: map[string]*limit.Retries{},
 	}
 }
 
-// Take follows the platform's list.
+// Take updates the replicas from the platform's list.
 func (p *Pools) Take(list types.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, t := range list.Targets {
 		if t.Kind != types.Plain {
 			continue
 		}
-		seen[t.Name] = true
+		listed[t.Name] = true
 		r, ok := p.replicas[t.Name]
 		if !ok {
-			r = &replica{limit: limit.NewAdaptive(firstLimit, 1, mostLimit), took: firstTook}
+			r = &replica{limit: limit.NewAdaptive(initialLimit, 1, maxLimit), meanTime: initialMeanTime}
 			p.replicas[t.Name] = r
 		}
 		t.Leaving = t.Leaving || (r.target.Leaving && r.target.Addr == t.Addr)
 		r.target = t
 	}
 	for name := range p.replicas {
-		if !seen[name] {
+		if !listed[name] {
 			delete(p.replicas, name)
 		}
 	}
 }
 
-// Leaving notes that another box has seen a replica leave.
+// Leaving marks a replica as leaving because another box reported it.
 func (p *Pools) Leaving(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// Left lists the replicas known to leave.
+// Left lists the replicas known to be leaving.
 func (p *Pools) Left() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,49 +117,50 @@
 	return out
 }
 
-// Body is what a replica gets.
+// Body is the request body sent to a replica.
 type Body struct {
 	Key   string          `json:"key"`
 	Input json.RawMessage `json:"input"`
 }
 
-// result is what a replica answers.
+// result is the response body of a replica.
 type result struct {
 	Done   bool            `json:"done"`
 	Output json.RawMessage `json:"output,omitempty"`
 }
 
-// Once sends the call to one replica. Only a failure that proves that nothing was handed
-// over moves it to another.
+// Once sends a call that may not be repeated. It tries another replica only after a failure
+// that proves that the call was not run.
 func (p *Pools) Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
-	return p.attempts(ctx, svc, in, body, func(err error) bool { return fault.From(err).NotRun })
+	return p.sendWithRetries(ctx, svc, in, body, func(err error) bool { return fault.From(err).NotRun })
 }
 
-// Repeat sends a repeatable call, again elsewhere after any failure of the target.
+// Repeat sends a repeatable call. It tries another replica after any failure of the target.
 func (p *Pools) Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
-	again := func(err error) bool {
+	retryable := func(err error) bool {
 		f := fault.From(err)
 		return f.NotRun || f.Kind == fault.TargetFailed || f.Kind == fault.Protocol
 	}
 	if svc.HedgeAfter <= 0 {
-		return p.attempts(ctx, svc, in, body, again)
+		return p.sendWithRetries(ctx, svc, in, body, retryable)
 	}
-	return p.hedge(ctx, svc, in, body, again)
+	return p.hedge(ctx, svc, in, body, retryable)
 }
 
-type outcome struct {
+type callResult struct {
 	out json.RawMessage
 	err error
 }
 
-// hedge sends a second copy if the first has not answered in time; the first answer wins.
-func (p *Pools) hedge(ctx context.Context, svc types.Service, in types.RuleInput, body Body, again func(error) bool) (json.RawMessage, error) {
+// hedge sends a second copy of the call if the first has not answered after HedgeAfter, and
+// returns the first successful answer.
+func (p *Pools) hedge(ctx context.Context, svc types.Service, in types.RuleInput, body Body, retryable func(error) bool) (json.RawMessage, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	done := make(chan outcome, 2)
+	done := make(chan callResult, 2)
 	send := func() {
-		out, err := p.attempts(ctx, svc, in, body, again)
-		done <- outcome{out: out, err: err}
+		out, err := p.sendWithRetries(ctx, svc, in, body, retryable)
+		done <- callResult{out: out, err: err}
 	}
 	go send()
 	timer := time.NewTimer(time.Duration(svc.HedgeAfter))
@@ -173,7 +174,7 @@
 				return res.out, res.err
 			}
 		case <-timer.C:
-			if !p.budget(svc.Name).Allow() {
+			if !p.retryBudget(svc.Name).Allow() {
 				continue
 			}
 			p.counts.Count("plain.hedged", 1)
@@ -183,38 +184,38 @@
 	}
 }
 
-func (p *Pools) attempts(ctx context.Context, svc types.Service, in types.RuleInput, body Body, again func(error) bool) (json.RawMessage, error) {
-	budget := p.budget(svc.Name)
+func (p *Pools) sendWithRetries(ctx context.Context, svc types.Service, in types.RuleInput, body Body, retryable func(error) bool) (json.RawMessage, error) {
+	budget := p.retryBudget(svc.Name)
 	budget.Call()
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = backoffBase, backoffMost
+	pause.InitialInterval, pause.MaxInterval = backoffBase, backoffMax
 	var failed []string
-	touched := false
+	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
-		at, err := p.pick(svc.Name, in, failed)
+		chosen, err := p.pick(svc.Name, in, failed)
 		if err != nil {
-			return nil, ran(err, touched)
+			return nil, clearNotRun(err, mayHaveRun)
 		}
-		out, err := p.send(ctx, at, svc, body)
+		out, err := p.send(ctx, chosen, svc, body)
 		if err == nil {
 			return out, nil
 		}
-		touched = touched || !fault.From(err).NotRun
-		if !again(err) || attempt == maxAttempts || ctx.Err() != nil || !budget.Allow() {
-			return nil, ran(err, touched)
+		mayHaveRun = mayHaveRun || !fault.From(err).NotRun
+		if !retryable(err) || attempt == maxAttempts || ctx.Err() != nil || !budget.Allow() {
+			return nil, clearNotRun(err, mayHaveRun)
 		}
 		p.counts.Count("plain.retries", 1)
-		failed = append(failed, at.target.Name)
+		failed = append(failed, chosen.target.Name)
 		if err := sleep(ctx, pause.NextBackOff()); err != nil {
-			return nil, ran(err, touched)
+			return nil, clearNotRun(err, mayHaveRun)
 		}
 	}
 }
 
-// ran takes back a NotRun that an earlier attempt has made untrue.
-func ran(err error, touched bool) error {
+// clearNotRun returns the fault of err, with NotRun cleared if an earlier attempt may have run.
+func clearNotRun(err error, mayHaveRun bool) error {
 	f := *fault.From(err)
-	f.NotRun = f.NotRun && !touched
+	f.NotRun = f.NotRun && !mayHaveRun
 	return &f
 }
 
@@ -227,66 +228,68 @@
 	}
 }
 
-func (p *Pools) budget(service string) *limit.Retries {
+func (p *Pools) retryBudget(service string) *limit.Retries {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, ok := p.retries[service]
+	b, ok := p.retryBudgets[service]
 	if !ok {
-		b = limit.NewRetries(retryShare, retryRate, retryMost)
-		p.retries[service] = b
+		b = limit.NewRetries(retryShare, retryRate, maxRetryBudget)
+		p.retryBudgets[service] = b
 	}
 	return b
 }
 
-// pick takes the better of two random replicas with room, by expected wait.
-// place is a chosen replica.
-type place struct {
+// choice is a replica selected for a call.
+type choice struct {
 	replica *replica
-	// target is the replica's as it was chosen; the list may change it meanwhile.
+	// target is a copy from the time of selection, since Take may replace the replica's.
 	target types.Target
 }
 
-func (p *Pools) pick(service string, in types.RuleInput, failed []string) (place, error) {
+// pick selects the one of two random replicas with the shorter expected wait and counts the
+// call against it. Candidates are allowed by the policy, not leaving, not ejected, not in
+// failed and below their limit.
+func (p *Pools) pick(service string, in types.RuleInput, failed []string) (choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var ready, busy []*replica
-	known, allowed := 0, 0
+	var available, busy []*replica
+	matching, allowed := 0, 0
 	now := time.Now()
 	for _, r := range p.replicas {
 		if r.target.Service != service {
 			continue
 		}
-		known++
+		matching++
 		if !p.allowed(r, in) {
 			continue
 		}
 		allowed++
-		if r.target.Leaving || p.eject.Ejected(now, r.target.Name) || contains(failed, r.target.Name) {
+		if r.target.Leaving || p.ejector.Ejected(now, r.target.Name) || contains(failed, r.target.Name) {
 			continue
 		}
-		if r.mine >= r.limit.Limit() {
+		if r.inFlight >= r.limit.Limit() {
 			busy = append(busy, r)
 			continue
 		}
-		ready = append(ready, r)
+		available = append(available, r)
 	}
-	if len(ready) == 0 {
-		return place{}, none(known, allowed, len(busy))
+	if len(available) == 0 {
+		return choice{}, noReplicaError(matching, allowed, len(busy))
 	}
-	a, b := ready[rand.IntN(len(ready))], ready[rand.IntN(len(ready))]
-	if p.cost(b) < p.cost(a) {
+	a, b := available[rand.IntN(len(available))], available[rand.IntN(len(available))]
+	if p.expectedWait(b) < p.expectedWait(a) {
 		a = b
 	}
-	a.mine++
-	return place{replica: a, target: a.target}, nil
+	a.inFlight++
+	return choice{replica: a, target: a.target}, nil
 }
 
-func none(known, allowed, busy int) error {
+func noReplicaError(matching, allowed, busy int) error {
 	switch {
-	case known > 0 && allowed == 0:
+	case matching > 0 && allowed == 0:
 		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
 	case busy > 0:
-		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").After(firstTook * firstLimit)
+		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").After(initialMeanTime * initialLimit)
 	default:
 		return fault.Refuse(fault.NoTarget, "no allowed replica serves now").After(time.Second)
 	}
@@ -306,15 +309,15 @@
 	return p.places.Allowed(in)
 }
 
-func (p *Pools) cost(r *replica) time.Duration {
-	cost := time.Duration(r.mine+1) * r.took
+func (p *Pools) expectedWait(r *replica) time.Duration {
+	cost := time.Duration(r.inFlight+1) * r.meanTime
 	if r.target.Zone != p.zone {
 		cost += cost / 4
 	}
 	return cost
 }
 
-func (p *Pools) send(ctx context.Context, at place, svc types.Service, body Body) (json.RawMessage, error) {
+func (p *Pools) send(ctx context.Context, chosen choice, svc types.Service, body Body) (json.RawMessage, error) {
 	if svc.Timeout > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, time.Duration(svc.Timeout))
@@ -322,43 +325,43 @@
 	}
 	start := time.Now()
 	var out result
-	err := p.http.Call(ctx, http.MethodPost, "http://"+at.target.Addr.String()+"/v1/run", body, &out)
-	p.done(at.replica, time.Since(start), err)
+	err := p.http.Call(ctx, http.MethodPost, "http://"+chosen.target.Addr.String()+"/v1/run", body, &out)
+	p.finishSend(chosen.replica, time.Since(start), err)
 	if err != nil {
 		return nil, err
 	}
 	return out.Output, nil
 }
 
-func (p *Pools) done(r *replica, took time.Duration, err error) {
+func (p *Pools) finishSend(r *replica, elapsed time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.mine--
+	r.inFlight--
 	f := &fault.Fault{}
 	if err != nil {
 		f = fault.From(err)
 	}
 	switch {
 	case err == nil:
-		if took > slowFactor*r.took && r.mine > 1 {
+		if elapsed > slowCallFactor*r.meanTime && r.inFlight > 1 {
 			r.limit.Crowded()
 		} else {
 			r.limit.Good()
 		}
-		r.took += time.Duration(tookGain * float64(took-r.took))
-		p.eject.Good(r.target.Name)
+		r.meanTime += time.Duration(meanTimeGain * float64(elapsed-r.meanTime))
+		p.ejector.Good(r.target.Name)
 	case f.Kind == fault.Overloaded:
 		r.limit.Crowded()
 	case f.Kind == fault.Stopping:
 		r.target.Leaving = true
 	default:
-		if p.eject.Bad(time.Now(), r.target.Name, p.size(r.target.Service)) {
+		if p.ejector.Bad(time.Now(), r.target.Name, p.replicaCount(r.target.Service)) {
 			p.counts.Count("plain.ejections", 1)
 		}
 	}
 }
 
-func (p *Pools) size(service string) int {
+func (p *Pools) replicaCount(service string) int {
 	n := 0
 	for _, r := range p.replicas {
 		if r.target.Service == service {
@@ -368,26 +371,26 @@
 	return n
 }
 
-// Probe asks the service whether a key took effect.
+// Probe asks the service whether the call with a key took effect, and returns its output if so.
 func (p *Pools) Probe(ctx context.Context, svc types.Service, in types.RuleInput, key string) (json.RawMessage, bool, error) {
-	at, err := p.pick(svc.Name, in, nil)
+	chosen, err := p.pick(svc.Name, in, nil)
 	if err != nil {
 		return nil, false, err
 	}
 	start := time.Now()
 	var out result
-	req, err := client.Request(ctx, http.MethodGet, "http://"+at.target.Addr.String()+svc.ProbePath, nil)
+	req, err := client.Request(ctx, http.MethodGet, "http://"+chosen.target.Addr.String()+svc.ProbePath, nil)
 	if err == nil {
 		query := req.URL.Query()
 		query.Set("key", key)
 		req.URL.RawQuery = query.Encode()
-		err = p.probe(req, &out)
+		err = p.sendProbe(req, &out)
 	}
-	p.done(at.replica, time.Since(start), err)
+	p.finishSend(chosen.replica, time.Since(start), err)
 	return out.Output, out.Done, err
 }
 
-func (p *Pools) probe(req *http.Request, out *result) error {
+func (p *Pools) sendProbe(req *http.Request, out *result) error {
 	resp, err := p.http.Do(req)
 	if err != nil {
 		return err
--- a/gate/plain/pool_test.go
+++ b/gate/plain/pool_test.go
@@ -19,24 +19,24 @@
 func (noCounts) Count(string, int64)        {}
 func (noCounts) Time(string, time.Duration) {}
 
-type anywhere struct{}
+type allowAll struct{}
 
-func (anywhere) Allowed(types.RuleInput) bool { return true }
+func (allowAll) Allowed(types.RuleInput) bool { return true }
 
-// TestListDuringCalls checks that the platform's list may come while calls choose and reach
-// replicas. It tells only under the race detector.
-func TestListDuringCalls(t *testing.T) {
+// TestListUpdatesDuringCalls checks that list updates do not race with calls that select and
+// use replicas. It is effective only under the race detector.
+func TestListUpdatesDuringCalls(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write([]byte(`{"done":true,"output":{}}`)) // the caller tells of a failure
+		_, _ = w.Write([]byte(`{"done":true,"output":{}}`)) // a failed write makes the call fail
 	}))
 	defer srv.Close()
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 	list := types.List{Targets: []types.Target{{Name: "r", Kind: types.Plain, Service: "booking", Addr: addr}}}
-	pools := NewPools("a", anywhere{}, noCounts{})
+	pools := NewPools("a", allowAll{}, noCounts{})
 	pools.Take(list)
 	stop := make(chan struct{})
-	var lists sync.WaitGroup
-	lists.Go(func() {
+	var updates sync.WaitGroup
+	updates.Go(func() {
 		for {
 			select {
 			case <-stop:
@@ -56,5 +56,5 @@
 		}
 	}
 	close(stop)
-	lists.Wait()
+	updates.Wait()
 }
