--- a/gate/engine/doc.go
+++ b/gate/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine talks to model engines: it polls their load and cache events, runs and
-// resumes streams, and gives cache and model orders.
+// Package engine is the client of model engines: it polls their load and cache events, runs
+// calls and resumes broken streams, and sends cache and model orders.
 package engine
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -16,43 +16,43 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// Taker takes what engines report.
+// Taker receives the engines' reports and knows which engines cache which programs.
 type Taker interface {
 	Tell(m lease.Message)
 	HoldersOf(program string) []string
 	Holders() map[string][]string
 }
 
-// Lists tells of the platform's lists.
+// Lists notifies of updates to the platform's list.
 type Lists interface {
 	OnList(take func(types.List))
 }
 
-// Counts receives figures.
+// Counts receives metrics.
 type Counts interface {
 	Count(name string, n int64)
 }
 
 // Timing holds the intervals of polling.
 type Timing struct {
-	// Poll is the interval of load reports of engines that this box has calls at, IdlePoll
-	// that of others, Sync that of whole cache lists.
+	// Poll is the polling interval of engines that run calls of this box, IdlePoll that of
+	// other engines, and Sync the interval at which complete cache lists are read.
 	Poll, IdlePoll, Sync time.Duration
-	// Subset bounds how many engines of its own zone, and apart from them of other zones,
-	// a box looks at.
+	// Subset is the maximum number of engines that a box uses in its own zone, and separately
+	// in all other zones together.
 	Subset int
 }
 
 const (
-	pollWait = 2 * time.Second
-	syncWait = 5 * time.Second
+	pollTimeout = 2 * time.Second
+	syncTimeout = 5 * time.Second
 )
 
-// Engines is the service.
+// Engines is the service that polls engines and sends them calls and orders.
 type Engines struct {
 	self   string
 	zone   string
-	taker  Taker
+	queue  Taker
 	timing Timing
 	counts Counts
 	logger *slog.Logger
@@ -60,89 +60,90 @@
 
 	mu      sync.Mutex
 	targets map[string]types.Target
-	polls   map[string]context.CancelFunc
-	// calls counts this box's calls under way by engine.
+	pollers map[string]context.CancelFunc
+	// calls counts this box's calls in flight by engine.
 	calls map[string]int
 	ctx   context.Context
 	stop  context.CancelFunc
 	done  sync.WaitGroup
 }
 
-// New makes the service for the box self in zone.
-func New(self, zone string, taker Taker, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
+// New creates the service for the box self in zone.
+func New(self, zone string, queue Taker, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
 	s := &Engines{
-		self: self, zone: zone, taker: taker, timing: timing, counts: counts, logger: logger,
-		http: client.New("engine", nil), targets: map[string]types.Target{}, polls: map[string]context.CancelFunc{}, calls: map[string]int{},
+		self: self, zone: zone, queue: queue, timing: timing, counts: counts, logger: logger,
+		http: client.New("engine", nil), targets: map[string]types.Target{}, pollers: map[string]context.CancelFunc{}, calls: map[string]int{},
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	lists.OnList(s.take)
+	lists.OnList(s.updateTargets)
 	return s
 }
 
-// Start implements a service; polling begins with the first list.
+// Start does nothing; polling begins with the first list.
 func (s *Engines) Start(context.Context) error {
 	return nil
 }
 
-// Stop ends polling.
+// Stop stops polling and waits for the pollers to end.
 func (s *Engines) Stop(context.Context) error {
 	s.stop()
 	s.done.Wait()
 	return nil
 }
 
-// take follows the list: it polls the chosen engines and tells the queue of them.
-func (s *Engines) take(list types.List) {
-	chosen := s.choose(list.Targets)
+// updateTargets selects engines from the list, starts and stops their pollers accordingly, and
+// sends the selection to the queue.
+func (s *Engines) updateTargets(list types.List) {
+	selected := s.selectEngines(list.Targets)
 	s.mu.Lock()
 	next := map[string]types.Target{}
-	for _, t := range chosen {
+	for _, t := range selected {
 		next[t.Name] = t
-		if _, ok := s.polls[t.Name]; !ok && s.ctx.Err() == nil {
+		if _, ok := s.pollers[t.Name]; !ok && s.ctx.Err() == nil {
 			ctx, stop := context.WithCancel(s.ctx)
-			s.polls[t.Name] = stop
+			s.pollers[t.Name] = stop
 			s.done.Go(func() { s.poll(ctx, t.Name) })
 		}
 	}
-	for name, stop := range s.polls {
+	for name, stop := range s.pollers {
 		if _, ok := next[name]; !ok {
 			stop()
-			delete(s.polls, name)
+			delete(s.pollers, name)
 		}
 	}
 	s.targets = next
 	s.mu.Unlock()
-	s.taker.Tell(lease.Targets{List: chosen})
+	s.queue.Tell(lease.Targets{List: selected})
 }
 
-// choose takes a rendezvous subset for this box, so that its polling does not grow with
-// the fleet.
-func (s *Engines) choose(all []types.Target) []types.Target {
-	var home, away []types.Target
+// selectEngines selects the engines that this box uses by rendezvous hashing, so that the cost
+// of polling does not grow with the fleet.
+func (s *Engines) selectEngines(all []types.Target) []types.Target {
+	var sameZone, otherZones []types.Target
 	for _, t := range all {
 		switch {
 		case t.Kind != types.Engine:
 		case t.Zone == s.zone:
-			home = append(home, t)
+			sameZone = append(sameZone, t)
 		default:
-			away = append(away, t)
+			otherZones = append(otherZones, t)
 		}
 	}
-	return append(s.closest(home), s.closest(away)...)
+	return append(s.selectSubset(sameZone), s.selectSubset(otherZones)...)
 }
 
-func (s *Engines) closest(targets []types.Target) []types.Target {
+func (s *Engines) selectSubset(targets []types.Target) []types.Target {
 	if len(targets) <= s.timing.Subset {
 		return targets
 	}
-	var near []types.Target
+	var subset []types.Target
 	for _, i := range ident.Closest(s.self, len(targets), func(i int) string { return targets[i].Name }, s.timing.Subset) {
-		near = append(near, targets[i])
+		subset = append(subset, targets[i])
 	}
-	return near
+	return subset
 }
 
-// Target finds an engine by name.
+// Target returns the selected engine with the given name.
 func (s *Engines) Target(name string) (types.Target, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +151,7 @@
 	return t, ok
 }
 
-// Targets lists the engines that this box looks at.
+// Targets lists the selected engines by name.
 func (s *Engines) Targets() []types.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,23 +163,23 @@
 	return out
 }
 
-type loadAnswer struct {
+type loadResponse struct {
 	Load   types.LoadReport   `json:"load"`
 	Events []types.CacheEvent `json:"events"`
 }
 
 func (s *Engines) poll(ctx context.Context, name string) {
 	after := int64(0)
-	synced := time.Time{}
+	lastSync := time.Time{}
 	for {
 		if target, ok := s.Target(name); ok {
 			after = s.pollOnce(ctx, target, after)
-			if time.Since(synced) > s.timing.Sync {
-				s.sync(ctx, target)
-				synced = time.Now()
+			if time.Since(lastSync) > s.timing.Sync {
+				s.syncCache(ctx, target)
+				lastSync = time.Now()
 			}
 		}
-		interval := s.interval(name)
+		interval := s.pollInterval(name)
 		pause := interval*9/10 + rand.N(interval/5+1)
 		select {
 		case <-ctx.Done():
@@ -188,9 +189,9 @@
 	}
 }
 
-// interval is short for engines that this box has calls at, so that the cost of polling
-// follows its own work and not the number of engines.
-func (s *Engines) interval(name string) time.Duration {
+// pollInterval returns Poll for engines that run calls of this box and IdlePoll for others, so
+// that the cost of polling depends on this box's work and not on the number of engines.
+func (s *Engines) pollInterval(name string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls[name] > 0 {
@@ -199,40 +200,40 @@
 	return s.timing.IdlePoll
 }
 
-// using counts the calls under way at an engine.
-func (s *Engines) using(name string, change int) {
+// addCalls adds delta to the number of calls in flight at an engine.
+func (s *Engines) addCalls(name string, delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls[name] += change
+	s.calls[name] += delta
 }
 
 func (s *Engines) pollOnce(ctx context.Context, target types.Target, after int64) int64 {
-	ctx, stop := context.WithTimeout(ctx, pollWait)
+	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	var in loadAnswer
+	var response loadResponse
 	path := "/v1/load?after=" + strconv.FormatInt(after, 10)
-	if err := s.http.Call(ctx, http.MethodGet, url(target, path), nil, &in); err != nil {
+	if err := s.http.Call(ctx, http.MethodGet, url(target, path), nil, &response); err != nil {
 		s.counts.Count("engine.poll_failures", 1)
 		return after
 	}
-	s.taker.Tell(lease.Report{Load: in.Load, Events: in.Events})
-	for _, ev := range in.Events {
+	s.queue.Tell(lease.Report{Load: response.Load, Events: response.Events})
+	for _, ev := range response.Events {
 		after = max(after, ev.Seq)
 	}
 	return after
 }
 
-// item is one entry of an engine's cache list.
-type item struct {
+// cacheItem is one item of an engine's cache list.
+type cacheItem struct {
 	Tokens int  `json:"tokens"`
 	Held   bool `json:"held"`
 }
 
-// sync corrects beliefs from the whole cache list, since events may be lost.
-func (s *Engines) sync(ctx context.Context, target types.Target) {
-	ctx, stop := context.WithTimeout(ctx, syncWait)
+// syncCache reads the engine's complete cache list, since events may be lost.
+func (s *Engines) syncCache(ctx context.Context, target types.Target) {
+	ctx, stop := context.WithTimeout(ctx, syncTimeout)
 	defer stop()
-	var items map[string]item
+	var items map[string]cacheItem
 	if err := s.http.Call(ctx, http.MethodGet, url(target, "/v1/cache"), nil, &items); err != nil {
 		return
 	}
@@ -240,24 +241,24 @@
 	for key, it := range items {
 		tokens[key] = it.Tokens
 	}
-	s.taker.Tell(lease.Cached{Target: target.Name, Tokens: tokens})
+	s.queue.Tell(lease.Cached{Target: target.Name, Tokens: tokens})
 }
 
-// Release frees the caches of programs that are gone.
+// Release releases the caches of programs on all engines that hold them.
 func (s *Engines) Release(programs []string) {
 	byTarget := map[string][]string{}
 	for _, id := range programs {
-		for _, name := range s.taker.HoldersOf(id) {
+		for _, name := range s.queue.HoldersOf(id) {
 			byTarget[name] = append(byTarget[name], id)
 		}
 	}
-	s.taker.Tell(lease.Forget{Programs: programs})
+	s.queue.Tell(lease.Forget{Programs: programs})
 	for name, ids := range byTarget {
-		s.release(name, ids)
+		s.releaseOn(name, ids)
 	}
 }
 
-func (s *Engines) release(name string, ids []string) {
+func (s *Engines) releaseOn(name string, ids []string) {
 	target, ok := s.Target(name)
 	if !ok {
 		return
@@ -270,36 +271,36 @@
 	s.counts.Count("engine.released", int64(len(ids)))
 }
 
-// Sweep releases every cached program of which gone says so.
+// Sweep releases the caches of all programs for which gone returns true.
 func (s *Engines) Sweep(gone func(program string) bool) {
-	for name, ids := range s.taker.Holders() {
-		var old []string
+	for name, ids := range s.queue.Holders() {
+		var expired []string
 		for _, id := range ids {
 			if gone(id) {
-				old = append(old, id)
+				expired = append(expired, id)
 			}
 		}
-		if len(old) > 0 {
-			s.release(name, old)
-			s.taker.Tell(lease.Forget{Programs: old})
+		if len(expired) > 0 {
+			s.releaseOn(name, expired)
+			s.queue.Tell(lease.Forget{Programs: expired})
 		}
 	}
 }
 
 // Move copies a program's cache from one engine to another.
-func (s *Engines) Move(program string, from, to types.Target) {
-	order := types.CacheOrder{Op: "import", Keys: []string{program}, From: from.Addr}
-	if err := s.Cache(s.ctx, to, order); err != nil {
+func (s *Engines) Move(program string, source, destination types.Target) {
+	order := types.CacheOrder{Op: "import", Keys: []string{program}, From: source.Addr}
+	if err := s.Cache(s.ctx, destination, order); err != nil {
 		s.counts.Count("engine.move_failures", 1)
 		return
 	}
 	s.counts.Count("engine.moved", 1)
-	s.taker.Tell(lease.Moved{Program: program, From: from.Name, To: to.Name})
+	s.queue.Tell(lease.Moved{Program: program, From: source.Name, To: destination.Name})
 }
 
 // Trim releases a program's older prefixes on all engines but the one to keep.
 func (s *Engines) Trim(program, keep string) {
-	for _, name := range s.taker.HoldersOf(program) {
+	for _, name := range s.queue.HoldersOf(program) {
 		if name != keep {
 			s.Drop(program, name)
 		}
@@ -308,6 +309,6 @@
 
 // Drop releases a program's cache on one engine.
 func (s *Engines) Drop(program, name string) {
-	s.release(name, []string{program})
-	s.taker.Tell(lease.Dropped{Program: program, Target: name})
+	s.releaseOn(name, []string{program})
+	s.queue.Tell(lease.Dropped{Program: program, Target: name})
 }
--- a/gate/engine/stream.go
+++ b/gate/engine/stream.go
@@ -16,66 +16,66 @@
 )
 
 const (
-	resumes     = 5
-	resumePause = 30 * time.Millisecond
-	cancelWait  = time.Second
-	orderWait   = 5 * time.Second
+	maxResumes    = 5
+	resumeDelay   = 30 * time.Millisecond
+	cancelTimeout = time.Second
+	orderTimeout  = 5 * time.Second
 )
 
-// Run runs a call on an engine and hands its events on in order, each once. A broken
-// stream is resumed by offset. The failure has NotRun set only if the engine cannot have
-// begun the call.
+// Run runs a call on an engine and emits each event once and in order, except the last one,
+// which it returns. It resumes a broken stream after the last event received. The error has
+// NotRun set only if the engine cannot have started the call.
 func (s *Engines) Run(ctx context.Context, target types.Target, call types.EngineCall, emit func(types.EngineEvent)) (types.EngineEvent, error) {
-	s.using(target.Name, 1)
-	defer s.using(target.Name, -1)
-	f := &follower{attempt: call.Attempt, emit: emit, counts: s.counts}
+	s.addCalls(target.Name, 1)
+	defer s.addCalls(target.Name, -1)
+	reader := &streamReader{attempt: call.Attempt, emit: emit, counts: s.counts}
 	req, err := client.Request(ctx, http.MethodPost, url(target, "/v1/chat/completions"), call)
 	if err != nil {
 		return types.EngineEvent{}, err
 	}
-	end, err := f.follow(s, req)
+	end, err := reader.readResponse(s, req)
 	if err == nil || fault.From(err).NotRun {
 		return end, err
 	}
-	for range resumes {
+	for range maxResumes {
 		if ctx.Err() != nil {
 			break
 		}
-		end, again := s.resume(ctx, target, f)
-		if again == nil {
+		end, resumeErr := s.resume(ctx, target, reader)
+		if resumeErr == nil {
 			s.counts.Count("engine.resumed", 1)
 			return end, nil
 		}
-		if fault.Is(again, fault.NoProgram) {
+		if fault.Is(resumeErr, fault.NoProgram) {
 			break
 		}
 	}
 	return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "the stream broke and could not be resumed").Because(err)
 }
 
-func (s *Engines) resume(ctx context.Context, target types.Target, f *follower) (types.EngineEvent, error) {
+func (s *Engines) resume(ctx context.Context, target types.Target, reader *streamReader) (types.EngineEvent, error) {
 	select {
-	case <-time.After(resumePause):
+	case <-time.After(resumeDelay):
 	case <-ctx.Done():
 	}
-	path := "/v1/streams/" + f.attempt + "?after=" + strconv.Itoa(f.seq)
+	path := "/v1/streams/" + reader.attempt + "?after=" + strconv.Itoa(reader.lastSeq)
 	req, err := client.Request(ctx, http.MethodGet, url(target, path), nil)
 	if err != nil {
 		return types.EngineEvent{}, err
 	}
-	return f.follow(s, req)
+	return reader.readResponse(s, req)
 }
 
-// follower takes the events of one attempt in order.
-type follower struct {
+// streamReader reads the events of one attempt in order.
+type streamReader struct {
 	attempt string
-	// seq is the last event that was handed on.
-	seq    int
-	emit   func(types.EngineEvent)
-	counts Counts
+	// lastSeq is the sequence number of the last accepted event.
+	lastSeq int
+	emit    func(types.EngineEvent)
+	counts  Counts
 }
 
-func (f *follower) follow(s *Engines, req *http.Request) (types.EngineEvent, error) {
+func (r *streamReader) readResponse(s *Engines, req *http.Request) (types.EngineEvent, error) {
 	resp, err := s.http.Do(req)
 	if err != nil {
 		return types.EngineEvent{}, err
@@ -84,10 +84,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return types.EngineEvent{}, client.Decode(resp, nil)
 	}
-	return f.read(client.NewEvents(resp.Body))
+	return r.read(client.NewEvents(resp.Body))
 }
 
-func (f *follower) read(events *client.Events) (types.EngineEvent, error) {
+func (r *streamReader) read(events *client.Events) (types.EngineEvent, error) {
 	for {
 		data, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -100,32 +100,33 @@
 		if json.Unmarshal(data, &ev) != nil {
 			return ev, fault.Fail(fault.Protocol, "an event is not the expected JSON")
 		}
-		done, err := f.take(ev)
+		done, err := r.accept(ev)
 		if done || err != nil {
 			return ev, err
 		}
 	}
 }
 
-// take drops events of other attempts and repeats, and refuses gaps.
-func (f *follower) take(ev types.EngineEvent) (bool, error) {
-	if ev.Attempt != f.attempt || ev.Seq <= f.seq {
-		f.counts.Count("engine.crossed_events", 1)
+// accept emits the event unless it is the last one, and reports whether it is. It drops repeated
+// events and those of other attempts, and returns an error if an event is missing.
+func (r *streamReader) accept(ev types.EngineEvent) (bool, error) {
+	if ev.Attempt != r.attempt || ev.Seq <= r.lastSeq {
+		r.counts.Count("engine.crossed_events", 1)
 		return false, nil
 	}
-	if ev.Seq != f.seq+1 {
+	if ev.Seq != r.lastSeq+1 {
 		return false, fault.Fail(fault.Protocol, "an event is missing from the stream")
 	}
-	f.seq = ev.Seq
+	r.lastSeq = ev.Seq
 	if !ev.End {
-		f.emit(ev)
+		r.emit(ev)
 	}
 	return ev.End, nil
 }
 
-// Cancel stops a stream that nobody waits for.
+// Cancel cancels a stream that has no reader any more.
 func (s *Engines) Cancel(target types.Target, attempt string) {
-	ctx, stop := context.WithTimeout(context.Background(), cancelWait)
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	err := s.http.Call(ctx, http.MethodPost, url(target, "/v1/streams/"+attempt+"/cancel"), struct{}{}, nil)
 	if err != nil {
@@ -133,23 +134,23 @@
 	}
 }
 
-// Cache gives a cache order.
+// Cache sends a cache order to an engine.
 func (s *Engines) Cache(ctx context.Context, target types.Target, order types.CacheOrder) error {
-	ctx, stop := context.WithTimeout(ctx, orderWait)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/cache"), order, nil)
 }
 
-// Order gives a model order.
+// Order sends a model order to an engine.
 func (s *Engines) Order(ctx context.Context, target types.Target, order types.EngineOrder) error {
-	ctx, stop := context.WithTimeout(ctx, orderWait)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/orders"), order, nil)
 }
 
-// Models reads back what an engine serves, with versions.
+// Models returns the versions of the models that an engine serves, by model name.
 func (s *Engines) Models(ctx context.Context, target types.Target) (map[string]string, error) {
-	ctx, stop := context.WithTimeout(ctx, orderWait)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	var out map[string]string
 	err := s.http.Call(ctx, http.MethodGet, url(target, "/v1/models"), nil, &out)
