--- a/gate/lease/doc.go
+++ b/gate/lease/doc.go
@@ -1,2 +1,3 @@
-// Package lease holds the messages between the queue of model calls and its users.
+// Package lease defines the requests, leases and messages that the queue of model calls
+// exchanges with the rest of the box.
 package lease
--- a/gate/lease/lease.go
+++ b/gate/lease/lease.go
@@ -7,49 +7,52 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// Ask is a call that wants a target.
+// Ask describes a model call that needs a target. Prompt and Expected are the lengths of its
+// prompt and of the expected answer, in tokens.
 type Ask struct {
 	Input    types.RuleInput
 	Program  string
 	Work     sched.ProgramProgress
 	Prompt   int
 	Expected int
-	// Fresh says that the program has done no work yet, so that refusing it wastes none.
+	// Fresh marks the first turn of a root program. Rejecting it wastes no work done before.
 	Fresh    bool
 	Deadline time.Time
-	// Avoid names targets that have just failed the call.
+	// Avoid names targets on which earlier attempts of the call failed.
 	Avoid []string
 }
 
-// Lease is a place at a target. Finish must be called once.
+// Lease is the right to run one call on a target. Finish must be called exactly once.
 type Lease struct {
 	Target types.Target
+	// Cached is the number of prompt tokens that the target should have cached.
 	Cached int
-	// Hold says that the cache should be kept after the answer.
+	// Hold asks the target to keep the program's cache after the answer.
 	Hold bool
-	// Weighed are the candidates with their scores.
+	// Weighed holds the candidate targets and their scores.
 	Weighed []types.Weighed
-	Waited  time.Duration
-	// Rank is the call's place in the order, higher first; engines get it as priority.
+	// Waited is how long the call waited in the queue.
+	Waited time.Duration
+	// Rank orders the queue, highest first. Engines receive it as the call's priority.
 	Rank int64
 
-	// Started is when the place was given.
+	// Started is when the lease was granted.
 	Started time.Time
-	// Give takes the place back.
+	// Give returns the lease to the queue.
 	Give func(l *Lease, res Result)
 }
 
-// Result is how a lease ended.
+// Result is the outcome of a leased call.
 type Result struct {
-	// OK says that the whole answer came; Refused that the target took no work.
+	// OK reports that the answer is complete, Refused that the target did not run the call.
 	OK, Refused bool
-	// First is the time to the first token, PerToken the time between tokens after it.
+	// First is the time to the first token, PerToken the mean time per token after it.
 	First, PerToken time.Duration
 	Usage           types.Usage
 	Program         string
 }
 
-// Finish gives the place back.
-func (l *Lease) Finish(res Result) {
-	l.Give(l, res)
+// Finish ends the lease with the result of its call.
+func (l *Lease) Finish(result Result) {
+	l.Give(l, result)
 }
--- a/gate/lease/message.go
+++ b/gate/lease/message.go
@@ -2,10 +2,10 @@
 
 import "mulleingate.dev/base/types"
 
-// Message is what other services tell the queue.
+// Message is a notification to the queue from other services.
 type Message interface{ isMessage() }
 
-// Report is an engine's load report with its cache events.
+// Report carries an engine's load report and its new cache events.
 type Report struct {
 	Load   types.LoadReport
 	Events []types.CacheEvent
@@ -14,28 +14,28 @@
 // Targets replaces the list of engines.
 type Targets struct{ List []types.Target }
 
-// Leaving says that an engine takes no new work.
+// Leaving announces that an engine accepts no new work.
 type Leaving struct{ Name string }
 
-// Others is what another box has under way, by target.
+// Others holds another box's streams in flight, by target.
 type Others struct {
 	Box     string
 	Streams map[string]int
 }
 
-// Forget drops what is believed of programs' caches.
+// Forget removes programs from the queue's record of engine caches.
 type Forget struct{ Programs []string }
 
-// Cached is the whole list of what an engine holds.
+// Cached is the complete list of programs in an engine's cache, with their tokens.
 type Cached struct {
 	Target string
 	Tokens map[string]int
 }
 
-// Moved says that a program's cache was copied from one engine to another.
+// Moved announces that a program's cache was copied from one engine to another.
 type Moved struct{ Program, From, To string }
 
-// Dropped says that an engine no longer holds a program's cache.
+// Dropped announces that an engine no longer caches a program.
 type Dropped struct{ Program, Target string }
 
 func (Dropped) isMessage() {}
