--- a/gate/limit/adapt.go
+++ b/gate/limit/adapt.go
@@ -2,33 +2,34 @@
 
 import "math"
 
-// Adaptive bounds the calls that this box has under way at one target. It grows by one
-// for each window of good calls and shrinks by a factor when the target queues.
+// Adaptive limits the calls that this box has in flight at one target. The limit grows by about
+// one per limit's worth of good calls and shrinks by a factor when the target is overloaded. It
+// is not safe for concurrent use.
 type Adaptive struct {
-	// Min and Max bound the limit; 1 <= Min <= Max.
+	// Min and Max are the bounds of the limit; 1 <= Min <= Max.
 	Min, Max float64
 
 	limit float64
 }
 
-const shrink = 0.85
+const decreaseFactor = 0.85
 
-// NewAdaptive makes a limit that starts at start.
-func NewAdaptive(start, low, high float64) *Adaptive {
-	return &Adaptive{Min: low, Max: high, limit: math.Min(math.Max(start, low), high)}
+// NewAdaptive returns a limit with the given initial value and bounds.
+func NewAdaptive(start, minLimit, maxLimit float64) *Adaptive {
+	return &Adaptive{Min: minLimit, Max: maxLimit, limit: math.Min(math.Max(start, minLimit), maxLimit)}
 }
 
-// Limit is the number of calls allowed at once.
+// Limit returns the number of calls allowed at the same time.
 func (a *Adaptive) Limit() int {
 	return int(a.limit)
 }
 
-// Good notes a call that met no queue.
+// Good records a call that found the target not overloaded.
 func (a *Adaptive) Good() {
 	a.limit = math.Min(a.Max, a.limit+1/a.limit)
 }
 
-// Crowded notes that the target queues or refuses.
+// Crowded records that the target queues or rejects calls.
 func (a *Adaptive) Crowded() {
-	a.limit = math.Max(a.Min, a.limit*shrink)
+	a.limit = math.Max(a.Min, a.limit*decreaseFactor)
 }
--- a/gate/limit/doc.go
+++ b/gate/limit/doc.go
@@ -1,4 +1,3 @@
-// Package limit holds the bounds that keep overload from spreading: adaptive concurrency
-// per target, a retry budget, and ejection of failing targets. None of it talks to
-// other boxes.
+// Package limit keeps overload from spreading: it provides an adaptive concurrency limit per
+// target, a retry budget and the ejection of failing targets. All state is local to the box.
 package limit
--- a/gate/limit/eject.go
+++ b/gate/limit/eject.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Ejector decides which targets get no work for a while after failures in a row. It never
-// ejects more than half of the targets. It is not safe for use by many goroutines.
+// Ejector decides which targets get no work for some time after consecutive failures. It never
+// ejects more than half of the targets. It is not safe for concurrent use.
 type Ejector struct {
-	fails map[string]int
-	until map[string]time.Time
-	// spells counts ejections, to lengthen them.
-	spells map[string]int
+	failures     map[string]int
+	ejectedUntil map[string]time.Time
+	// ejections counts a target's ejections since its last success. Each lasts twice as long as
+	// the previous one, up to maxEjection.
+	ejections map[string]int
 }
 
 const (
-	failsToEject = 3
-	firstSpell   = time.Second
-	longestSpell = 30 * time.Second
+	failuresToEject = 3
+	minEjection     = time.Second
+	maxEjection     = 30 * time.Second
 )
 
-// NewEjector makes an ejector without history.
+// NewEjector returns an ejector without recorded failures.
 func NewEjector() *Ejector {
-	return &Ejector{fails: map[string]int{}, until: map[string]time.Time{}, spells: map[string]int{}}
+	return &Ejector{failures: map[string]int{}, ejectedUntil: map[string]time.Time{}, ejections: map[string]int{}}
 }
 
-// Good notes a success.
+// Good records a success. It ends the target's ejection and clears its failures.
 func (e *Ejector) Good(name string) {
-	delete(e.fails, name)
-	delete(e.spells, name)
-	delete(e.until, name)
+	delete(e.failures, name)
+	delete(e.ejections, name)
+	delete(e.ejectedUntil, name)
 }
 
-// Bad notes a failure; of is the number of targets in the pool. It reports an ejection.
-func (e *Ejector) Bad(now time.Time, name string, of int) bool {
-	e.fails[name]++
-	if e.fails[name] < failsToEject || 2*(e.Out(now)+1) > of {
+// Bad records a failure and reports whether it ejects the target. poolSize is the number of
+// targets in the pool.
+func (e *Ejector) Bad(now time.Time, name string, poolSize int) bool {
+	e.failures[name]++
+	if e.failures[name] < failuresToEject || 2*(e.Out(now)+1) > poolSize {
 		return false
 	}
-	spell := min(firstSpell<<e.spells[name], longestSpell)
-	e.spells[name] = min(e.spells[name]+1, 5)
-	e.until[name] = now.Add(spell)
-	e.fails[name] = failsToEject - 1
+	duration := min(minEjection<<e.ejections[name], maxEjection)
+	e.ejections[name] = min(e.ejections[name]+1, 5)
+	e.ejectedUntil[name] = now.Add(duration)
+	e.failures[name] = failuresToEject - 1
 	return true
 }
 
-// Ejected reports whether the target gets no work now.
+// Ejected reports whether the target is ejected at the given time.
 func (e *Ejector) Ejected(now time.Time, name string) bool {
-	return now.Before(e.until[name])
+	return now.Before(e.ejectedUntil[name])
 }
 
-// Out counts the ejected targets.
+// Out returns the number of targets ejected at the given time.
 func (e *Ejector) Out(now time.Time) int {
 	n := 0
-	for _, until := range e.until {
+	for _, until := range e.ejectedUntil {
 		if now.Before(until) {
 			n++
 		}
--- a/gate/limit/limit_test.go
+++ b/gate/limit/limit_test.go
@@ -20,7 +20,7 @@
 		a.Crowded()
 	}
 	if diff := cmp.Diff(1, a.Limit()); diff != "" {
-		t.Errorf("limit of a crowded target (-want +got):\n%s", diff)
+		t.Errorf("limit after overload (-want +got):\n%s", diff)
 	}
 }
 
@@ -35,20 +35,20 @@
 			}
 		}
 		if allowed < 100 || allowed > 105 {
-			t.Errorf("%d retries for 1000 calls", allowed)
+			t.Errorf("%d retries for 1000 calls, want 100 to 105", allowed)
 		}
 		time.Sleep(3 * time.Second)
-		got := 0
+		remaining := 0
 		for r.Allow() {
-			got++
+			remaining++
 		}
-		if diff := cmp.Diff(3, got); diff != "" {
+		if diff := cmp.Diff(3, remaining); diff != "" {
 			t.Errorf("retries after three seconds without calls (-want +got):\n%s", diff)
 		}
 	})
 }
 
-func TestEjectorNeverTakesMoreThanHalf(t *testing.T) {
+func TestEjectorNeverEjectsMoreThanHalf(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEjector()
 	names := []string{"a", "b", "c", "d", "e"}
@@ -58,9 +58,9 @@
 		}
 	}
 	if diff := cmp.Diff(2, e.Out(now)); diff != "" {
-		t.Errorf("ejected of five (-want +got):\n%s", diff)
+		t.Errorf("number of ejected targets of five (-want +got):\n%s", diff)
 	}
 	if e.Ejected(now.Add(time.Hour), "a") {
-		t.Error("still ejected an hour later")
+		t.Error("target is still ejected an hour later")
 	}
 }
--- a/gate/limit/retry.go
+++ b/gate/limit/retry.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Retries is a budget for retries: a share of the calls plus a small rate, so that
-// retries never multiply an overload.
+// Retries is a retry budget: a share of the calls plus a small constant rate, so that retries
+// do not amplify an overload. It is safe for concurrent use.
 type Retries struct {
-	// share of calls that may be retries, and how many are saved up at most.
-	share, most float64
-	// rate is in retries a second that are allowed whatever the calls.
+	// share is the number of retries earned per call; capacity is the most that can be saved up.
+	share, capacity float64
+	// rate is the number of retries earned per second, regardless of calls.
 	rate float64
 
-	mu    sync.Mutex
-	left  float64
-	since time.Time
+	mu         sync.Mutex
+	budget     float64
+	refilledAt time.Time
 }
 
-// NewRetries makes a budget that starts full.
-func NewRetries(share, rate, most float64) *Retries {
-	return &Retries{share: share, rate: rate, most: most, left: most, since: time.Now()}
+// NewRetries returns a budget that is full.
+func NewRetries(share, rate, capacity float64) *Retries {
+	return &Retries{share: share, rate: rate, capacity: capacity, budget: capacity, refilledAt: time.Now()}
 }
 
-// Call notes a first attempt.
+// Call records the first attempt of a call, which earns its share of a retry.
 func (r *Retries) Call() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = min(r.most, r.left+r.share)
+	r.budget = min(r.capacity, r.budget+r.share)
 }
 
-// Allow takes one retry from the budget, if there is one.
+// Allow takes one retry from the budget and returns true, or returns false if there is none.
 func (r *Retries) Allow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.left = min(r.most, r.left+r.rate*now.Sub(r.since).Seconds())
-	r.since = now
-	if r.left < 1 {
+	r.budget = min(r.capacity, r.budget+r.rate*now.Sub(r.refilledAt).Seconds())
+	r.refilledAt = now
+	if r.budget < 1 {
 		return false
 	}
-	r.left--
+	r.budget--
 	return true
 }
