--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -62,10 +62,10 @@
 	targets map[string]types.Target
 	pollers map[string]context.CancelFunc
 	// calls counts this box's calls in flight by engine.
-	calls map[string]int
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	calls      map[string]int
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // New creates the service for the box self in zone.
@@ -87,7 +87,7 @@
 // Stop stops polling and waits for the pollers to end.
 func (s *Engines) Stop(context.Context) error {
 	s.stop()
-	s.done.Wait()
+	s.goroutines.Wait()
 	return nil
 }
 
@@ -102,7 +102,7 @@
 		if _, ok := s.pollers[t.Name]; !ok && s.ctx.Err() == nil {
 			ctx, stop := context.WithCancel(s.ctx)
 			s.pollers[t.Name] = stop
-			s.done.Go(func() { s.poll(ctx, t.Name) })
+			s.goroutines.Go(func() { s.poll(ctx, t.Name) })
 		}
 	}
 	for name, stop := range s.pollers {
--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -7,7 +7,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// Verdict is the result of applying an entry.
+// Verdict reports how an entry was handled.
 type Verdict int
 
 const (
--- a/gate/lease/lease.go
+++ b/gate/lease/lease.go
@@ -7,12 +7,12 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// Ask describes a model call that needs a target. Prompt and Expected are the lengths of its
-// prompt and of the expected answer, in tokens.
+// Ask describes a model call that needs a target.
 type Ask struct {
-	Input    types.RuleInput
-	Program  string
-	Work     sched.ProgramProgress
+	Input   types.RuleInput
+	Program string
+	Work    sched.ProgramProgress
+	// Prompt and Expected are the lengths of the prompt and of the expected answer, in tokens.
 	Prompt   int
 	Expected int
 	// Fresh marks the first turn of a root program. Rejecting it wastes no work done before.
--- a/gate/limit/eject.go
+++ b/gate/limit/eject.go
@@ -23,15 +23,15 @@
 	return &Ejector{failures: map[string]int{}, ejectedUntil: map[string]time.Time{}, ejections: map[string]int{}}
 }
 
-// Good records a success. It ends the target's ejection and clears its failures.
+// Good records a successful call. It ends the target's ejection and clears its failures.
 func (e *Ejector) Good(name string) {
 	delete(e.failures, name)
 	delete(e.ejections, name)
 	delete(e.ejectedUntil, name)
 }
 
-// Bad records a failure and reports whether it ejects the target. poolSize is the number of
-// targets in the pool.
+// Bad records a failed call and reports whether it ejects the target. poolSize is the number
+// of targets in the pool.
 func (e *Ejector) Bad(now time.Time, name string, poolSize int) bool {
 	e.failures[name]++
 	if e.failures[name] < failuresToEject || 2*(e.Out(now)+1) > poolSize {
--- a/gate/limit/retry.go
+++ b/gate/limit/retry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Retries is a retry budget: a share of the calls plus a small constant rate, so that retries
-// do not amplify an overload. It is safe for concurrent use.
+// Retries limits retries to a share of the calls plus a small constant rate, so that they do not
+// amplify an overload. It is safe for concurrent use.
 type Retries struct {
 	// share is the number of retries earned per call; capacity is the most that can be saved up.
 	share, capacity float64
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -55,12 +55,12 @@
 
 // Plain is the service that runs calls of tools and plain services.
 type Plain struct {
-	owner  Owner
-	pools  Replicas
-	sealer Sealer
-	counts Counts
-	logger *slog.Logger
-	done   sync.WaitGroup
+	owner        Owner
+	pools        Replicas
+	sealer       Sealer
+	counts       Counts
+	logger       *slog.Logger
+	runsInFlight sync.WaitGroup
 }
 
 // New creates the service.
@@ -77,7 +77,7 @@
 func (p *Plain) Stop(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
-		p.done.Wait()
+		p.runsInFlight.Wait()
 		close(idle)
 	}()
 	select {
@@ -187,7 +187,7 @@
 		}
 		return joined.join(ctx)
 	}
-	p.done.Go(func() { p.dispatchOnce(slot, ask, start.Run, run, ticket) })
+	p.runsInFlight.Go(func() { p.dispatchOnce(slot, ask, start.Run, run, ticket) })
 	return run.wait(ctx)
 }
 
--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	p.done.Go(func() { p.Ended(slot, ids) })
+	p.goroutines.Go(func() { p.Ended(slot, ids) })
 	ctx, stop := context.WithTimeout(ctx, endConfirmTimeout)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -60,8 +60,8 @@
 	return begin, found && err == nil
 }
 
-// Tightened releases caches on engines where the current policy no longer allows them. It does
-// not interrupt running turns.
+// Tightened releases caches on engines where the current policy no longer
+// allows them. It does not interrupt running turns.
 func (p *Prog) Tightened() {
 	for name, ids := range p.queue.Holders() {
 		target, ok := p.engines.Target(name)
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		result.Refused = fault.From(err).NotRun
 		if ctx.Err() != nil {
-			p.done.Go(func() { p.engines.Cancel(reservation.Target, call.Attempt) })
+			p.goroutines.Go(func() { p.engines.Cancel(reservation.Target, call.Attempt) })
 			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").Because(ctx.Err())
 		}
 		reservation.Finish(result)
@@ -187,7 +187,7 @@
 	}
 	reservation.Finish(result)
 	if cachedElsewhere(reservation) {
-		p.done.Go(func() { p.engines.Trim(j.ask.Program, reservation.Target.Name) })
+		p.goroutines.Go(func() { p.engines.Trim(j.ask.Program, reservation.Target.Name) })
 	}
 	return end, nil
 }
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -78,10 +78,10 @@
 	notes    Notes
 	logger   *slog.Logger
 
-	ctx  context.Context
-	stop context.CancelFunc
-	done sync.WaitGroup
-	runs sync.WaitGroup
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	runs       sync.WaitGroup
 }
 
 // New creates the service for a box in zone.
@@ -96,8 +96,8 @@
 
 // Start starts the periodic sweep and evacuation of engine caches.
 func (p *Prog) Start(context.Context) error {
-	p.done.Go(func() { p.runEvery(sweepInterval, p.sweep) })
-	p.done.Go(func() { p.runEvery(evacuateInterval, p.evacuate) })
+	p.goroutines.Go(func() { p.runEvery(sweepInterval, p.sweep) })
+	p.goroutines.Go(func() { p.runEvery(evacuateInterval, p.evacuate) })
 	return nil
 }
 
@@ -124,7 +124,7 @@
 	case <-ctx.Done():
 	}
 	p.stop()
-	p.done.Wait()
+	p.goroutines.Wait()
 	return nil
 }
 
--- a/gate/slots/claim.go
+++ b/gate/slots/claim.go
@@ -30,7 +30,7 @@
 	}
 	o.claiming = true
 	o.lastClaim = time.Now()
-	o.svc.done.Go(func() {
+	o.svc.goroutines.Go(func() {
 		start := time.Now()
 		ctx, stop := context.WithTimeout(o.svc.ctx, claimTimeout)
 		defer stop()
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -84,7 +84,7 @@
 	leaving    bool
 	ctx        context.Context
 	stop       context.CancelFunc
-	done       sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
 // Counts receives metrics of slot ownership.
@@ -115,7 +115,7 @@
 func (s *Slots) Start(context.Context) error {
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.view.Announce(s.fillHeartbeat)
-	s.done.Go(s.run)
+	s.goroutines.Go(s.run)
 	return nil
 }
 
@@ -141,7 +141,7 @@
 // claims them.
 func (s *Slots) Stop(context.Context) error {
 	s.stop()
-	s.done.Wait()
+	s.goroutines.Wait()
 	return nil
 }
 
@@ -327,7 +327,7 @@
 	if !ok {
 		o = newOwner(s, id)
 		s.owners[id] = o
-		s.done.Go(o.run)
+		s.goroutines.Go(o.run)
 	}
 	return o
 }
--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -74,7 +74,7 @@
 }
 
 func (o *owner) startAppend(b *batch) {
-	o.svc.done.Go(func() {
+	o.svc.goroutines.Go(func() {
 		o.send(appendedMsg{batch: b, result: o.svc.appendBatch(o.svc.ctx, o.id.Stream(), b)})
 	})
 }
