--- a/base/client/client.go
+++ b/base/client/client.go
@@ -58,9 +58,9 @@
 		return resp, nil
 	}
 	if notSent(err) {
-		return nil, fault.Refuse(fault.TargetFailed, "cannot connect").Because(err)
+		return nil, fault.Refuse(fault.TargetFailed, "cannot connect").WithCause(err)
 	}
-	return nil, fault.Fail(fault.TargetFailed, "call failed").Because(err)
+	return nil, fault.Fail(fault.TargetFailed, "call failed").WithCause(err)
 }
 
 // Call sends in as JSON and decodes the response into out; both may be nil. An error response is
@@ -84,13 +84,13 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return nil, fault.Refuse(fault.Internal, "cannot encode request").Because(err)
+			return nil, fault.Refuse(fault.Internal, "cannot encode request").WithCause(err)
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot create request").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot create request").WithCause(err)
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -102,7 +102,7 @@
 func Decode(resp *http.Response, out any) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 	if err != nil {
-		return fault.Fail(fault.TargetFailed, "response was cut off").Because(err)
+		return fault.Fail(fault.TargetFailed, "response was cut off").WithCause(err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return responseFault(resp.StatusCode, raw)
@@ -111,7 +111,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fault.Fail(fault.Protocol, "answer is not the expected JSON").Because(err)
+		return fault.Fail(fault.Protocol, "answer is not the expected JSON").WithCause(err)
 	}
 	return nil
 }
--- a/base/client/stream.go
+++ b/base/client/stream.go
@@ -13,38 +13,38 @@
 
 const (
 	dataPrefix = "data: "
-	// Done is the data of the last event of a stream.
-	Done = "[DONE]"
+	// FinalEvent is the data of the last event of a stream.
+	FinalEvent = "[DONE]"
 	// maxEvent is the maximum size of one event, in bytes.
 	maxEvent = 8 << 20
 )
 
-// Events is a reader of server-sent events.
-type Events struct {
+// EventReader is a reader of server-sent events.
+type EventReader struct {
 	scan *bufio.Scanner
 }
 
-// NewEvents returns a reader of the events in body.
-func NewEvents(body io.Reader) *Events {
+// NewEventReader returns a reader of the events in body.
+func NewEventReader(body io.Reader) *EventReader {
 	scan := bufio.NewScanner(body)
 	scan.Buffer(nil, maxEvent)
-	return &Events{scan: scan}
+	return &EventReader{scan: scan}
 }
 
 // Next returns the data of the next event, which is valid until the next call, or io.EOF at the
 // event Done. A stream that ends without that event is a fault.
-func (e *Events) Next() ([]byte, error) {
+func (e *EventReader) Next() ([]byte, error) {
 	for e.scan.Scan() {
 		data, ok := bytes.CutPrefix(e.scan.Bytes(), []byte(dataPrefix))
 		if !ok {
 			continue
 		}
-		if string(data) == Done {
+		if string(data) == FinalEvent {
 			return nil, io.EOF
 		}
 		return data, nil
 	}
-	return nil, fault.Fail(fault.TargetFailed, "stream ended without its final event").Because(e.scan.Err())
+	return nil, fault.Fail(fault.TargetFailed, "stream ended without its final event").WithCause(e.scan.Err())
 }
 
 // asOpError is errors.As for a network error.
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -52,7 +52,7 @@
 
 // NewProgram returns a new program ID in the slot.
 func NewProgram(slot Slot) string {
-	return slot.String() + "." + Random()
+	return slot.String() + "." + RandomID()
 }
 
 // ProgramSlot returns the slot that a program ID names.
@@ -74,15 +74,15 @@
 	return slots[h%uint64(len(slots))]
 }
 
-// Random returns a random identifier of 16 hexadecimal digits.
-func Random() string {
+// RandomID returns a random identifier of 16 hexadecimal digits.
+func RandomID() string {
 	raw := make([]byte, randomBytes)
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// Winner returns the name with the highest rendezvous weight for key, or "" if there are no names.
-func Winner(key string, names []string) string {
+// Rendezvous returns the name with the highest rendezvous weight for key, or "" if there are no names.
+func Rendezvous(key string, names []string) string {
 	best, bestScore := "", uint64(0)
 	for _, name := range names {
 		score := Weight(key, name)
@@ -93,15 +93,15 @@
 	return best
 }
 
-// Closest returns the indices of the n names with the highest rendezvous weights for key, highest
+// RendezvousTop returns the indices of the n names with the highest rendezvous weights for key, highest
 // first. There are count names; name returns the one at an index.
-func Closest(key string, count int, name func(i int) string, n int) []int {
+func RendezvousTop(key string, count int, name func(i int) string, n int) []int {
 	return ranked(count, func(i int) float64 { return uniform(key, name(i)) }, n)
 }
 
-// Shared is Closest for names with shares, which must be above 0: each name comes first for a part
+// WeightedRendezvousTop is Closest for names with shares, which must be above 0: each name comes first for a part
 // of the keys in proportion to its share. Adding or removing a name moves no key between two others.
-func Shared(key string, count int, name func(i int) (string, float64), n int) []int {
+func WeightedRendezvousTop(key string, count int, name func(i int) (string, float64), n int) []int {
 	return ranked(count, func(i int) float64 {
 		name, share := name(i)
 		return share / -math.Log(uniform(key, name))
--- a/base/logc/logc.go
+++ b/base/logc/logc.go
@@ -13,21 +13,21 @@
 	"mulleingate.dev/base/types"
 )
 
-// Log is a client of the log service.
-type Log struct {
+// Client is a client of the log service.
+type Client struct {
 	baseURL string
 	timeout time.Duration
 	http    *client.Client
 }
 
 // New returns a client of the log service at addr. The timeout applies to each call.
-func New(addr netip.AddrPort, timeout time.Duration) *Log {
-	return &Log{baseURL: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
+func New(addr netip.AddrPort, timeout time.Duration) *Client {
+	return &Client{baseURL: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
 }
 
 // Append appends data to the stream and returns its offset. If a fault has NotRun set, nothing was
 // appended; after any other fault the data may have been appended.
-func (l *Log) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+func (l *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
 	var appended types.LogOffset
@@ -39,7 +39,7 @@
 }
 
 // Read returns up to limit entries, starting at the offset from.
-func (l *Log) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
+func (l *Client) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
 	query := "?from=" + strconv.FormatInt(from, 10) + "&limit=" + strconv.Itoa(limit)
@@ -50,7 +50,7 @@
 	return page, nil
 }
 
-func (l *Log) streamURL(stream string) string {
+func (l *Client) streamURL(stream string) string {
 	return l.baseURL + "/v1/streams/" + url.PathEscape(stream)
 }
 
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -28,8 +28,8 @@
 	return text
 }
 
-// Flag returns the named field if it is a boolean, otherwise false.
-func (l Line) Flag(name string) bool {
+// Bool returns the named field if it is a boolean, otherwise false.
+func (l Line) Bool(name string) bool {
 	flag, _ := l.Fields[name].(bool)
 	return flag
 }
@@ -51,7 +51,7 @@
 func ReadFile(name string) ([]Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "cannot open log file").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "cannot open log file").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	return Read(file)
@@ -82,7 +82,7 @@
 		lines = append(lines, l)
 	}
 	if err := scan.Err(); err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "cannot read log").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "cannot read log").WithCause(err)
 	}
 	return lines, nil
 }
--- a/base/revs/fold.go
+++ b/base/revs/fold.go
@@ -14,80 +14,80 @@
 // Verdict is the result of applying a revision.
 type Verdict string
 
-// The verdicts. Lost means that the revision is not based on the current one, Known that it is
+// The verdicts. LostRace means that the revision is not based on the current one, AlreadyKnown that it is
 // in force already or, for a copy, that it is no newer than the current one.
 const (
-	Accepted Verdict = "accepted"
-	Lost     Verdict = "lost_race"
-	Forged   Verdict = "bad_signature"
-	Invalid  Verdict = "invalid"
-	Known    Verdict = "known"
+	Accepted     Verdict = "accepted"
+	LostRace     Verdict = "lost_race"
+	BadSignature Verdict = "bad_signature"
+	Invalid      Verdict = "invalid"
+	AlreadyKnown Verdict = "known"
 )
 
-// Fold is the state of the configuration stream before the offset Next. It is not safe for
+// StreamState is the state of the configuration stream before the offset Next. It is not safe for
 // concurrent use.
-type Fold struct {
+type StreamState struct {
 	// Next is the offset to read from.
 	Next int64
 	// Current is the accepted revision with the highest number; nil while there is none.
 	Current *types.Revision
-	// At is the offset of the last entry that holds Current.
-	At int64
+	// CurrentOffset is the offset of the last entry that holds Current.
+	CurrentOffset int64
 
 	keys []ed25519.PublicKey
 }
 
 // New returns an empty Fold that accepts revisions signed by one of the keys.
-func New(keys []ed25519.PublicKey) *Fold {
-	return &Fold{keys: keys}
+func New(keys []ed25519.PublicKey) *StreamState {
+	return &StreamState{keys: keys}
 }
 
 // Apply applies one entry of the stream and returns its revision and the verdict on it.
-func (f *Fold) Apply(entry types.LogEntry) (types.Revision, Verdict) {
+func (f *StreamState) Apply(entry types.LogEntry) (types.Revision, Verdict) {
 	f.Next = max(f.Next, entry.Offset+1)
 	var rev types.Revision
 	if json.Unmarshal(entry.Data, &rev) != nil {
 		return rev, Invalid
 	}
-	verdict := f.Offer(rev)
-	if f.Current != nil && rev.ID == f.Current.ID && (verdict == Accepted || verdict == Known) {
-		f.At = entry.Offset
+	verdict := f.ApplyRevision(rev)
+	if f.Current != nil && rev.ID == f.Current.ID && (verdict == Accepted || verdict == AlreadyKnown) {
+		f.CurrentOffset = entry.Offset
 	}
 	return rev, verdict
 }
 
-// Offer applies a revision from the log, or one that another box has accepted, which has Carry
+// ApplyRevision applies a revision from the log, or one that another box has accepted, which has Carry
 // set.
-func (f *Fold) Offer(rev types.Revision) Verdict {
+func (f *StreamState) ApplyRevision(rev types.Revision) Verdict {
 	if !f.verify(rev) {
-		return Forged
+		return BadSignature
 	}
 	currentNumber := int64(0)
 	if f.Current != nil {
 		currentNumber = f.Current.Number
 	}
-	if rev.Carry {
+	if rev.IsCopy {
 		return f.applyCopy(rev, currentNumber)
 	}
 	if f.Current != nil && rev.ID == f.Current.ID {
-		return Known
+		return AlreadyKnown
 	}
 	if rev.Base != currentNumber || rev.Number != currentNumber+1 {
-		return Lost
+		return LostRace
 	}
 	return f.accept(rev)
 }
 
 // applyCopy applies a copy of an accepted revision. A copy needs no matching base.
-func (f *Fold) applyCopy(rev types.Revision, currentNumber int64) Verdict {
+func (f *StreamState) applyCopy(rev types.Revision, currentNumber int64) Verdict {
 	if rev.Number <= currentNumber {
-		return Known
+		return AlreadyKnown
 	}
 	return f.accept(rev)
 }
 
 // accept makes the revision current if its configuration is valid.
-func (f *Fold) accept(rev types.Revision) Verdict {
+func (f *StreamState) accept(rev types.Revision) Verdict {
 	if Check(rev.Config) != nil {
 		return Invalid
 	}
@@ -95,7 +95,7 @@
 	return Accepted
 }
 
-func (f *Fold) verify(rev types.Revision) bool {
+func (f *StreamState) verify(rev types.Revision) bool {
 	body, err := signedBytes(rev)
 	if err != nil {
 		return false
@@ -121,10 +121,10 @@
 // signedBytes returns the bytes that the signature covers: all fields but Signature and Carry.
 func signedBytes(rev types.Revision) ([]byte, error) {
 	rev.Signature = nil
-	rev.Carry = false
+	rev.IsCopy = false
 	body, err := json.Marshal(rev)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot encode revision").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode revision").WithCause(err)
 	}
 	return body, nil
 }
--- a/base/revs/publish.go
+++ b/base/revs/publish.go
@@ -23,17 +23,17 @@
 	readBackInterval = 200 * time.Millisecond
 )
 
-// Seen is an entry of the stream with the verdict on it.
-type Seen struct {
+// HistoryEntry is an entry of the stream with the verdict on it.
+type HistoryEntry struct {
 	Offset   int64          `json:"offset"`
 	Revision types.Revision `json:"revision"`
 	Verdict  Verdict        `json:"verdict"`
 }
 
 // History reads the whole stream. It returns its state and every retained entry.
-func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*Fold, []Seen, error) {
+func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*StreamState, []HistoryEntry, error) {
 	fold := New(keys)
-	var all []Seen
+	var all []HistoryEntry
 	for {
 		page, err := log.Read(ctx, Stream, fold.Next, pageSize)
 		if err != nil {
@@ -41,7 +41,7 @@
 		}
 		for _, entry := range page.Entries {
 			rev, verdict := fold.Apply(entry)
-			all = append(all, Seen{Offset: entry.Offset, Revision: rev, Verdict: verdict})
+			all = append(all, HistoryEntry{Offset: entry.Offset, Revision: rev, Verdict: verdict})
 		}
 		fold.Next = max(fold.Next, page.First)
 		if fold.Next >= page.Next {
@@ -68,7 +68,7 @@
 		return types.Revision{}, err
 	}
 	rev, err := Sign(types.Revision{
-		Number: draft.Base + 1, Base: draft.Base, ID: ident.Random(), Author: draft.Author, Note: draft.Note,
+		Number: draft.Base + 1, Base: draft.Base, ID: ident.RandomID(), Author: draft.Author, Note: draft.Note,
 		At: time.Now().UTC(), Config: draft.Config,
 	}, key)
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 	raw, err := json.Marshal(rev)
 	if err != nil {
-		return rev, fault.Refuse(fault.Internal, "cannot encode revision").Because(err)
+		return rev, fault.Refuse(fault.Internal, "cannot encode revision").WithCause(err)
 	}
 	_, appendErr := log.Append(ctx, Stream, raw)
 	if appendErr != nil && fault.From(appendErr).NotRun {
@@ -94,7 +94,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Fail(fault.OutcomeUnknown, "the revision may have been published; look at the history").Because(err)
+			return fault.Fail(fault.OutcomeUnknown, "the revision may have been published; look at the history").WithCause(err)
 		case <-time.After(readBackInterval):
 		}
 	}
@@ -108,13 +108,13 @@
 		return "", false, err
 	}
 	for _, seen := range all {
-		if seen.Revision.ID == rev.ID && !seen.Revision.Carry {
+		if seen.Revision.ID == rev.ID && !seen.Revision.IsCopy {
 			return seen.Verdict, true, nil
 		}
 	}
 	current := fold.Current
 	if current != nil && current.Number >= rev.Number {
-		return Lost, true, nil
+		return LostRace, true, nil
 	}
 	return "", false, nil
 }
@@ -122,10 +122,10 @@
 // verdictError returns the error that Publish reports for a verdict.
 func verdictError(verdict Verdict) error {
 	switch verdict {
-	case Accepted, Known:
+	case Accepted, AlreadyKnown:
 		return nil
-	case Lost:
-		return fault.Refuse(fault.Conflict, "another revision was published first; diff and publish again")
+	case LostRace:
+		return fault.Refuse(fault.RevisionConflict, "another revision was published first; diff and publish again")
 	default:
 		return fault.Refuse(fault.BadConfig, "the revision was rejected: "+string(verdict))
 	}
--- a/base/rules/rules.go
+++ b/base/rules/rules.go
@@ -24,8 +24,8 @@
 	defaultSpend = "budget"
 )
 
-// Set is a compiled policy. It is safe for concurrent use.
-type Set struct {
+// Policy is a compiled policy. It is safe for concurrent use.
+type Policy struct {
 	place cel.Program
 	order cel.Program
 	spend cel.Program
@@ -33,7 +33,7 @@
 
 // Compile compiles the three programs of a policy and checks its samples. If only a sample fails, it
 // returns both the set and an error.
-func Compile(policy types.Policy) (*Set, error) {
+func Compile(policy types.Policy) (*Policy, error) {
 	place, err := compile("place", policy.Place, defaultPlace, cel.BoolType, placeVars())
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set := &Set{place: place, order: order, spend: spend}
+	set := &Policy{place: place, order: order, spend: spend}
 	return set, set.checkSamples(policy.Samples)
 }
 
@@ -80,11 +80,11 @@
 	}
 	env, err := cel.NewEnv(vars...)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot create the policy environment").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot create the policy environment").WithCause(err)
 	}
 	ast, issues := env.Compile(source)
 	if issues.Err() != nil {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not compile").Because(issues.Err())
+		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not compile").WithCause(issues.Err())
 	}
 	if !ast.OutputType().IsExactType(wantType) {
 		return nil, fault.Refuse(fault.BadConfig,
@@ -92,13 +92,13 @@
 	}
 	prog, err := env.Program(ast, cel.CostLimit(costLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": cannot create the program").Because(err)
+		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": cannot create the program").WithCause(err)
 	}
 	return prog, nil
 }
 
 // Place reports whether the policy allows the use; false if the program fails.
-func (s *Set) Place(in types.RuleInput) bool {
+func (s *Policy) Place(in types.RuleInput) bool {
 	val, err := eval(s.place, in)
 	if err != nil {
 		return false
@@ -108,12 +108,12 @@
 }
 
 // Order returns the priority, where higher goes first; 0 if the program fails.
-func (s *Set) Order(in types.RuleInput) int64 {
+func (s *Policy) Order(in types.RuleInput) int64 {
 	return evalInt(s.order, in, 0)
 }
 
 // Spend returns the maximum budget of a new program in tokens; 0 if the policy program fails.
-func (s *Set) Spend(in types.RuleInput) int64 {
+func (s *Policy) Spend(in types.RuleInput) int64 {
 	return evalInt(s.spend, in, 0)
 }
 
@@ -138,13 +138,13 @@
 		"depth": in.Depth, "turn": in.Turn, "budget": in.Budget,
 	})
 	if err != nil {
-		return nil, fault.Refuse(fault.NoPlace, "policy program failed").Because(err)
+		return nil, fault.Refuse(fault.NoAllowedPlace, "policy program failed").WithCause(err)
 	}
 	return val, nil
 }
 
 // checkSamples returns an error for the first sample whose result is not as expected.
-func (s *Set) checkSamples(samples []types.Sample) error {
+func (s *Policy) checkSamples(samples []types.Sample) error {
 	for i, sample := range samples {
 		at := "policy.samples[" + strconv.Itoa(i) + "] " + sample.Name
 		if want := sample.Want.Place; want != nil && s.Place(sample.Input) != *want {
--- a/base/seal/ring.go
+++ b/base/seal/ring.go
@@ -24,13 +24,13 @@
 	dataInfo = "mulleingate data "
 )
 
-// Root encrypts data keys. Its key comes from the settings and never leaves the process.
-type Root struct {
+// RootKey encrypts data keys. Its key comes from the settings and never leaves the process.
+type RootKey struct {
 	aead cipher.AEAD
 }
 
-// NewRoot returns a Root with a key of KeySize bytes.
-func NewRoot(key []byte) (*Root, error) {
+// NewRootKey returns a Root with a key of KeySize bytes.
+func NewRootKey(key []byte) (*RootKey, error) {
 	if len(key) != KeySize {
 		return nil, fault.Refuse(fault.BadKey, "root key has the wrong size")
 	}
@@ -38,11 +38,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Root{aead: aead}, nil
+	return &RootKey{aead: aead}, nil
 }
 
 // NewKey creates a random data key and returns it encrypted.
-func (r *Root) NewKey(id string) types.DataKey {
+func (r *RootKey) NewKey(id string) types.DataKey {
 	key := make([]byte, KeySize)
 	_, _ = rand.Read(key)
 	nonce := make([]byte, r.aead.NonceSize())
@@ -51,21 +51,21 @@
 }
 
 // decryptKey decrypts a data key.
-func (r *Root) decryptKey(key types.DataKey) ([]byte, error) {
+func (r *RootKey) decryptKey(key types.DataKey) ([]byte, error) {
 	size := r.aead.NonceSize()
 	if len(key.Sealed) < size {
 		return nil, fault.Refuse(fault.BadKey, "sealed data key is too short")
 	}
 	plain, err := r.aead.Open(nil, key.Sealed[:size], key.Sealed[size:], []byte(key.ID))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "cannot decrypt data key with the root key").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cannot decrypt data key with the root key").WithCause(err)
 	}
 	return plain, nil
 }
 
-// Ring holds the data keys in use: the last one encrypts and all of them decrypt. It is safe for
+// Keyring holds the data keys in use: the last one encrypts and all of them decrypt. It is safe for
 // concurrent use.
-type Ring struct {
+type Keyring struct {
 	keys    map[string][]byte
 	current string
 
@@ -74,9 +74,9 @@
 	aeads map[string]cipher.AEAD
 }
 
-// NewRing decrypts the data keys with the root. There must be at least one.
-func NewRing(root *Root, keys []types.DataKey) (*Ring, error) {
-	ring := &Ring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
+// NewKeyring decrypts the data keys with the root. There must be at least one.
+func NewKeyring(root *RootKey, keys []types.DataKey) (*Keyring, error) {
+	ring := &Keyring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
 	for _, key := range keys {
 		plain, err := root.decryptKey(key)
 		if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // Seal encrypts plain for the workspace and binds it to place; Open needs the same values.
-func (r *Ring) Seal(workspace, place string, plain []byte) ([]byte, error) {
+func (r *Keyring) Seal(workspace, place string, plain []byte) ([]byte, error) {
 	aead, err := r.aead(r.current, workspace)
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 
 // Open decrypts data that Seal encrypted for the same workspace and place. It returns a
 // BadContinuation fault if that fails.
-func (r *Ring) Open(workspace, place string, sealed []byte) ([]byte, error) {
+func (r *Keyring) Open(workspace, place string, sealed []byte) ([]byte, error) {
 	if len(sealed) < headerLen || sealed[0] != version {
 		return nil, fault.Refuse(fault.BadContinuation, "unknown sealed format")
 	}
@@ -126,28 +126,28 @@
 	}
 	plain, err := aead.Open(nil, rest[:aead.NonceSize()], rest[aead.NonceSize():], []byte(place))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or for another use").Because(err)
+		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or for another use").WithCause(err)
 	}
 	return plain, nil
 }
 
 // SealText is Seal with the result in unpadded URL-safe base64.
-func (r *Ring) SealText(workspace, place string, plain []byte) (string, error) {
+func (r *Keyring) SealText(workspace, place string, plain []byte) (string, error) {
 	sealed, err := r.Seal(workspace, place, plain)
 	return base64.RawURLEncoding.EncodeToString(sealed), err
 }
 
 // OpenText decrypts text that SealText returned.
-func (r *Ring) OpenText(workspace, place, text string) ([]byte, error) {
+func (r *Keyring) OpenText(workspace, place, text string) ([]byte, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "continuation is not base64url").Because(err)
+		return nil, fault.Refuse(fault.BadContinuation, "continuation is not base64url").WithCause(err)
 	}
 	return r.Open(workspace, place, sealed)
 }
 
 // aead returns the cipher for a workspace under the data key with the ID.
-func (r *Ring) aead(id, workspace string) (cipher.AEAD, error) {
+func (r *Keyring) aead(id, workspace string) (cipher.AEAD, error) {
 	key, ok := r.keys[id]
 	if !ok {
 		return nil, fault.Refuse(fault.BadContinuation, "sealed with an unknown or expired key")
@@ -170,15 +170,15 @@
 func newAEAD(key []byte, info string) (cipher.AEAD, error) {
 	sub, err := hkdf.Key(sha256.New, key, nil, info, KeySize)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "key derivation failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "key derivation failed").WithCause(err)
 	}
 	block, err := aes.NewCipher(sub)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").WithCause(err)
 	}
 	aead, err := cipher.NewGCM(block)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").WithCause(err)
 	}
 	return aead, nil
 }
--- a/base/seal/seal_test.go
+++ b/base/seal/seal_test.go
@@ -9,9 +9,9 @@
 )
 
 // newRing returns a ring of new data keys with the given IDs.
-func newRing(t testing.TB, ids ...string) *Ring {
+func newRing(t testing.TB, ids ...string) *Keyring {
 	t.Helper()
-	root, err := NewRoot(make([]byte, KeySize))
+	root, err := NewRootKey(make([]byte, KeySize))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	for _, id := range ids {
 		keys = append(keys, root.NewKey(id))
 	}
-	r, err := NewRing(root, keys)
+	r, err := NewKeyring(root, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/base/serve/serve.go
+++ b/base/serve/serve.go
@@ -28,13 +28,13 @@
 func Listen(addr netip.AddrPort) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, fault.Refuse(fault.BadSettings, "cannot listen on "+addr.String()).Because(err)
+		return nil, fault.Refuse(fault.BadSettings, "cannot listen on "+addr.String()).WithCause(err)
 	}
 	return ln, nil
 }
 
-// Running is an HTTP server that serves a listener in the background.
-type Running struct {
+// Server is an HTTP server that serves a listener in the background.
+type Server struct {
 	http *http.Server
 	ln   net.Listener
 	// serveReturned is closed once Serve has returned and no more connections are accepted.
@@ -49,8 +49,8 @@
 // Run serves the listener in the background and logs the server's own messages at debug level. It
 // calls ended if the server ends other than by Stop. It overwrites the server's ErrorLog and
 // ConnState.
-func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Running {
-	r := &Running{http: srv, ln: ln, serveReturned: make(chan struct{}), unused: map[net.Conn]time.Time{}}
+func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Server {
+	r := &Server{http: srv, ln: ln, serveReturned: make(chan struct{}), unused: map[net.Conn]time.Time{}}
 	srv.ErrorLog = slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
 	srv.ConnState = r.trackConn
 	srv.RegisterOnShutdown(r.closeUnused)
@@ -65,7 +65,7 @@
 
 // trackConn updates the unused connections. A connection counts as used once the header of its
 // first request has been read.
-func (r *Running) trackConn(conn net.Conn, state http.ConnState) {
+func (r *Server) trackConn(conn net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state == http.StateNew {
@@ -78,7 +78,7 @@
 // Stop waits for requests in flight until ctx ends, then closes their connections. Unused
 // connections delay it by at most firstRequestTimeout: http.Server.Shutdown alone waits several
 // seconds for them and drops requests that they send meanwhile.
-func (r *Running) Stop(ctx context.Context) error {
+func (r *Server) Stop(ctx context.Context) error {
 	r.stopping.Store(true)
 	_ = r.ln.Close() // it may be closed already
 	<-r.serveReturned
@@ -91,7 +91,7 @@
 
 // awaitFirstRequests waits until no unused connection is younger than firstRequestTimeout, or
 // until ctx ends.
-func (r *Running) awaitFirstRequests(ctx context.Context) {
+func (r *Server) awaitFirstRequests(ctx context.Context) {
 	for waiting := true; waiting; {
 		waiting = r.hasRecentUnused(time.Now())
 		select {
@@ -103,7 +103,7 @@
 }
 
 // hasRecentUnused reports whether any unused connection is younger than firstRequestTimeout.
-func (r *Running) hasRecentUnused(now time.Time) bool {
+func (r *Server) hasRecentUnused(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, accepted := range r.unused {
@@ -116,7 +116,7 @@
 
 // closeUnused closes the connections that are still unused. Once Shutdown has begun, the server
 // runs no requests from them.
-func (r *Running) closeUnused() {
+func (r *Server) closeUnused() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.unused {
--- a/base/server/server.go
+++ b/base/server/server.go
@@ -30,7 +30,7 @@
 
 // Server is an HTTP server with its own listener.
 type Server struct {
-	running *serve.Running
+	running *serve.Server
 	ln      net.Listener
 }
 
@@ -44,14 +44,14 @@
 	conf.Log.Level = "severe"
 	srv, err := rest.NewServer(conf)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "router setup failed").Because(err)
+		return nil, fault.Refuse(fault.Internal, "router setup failed").WithCause(err)
 	}
 	logx.DisableStat()
 	logx.SetWriter(logBridge{})
 	srv.AddRoutes(routes, rest.WithTimeout(0))
 	bound, err := rest.NewServerless(srv)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot bind routes").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot bind routes").WithCause(err)
 	}
 	return http.HandlerFunc(bound.Serve), nil
 }
@@ -85,15 +85,15 @@
 	return s.running.Stop(ctx)
 }
 
-// Read decodes a JSON request body of at most limit bytes into out.
-func Read(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
+// ReadJSON decodes a JSON request body of at most limit bytes into out.
+func ReadJSON(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return fault.Refuse(fault.TooLarge, "body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if err != nil {
-		return fault.Refuse(fault.BadRequest, "body could not be read").Because(err)
+		return fault.Refuse(fault.BadRequest, "body could not be read").WithCause(err)
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
 		return fault.Refuse(fault.BadJSON, "body is not the expected JSON")
@@ -101,15 +101,15 @@
 	return nil
 }
 
-// Write sends body as a JSON response.
-func Write(w http.ResponseWriter, status int, body any) {
+// WriteJSON sends body as a JSON response.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Fail sends err as a problem response. The Retry-After header is rounded up to whole seconds.
-func Fail(w http.ResponseWriter, requestID string, err error) {
+// WriteProblem sends err as a problem response. The Retry-After header is rounded up to whole seconds.
+func WriteProblem(w http.ResponseWriter, requestID string, err error) {
 	f := fault.From(err)
 	if f.RetryAfter > 0 {
 		secs := int64((f.RetryAfter + time.Second - 1) / time.Second)
@@ -138,14 +138,14 @@
 func (s *Stream) Send(event any) error {
 	raw, err := json.Marshal(event)
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot encode event").Because(err)
+		return fault.Fail(fault.Internal, "cannot encode event").WithCause(err)
 	}
 	return s.writeEvent(raw)
 }
 
 // Close writes the final event. It leaves the connection open.
 func (s *Stream) Close() error {
-	return s.writeEvent([]byte(client.Done))
+	return s.writeEvent([]byte(client.FinalEvent))
 }
 
 // writeEvent writes and flushes one event.
@@ -155,13 +155,13 @@
 	line = append(line, data...)
 	line = append(line, "\n\n"...)
 	if _, err := s.w.Write(line); err != nil {
-		return fault.Fail(fault.TargetFailed, "cannot write to the caller").Because(err)
+		return fault.Fail(fault.TargetFailed, "cannot write to the caller").WithCause(err)
 	}
 	return s.flush.Flush()
 }
 
-// Cut closes the connection without completing the response.
-func Cut(w http.ResponseWriter) {
+// CloseConnection closes the connection without completing the response.
+func CloseConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
--- a/base/shell/signals.go
+++ b/base/shell/signals.go
@@ -51,19 +51,19 @@
 	}()
 }
 
-// Changes makes a command that embeds it a Reloader. Calls of Reload that Serve has not handled yet
+// ReloadRequests makes a command that embeds it a Reloader. Calls of Reload that Serve has not handled yet
 // are merged into one.
-type Changes struct {
+type ReloadRequests struct {
 	pending chan struct{}
 }
 
-// NewChanges returns Changes without a pending reload.
-func NewChanges() Changes {
-	return Changes{pending: make(chan struct{}, 1)}
+// NewReloadRequests returns Changes without a pending reload.
+func NewReloadRequests() ReloadRequests {
+	return ReloadRequests{pending: make(chan struct{}, 1)}
 }
 
 // Reload requests a reload from Serve.
-func (c Changes) Reload() {
+func (c ReloadRequests) Reload() {
 	select {
 	case c.pending <- struct{}{}:
 	default:
@@ -72,7 +72,7 @@
 
 // Serve calls reload on each request until the command has stopped, and returns the error of stop.
 // It calls stop when ctx ends, with a context that is not cancelled; reloads continue meanwhile.
-func (c Changes) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
+func (c ReloadRequests) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
--- a/base/types/config.go
+++ b/base/types/config.go
@@ -66,13 +66,13 @@
 
 // Sample is a test case for a policy: an input and the results expected for it.
 type Sample struct {
-	Name  string     `json:"name"`
-	Input RuleInput  `json:"input"`
-	Want  SampleWant `json:"want"`
+	Name  string          `json:"name"`
+	Input RuleInput       `json:"input"`
+	Want  ExpectedResults `json:"want"`
 }
 
-// SampleWant holds expected results; nil fields are not compared.
-type SampleWant struct {
+// ExpectedResults holds expected results; nil fields are not compared.
+type ExpectedResults struct {
 	Place *bool  `json:"place,omitempty"`
 	Order *int64 `json:"order,omitempty"`
 	Spend *int64 `json:"spend,omitempty"`
@@ -114,9 +114,9 @@
 
 // DataKey is a data encryption key, encrypted with the root key from the settings.
 type DataKey struct {
-	ID     string    `json:"id"`
-	Sealed []byte    `json:"sealed"`
-	Made   time.Time `json:"made"`
+	ID        string    `json:"id"`
+	Sealed    []byte    `json:"sealed"`
+	CreatedAt time.Time `json:"made"`
 }
 
 // Revision is an entry of the configuration stream.
@@ -131,7 +131,7 @@
 	Config Config    `json:"config"`
 	// Signature is the operator's Ed25519 signature over the fields above.
 	Signature []byte `json:"signature"`
-	// Carry marks a copy of an accepted revision: one appended again before the log's retention
+	// IsCopy marks a copy of an accepted revision: one appended again before the log's retention
 	// removes the original, or one fetched from another box.
-	Carry bool `json:"carry,omitempty"`
+	IsCopy bool `json:"carry,omitempty"`
 }
--- a/base/types/platform.go
+++ b/base/types/platform.go
@@ -35,8 +35,8 @@
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// List is the platform's list of boxes and targets. It lags behind their actual state.
-type List struct {
+// PlatformList is the platform's list of boxes and targets. It lags behind their actual state.
+type PlatformList struct {
 	At      time.Time `json:"at"`
 	Boxes   []Member  `json:"boxes"`
 	Targets []Target  `json:"targets"`
@@ -67,10 +67,10 @@
 // CacheEvent reports that a program's prefix was added to an engine's cache or, with Gone set,
 // removed from it.
 type CacheEvent struct {
-	Seq    int64  `json:"seq"`
-	Key    string `json:"key"`
-	Tokens int    `json:"tokens"`
-	Gone   bool   `json:"gone,omitempty"`
+	Seq     int64  `json:"seq"`
+	Key     string `json:"key"`
+	Tokens  int    `json:"tokens"`
+	Removed bool   `json:"gone,omitempty"`
 }
 
 // EngineCall is one request to an engine.
--- a/base/types/record.go
+++ b/base/types/record.go
@@ -25,17 +25,17 @@
 
 // Record is a union of the record types: exactly one field is set.
 type Record struct {
-	Begin    *Begin    `json:"begin,omitempty"`
-	Turn     *Turn     `json:"turn,omitempty"`
-	Grant    *Grant    `json:"grant,omitempty"`
-	Settle   *Settle   `json:"settle,omitempty"`
-	End      *End      `json:"end,omitempty"`
-	Intent   *Intent   `json:"intent,omitempty"`
-	Outcome  *Outcome  `json:"outcome,omitempty"`
-	Release  *Release  `json:"release,omitempty"`
-	Program  *Program  `json:"program,omitempty"`
-	Purse    *Purse    `json:"purse,omitempty"`
-	KeyState *KeyState `json:"key_state,omitempty"`
+	Begin      *Begin      `json:"begin,omitempty"`
+	Turn       *Turn       `json:"turn,omitempty"`
+	Grant      *Grant      `json:"grant,omitempty"`
+	Settle     *Settle     `json:"settle,omitempty"`
+	End        *End        `json:"end,omitempty"`
+	Intent     *Intent     `json:"intent,omitempty"`
+	Outcome    *Outcome    `json:"outcome,omitempty"`
+	Release    *Release    `json:"release,omitempty"`
+	Program    *Program    `json:"program,omitempty"`
+	TreeBudget *TreeBudget `json:"purse,omitempty"`
+	KeyState   *KeyState   `json:"key_state,omitempty"`
 }
 
 // Begin creates a program.
@@ -63,17 +63,17 @@
 	Number  int    `json:"number"`
 	// Digest covers the program, workspace, number and content, and the previous turn's digest.
 	Digest []byte `json:"digest"`
-	// Ask is the digest of the caller's request. It distinguishes a repeated request from a
+	// RequestDigest is the digest of the caller's request. It distinguishes a repeated request from a
 	// conflicting one.
-	Ask []byte `json:"ask"`
+	RequestDigest []byte `json:"ask"`
 	// Sealed holds the turn's TurnContent, encrypted with the workspace's key.
 	Sealed []byte `json:"sealed"`
-	// Spent is what the whole program tree had spent when the turn was answered, in tokens.
-	Spent int64     `json:"spent"`
-	At    time.Time `json:"at"`
-	// Instead is true if the turn replaces the last one, on which no caller continued: two owners
+	// TreeSpent is what the whole program tree had spent when the turn was answered, in tokens.
+	TreeSpent int64     `json:"spent"`
+	At        time.Time `json:"at"`
+	// Replaces is true if the turn replaces the last one, on which no caller continued: two owners
 	// answered the same turn, and the caller continues from this answer.
-	Instead bool `json:"instead,omitempty"`
+	Replaces bool `json:"instead,omitempty"`
 }
 
 // Grant raises the total that owners may spend on a program tree, in tokens.
@@ -98,13 +98,13 @@
 
 // Intent records that a call that must not be repeated is about to be dispatched.
 type Intent struct {
-	Key       string    `json:"key"`
-	Attempt   string    `json:"attempt"`
-	Workspace string    `json:"workspace"`
-	Service   string    `json:"service"`
-	Program   string    `json:"program,omitempty"`
-	Ask       []byte    `json:"ask"`
-	At        time.Time `json:"at"`
+	Key           string    `json:"key"`
+	Attempt       string    `json:"attempt"`
+	Workspace     string    `json:"workspace"`
+	Service       string    `json:"service"`
+	Program       string    `json:"program,omitempty"`
+	RequestDigest []byte    `json:"ask"`
+	At            time.Time `json:"at"`
 }
 
 // Outcome records how the call of an intent ended.
@@ -135,8 +135,8 @@
 	LastAt   time.Time `json:"last_at"`
 }
 
-// Purse is the budget of a program tree, in tokens.
-type Purse struct {
+// TreeBudget is the budget of a program tree, in tokens.
+type TreeBudget struct {
 	Root   string `json:"root"`
 	Budget int64  `json:"budget"`
 	// Granted never exceeds Budget, and Spent never exceeds Granted.
@@ -168,11 +168,11 @@
 
 // TurnContent is the plaintext of a turn's Sealed field.
 type TurnContent struct {
-	Ask    []Message `json:"ask"`
-	Answer Message   `json:"answer"`
-	Usage  Usage     `json:"usage"`
-	Finish string    `json:"finish"`
-	ID     string    `json:"id"`
+	Request []Message `json:"ask"`
+	Answer  Message   `json:"answer"`
+	Usage   Usage     `json:"usage"`
+	Finish  string    `json:"finish"`
+	ID      string    `json:"id"`
 }
 
 // ServiceResult is the plaintext of an outcome's Sealed field.
--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -265,7 +265,7 @@
 	if err == nil {
 		return false
 	}
-	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.Protocol)
+	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerUnreachable) || fault.Is(err, fault.Protocol)
 }
 
 func (d *Detour) bad() bool {
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -16,8 +16,8 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// Taker receives the engines' reports and knows which engines cache which programs.
-type Taker interface {
+// Queue receives the engines' reports and knows which engines cache which programs.
+type Queue interface {
 	Tell(m lease.Message)
 	HoldersOf(program string) []string
 	Holders() map[string][]string
@@ -25,7 +25,7 @@
 
 // Lists notifies of updates to the platform's list.
 type Lists interface {
-	OnList(take func(types.List))
+	OnList(take func(types.PlatformList))
 }
 
 // Counts receives metrics.
@@ -35,12 +35,12 @@
 
 // Timing holds the intervals of polling.
 type Timing struct {
-	// Poll is the polling interval of engines that run calls of this box, IdlePoll that of
-	// other engines, and Sync the interval at which complete cache lists are read.
-	Poll, IdlePoll, Sync time.Duration
-	// Subset is the maximum number of engines that a box uses in its own zone, and separately
+	// PollInterval is the polling interval of engines that run calls of this box, IdlePollInterval that of
+	// other engines, and SyncInterval the interval at which complete cache lists are read.
+	PollInterval, IdlePollInterval, SyncInterval time.Duration
+	// SubsetSize is the maximum number of engines that a box uses in its own zone, and separately
 	// in all other zones together.
-	Subset int
+	SubsetSize int
 }
 
 const (
@@ -52,7 +52,7 @@
 type Engines struct {
 	self   string
 	zone   string
-	queue  Taker
+	queue  Queue
 	timing Timing
 	counts Counts
 	logger *slog.Logger
@@ -69,7 +69,7 @@
 }
 
 // New creates the service for the box self in zone.
-func New(self, zone string, queue Taker, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
+func New(self, zone string, queue Queue, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
 	s := &Engines{
 		self: self, zone: zone, queue: queue, timing: timing, counts: counts, logger: logger,
 		http: client.New("engine", nil), targets: map[string]types.Target{}, pollers: map[string]context.CancelFunc{}, calls: map[string]int{},
@@ -93,7 +93,7 @@
 
 // updateTargets selects engines from the list, starts and stops their pollers accordingly, and
 // sends the selection to the queue.
-func (s *Engines) updateTargets(list types.List) {
+func (s *Engines) updateTargets(list types.PlatformList) {
 	selected := s.selectEngines(list.Targets)
 	s.mu.Lock()
 	next := map[string]types.Target{}
@@ -133,11 +133,11 @@
 }
 
 func (s *Engines) selectSubset(targets []types.Target) []types.Target {
-	if len(targets) <= s.timing.Subset {
+	if len(targets) <= s.timing.SubsetSize {
 		return targets
 	}
 	var subset []types.Target
-	for _, i := range ident.Closest(s.self, len(targets), func(i int) string { return targets[i].Name }, s.timing.Subset) {
+	for _, i := range ident.RendezvousTop(s.self, len(targets), func(i int) string { return targets[i].Name }, s.timing.SubsetSize) {
 		subset = append(subset, targets[i])
 	}
 	return subset
@@ -174,7 +174,7 @@
 	for {
 		if target, ok := s.Target(name); ok {
 			after = s.pollOnce(ctx, target, after)
-			if time.Since(lastSync) > s.timing.Sync {
+			if time.Since(lastSync) > s.timing.SyncInterval {
 				s.syncCache(ctx, target)
 				lastSync = time.Now()
 			}
@@ -195,9 +195,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls[name] > 0 {
-		return s.timing.Poll
+		return s.timing.PollInterval
 	}
-	return s.timing.IdlePoll
+	return s.timing.IdlePollInterval
 }
 
 // addCalls adds delta to the number of calls in flight at an engine.
@@ -241,7 +241,7 @@
 	for key, it := range items {
 		tokens[key] = it.Tokens
 	}
-	s.queue.Tell(lease.Cached{Target: target.Name, Tokens: tokens})
+	s.queue.Tell(lease.CacheList{Target: target.Name, Tokens: tokens})
 }
 
 // Release releases the caches of programs on all engines that hold them.
@@ -252,7 +252,7 @@
 			byTarget[name] = append(byTarget[name], id)
 		}
 	}
-	s.queue.Tell(lease.Forget{Programs: programs})
+	s.queue.Tell(lease.ForgetPrograms{Programs: programs})
 	for name, ids := range byTarget {
 		s.releaseOn(name, ids)
 	}
@@ -263,7 +263,7 @@
 	if !ok {
 		return
 	}
-	if err := s.Cache(s.ctx, target, types.CacheOrder{Op: "release", Keys: ids}); err != nil {
+	if err := s.SendCacheOrder(s.ctx, target, types.CacheOrder{Op: "release", Keys: ids}); err != nil {
 		s.counts.Count("engine.release_failures", 1)
 		s.logger.Debug("engine: release failed", "target", name, "error", err)
 		return
@@ -282,7 +282,7 @@
 		}
 		if len(expired) > 0 {
 			s.releaseOn(name, expired)
-			s.queue.Tell(lease.Forget{Programs: expired})
+			s.queue.Tell(lease.ForgetPrograms{Programs: expired})
 		}
 	}
 }
@@ -290,7 +290,7 @@
 // Move copies a program's cache from one engine to another.
 func (s *Engines) Move(program string, source, destination types.Target) {
 	order := types.CacheOrder{Op: "import", Keys: []string{program}, From: source.Addr}
-	if err := s.Cache(s.ctx, destination, order); err != nil {
+	if err := s.SendCacheOrder(s.ctx, destination, order); err != nil {
 		s.counts.Count("engine.move_failures", 1)
 		return
 	}
--- a/gate/engine/stream.go
+++ b/gate/engine/stream.go
@@ -50,7 +50,7 @@
 			break
 		}
 	}
-	return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "the stream broke and could not be resumed").Because(err)
+	return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "the stream broke and could not be resumed").WithCause(err)
 }
 
 func (s *Engines) resume(ctx context.Context, target types.Target, reader *streamReader) (types.EngineEvent, error) {
@@ -84,10 +84,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return types.EngineEvent{}, client.Decode(resp, nil)
 	}
-	return r.read(client.NewEvents(resp.Body))
+	return r.read(client.NewEventReader(resp.Body))
 }
 
-func (r *streamReader) read(events *client.Events) (types.EngineEvent, error) {
+func (r *streamReader) read(events *client.EventReader) (types.EngineEvent, error) {
 	for {
 		data, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -134,15 +134,15 @@
 	}
 }
 
-// Cache sends a cache order to an engine.
-func (s *Engines) Cache(ctx context.Context, target types.Target, order types.CacheOrder) error {
+// SendCacheOrder sends a cache order to an engine.
+func (s *Engines) SendCacheOrder(ctx context.Context, target types.Target, order types.CacheOrder) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/cache"), order, nil)
 }
 
-// Order sends a model order to an engine.
-func (s *Engines) Order(ctx context.Context, target types.Target, order types.EngineOrder) error {
+// SendModelOrder sends a model order to an engine.
+func (s *Engines) SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/orders"), order, nil)
--- a/gate/fold/chain.go
+++ b/gate/fold/chain.go
@@ -7,22 +7,22 @@
 	"mulleingate.dev/base/types"
 )
 
-// Head returns the number of the program's last answered turn, or 0 if it has none.
-func Head(prog *types.Program) int {
+// LastTurn returns the number of the program's last answered turn, or 0 if it has none.
+func LastTurn(prog *types.Program) int {
 	return len(prog.Turns)
 }
 
-// Last returns the digest of the program's last answered turn, or nil if it has none.
-func Last(prog *types.Program) []byte {
+// LastDigest returns the digest of the program's last answered turn, or nil if it has none.
+func LastDigest(prog *types.Program) []byte {
 	if len(prog.Turns) == 0 {
 		return nil
 	}
 	return prog.Turns[len(prog.Turns)-1].Digest
 }
 
-// Digest returns the hash that chains a turn to the previous one. It covers the program,
+// TurnDigest returns the hash that chains a turn to the previous one. It covers the program,
 // the workspace, the turn's number, request digest and sealed content, and the previous digest.
-func Digest(b types.Begin, t types.Turn, previous []byte) []byte {
+func TurnDigest(b types.Begin, t types.Turn, previous []byte) []byte {
 	hash := sha256.New()
 	writeField := func(data []byte) {
 		_ = binary.Write(hash, binary.BigEndian, uint64(len(data)))
@@ -31,7 +31,7 @@
 	writeField([]byte(b.ID))
 	writeField([]byte(b.Workspace))
 	_ = binary.Write(hash, binary.BigEndian, uint64(t.Number))
-	writeField(t.Ask)
+	writeField(t.RequestDigest)
 	writeField(t.Sealed)
 	writeField(previous)
 	return hash.Sum(nil)
--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -7,26 +7,26 @@
 	"mulleingate.dev/base/types"
 )
 
-// Verdict reports how an entry was handled.
-type Verdict int
+// Result reports how an entry was handled.
+type Result int
 
 const (
 	// Applied means that the entry's records were applied.
-	Applied Verdict = iota
+	Applied Result = iota
 	// Claimed means that the entry is a claim and started a new epoch.
 	Claimed
 	// Stale means that the entry belongs to an older epoch and was ignored.
 	Stale
-	// Copy means that the entry was applied before and was ignored.
-	Copy
-	// Garbage means that the entry could not be decoded.
-	Garbage
+	// Duplicate means that the entry was applied before and was ignored.
+	Duplicate
+	// Malformed means that the entry could not be decoded.
+	Malformed
 )
 
 // State is the state of one slot after the entries applied so far.
 type State struct {
-	// Next is the offset of the next entry to read.
-	Next int64
+	// NextOffset is the offset of the next entry to read.
+	NextOffset int64
 	// Epoch is the offset of the newest claim. It never decreases.
 	Epoch int64
 	// Owner is the newest claim, or zero if the log no longer retains it.
@@ -36,7 +36,7 @@
 	// Seq is the sequence number of the last entry of Epoch that was applied.
 	Seq      int64
 	Programs map[string]*types.Program
-	Purses   map[string]*types.Purse
+	Purses   map[string]*types.TreeBudget
 	Keys     map[string]*types.KeyState
 }
 
@@ -44,24 +44,24 @@
 func New() *State {
 	return &State{
 		Programs: map[string]*types.Program{},
-		Purses:   map[string]*types.Purse{},
+		Purses:   map[string]*types.TreeBudget{},
 		Keys:     map[string]*types.KeyState{},
 	}
 }
 
-// Read decodes one log entry and applies it.
-func (s *State) Read(entry types.LogEntry) Verdict {
-	s.Next = max(s.Next, entry.Offset+1)
+// ApplyLogEntry decodes one log entry and applies it.
+func (s *State) ApplyLogEntry(entry types.LogEntry) Result {
+	s.NextOffset = max(s.NextOffset, entry.Offset+1)
 	var e types.Entry
 	if json.Unmarshal(entry.Data, &e) != nil {
-		return Garbage
+		return Malformed
 	}
 	return s.Apply(entry.Offset, e)
 }
 
 // Apply applies one entry. It ignores entries of an older epoch than the newest claim's
 // and duplicates of entries that were already applied.
-func (s *State) Apply(offset int64, e types.Entry) Verdict {
+func (s *State) Apply(offset int64, e types.Entry) Result {
 	if e.Claim != nil {
 		s.applyClaim(offset, *e.Claim)
 		return Claimed
@@ -73,11 +73,11 @@
 		s.startUnclaimedEpoch(e.Epoch)
 	}
 	if e.Seq <= s.Seq {
-		return Copy
+		return Duplicate
 	}
 	s.Seq = e.Seq
 	for _, rec := range e.Records {
-		s.Record(rec)
+		s.ApplyRecord(rec)
 	}
 	return Applied
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// Record applies one record of the current epoch.
-func (s *State) Record(rec types.Record) {
+// ApplyRecord applies one record of the current epoch.
+func (s *State) ApplyRecord(rec types.Record) {
 	switch {
 	case rec.Begin != nil:
 		s.applyBegin(*rec.Begin)
@@ -122,8 +122,8 @@
 		s.Released = true
 	case rec.Program != nil:
 		s.applySnapshot(*rec.Program)
-	case rec.Purse != nil:
-		purse := *rec.Purse
+	case rec.TreeBudget != nil:
+		purse := *rec.TreeBudget
 		s.Purses[purse.Root] = &purse
 	case rec.KeyState != nil:
 		key := *rec.KeyState
@@ -137,7 +137,7 @@
 	}
 	s.Programs[b.ID] = &types.Program{Begin: b, LastAt: b.Created}
 	if b.ID == b.Root {
-		s.Purses[b.ID] = &types.Purse{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
+		s.Purses[b.ID] = &types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
 	}
 	if parent, ok := s.Programs[b.Parent]; ok {
 		parent.Children++
@@ -150,7 +150,7 @@
 		return
 	}
 	switch {
-	case t.Instead && Replaces(prog, t):
+	case t.Replaces && Replaces(prog, t):
 		prog.Turns = append(prog.Turns[:len(prog.Turns)-1:len(prog.Turns)-1], t)
 	case Extends(prog, t):
 		prog.Turns = append(prog.Turns, t)
@@ -159,7 +159,7 @@
 	}
 	prog.LastAt = t.At
 	if purse, ok := s.Purses[prog.Begin.Root]; ok {
-		purse.Spent = min(max(purse.Spent, t.Spent), purse.Granted)
+		purse.Spent = min(max(purse.Spent, t.TreeSpent), purse.Granted)
 	}
 }
 
@@ -218,20 +218,20 @@
 
 // Extends reports whether the turn is the next one in the program's hash chain.
 func Extends(prog *types.Program, t types.Turn) bool {
-	if t.Program != prog.Begin.ID || t.Number != Head(prog)+1 {
+	if t.Program != prog.Begin.ID || t.Number != LastTurn(prog)+1 {
 		return false
 	}
-	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(prog)))
+	return bytes.Equal(t.Digest, TurnDigest(prog.Begin, t, LastDigest(prog)))
 }
 
 // Replaces reports whether the turn is an alternative to the program's last answered turn:
 // it has the same number and follows the same previous turn.
 func Replaces(prog *types.Program, t types.Turn) bool {
-	head := Head(prog)
+	head := LastTurn(prog)
 	if head == 0 || t.Program != prog.Begin.ID || t.Number != head {
 		return false
 	}
 	prefix := *prog
 	prefix.Turns = prog.Turns[:head-1]
-	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(&prefix)))
+	return bytes.Equal(t.Digest, TurnDigest(prog.Begin, t, LastDigest(&prefix)))
 }
--- a/gate/fold/fold_test.go
+++ b/gate/fold/fold_test.go
@@ -30,14 +30,14 @@
 
 func TestStaleEntriesAndDuplicatesAreIgnored(t *testing.T) {
 	s := New()
-	var got []Verdict
+	var got []Result
 	for i, e := range []types.Entry{
 		claimEntry("a"), beginEntry(1, 1, "p"), beginEntry(1, 1, "copy"),
 		claimEntry("b"), beginEntry(1, 2, "stale"), beginEntry(4, 1, "q"),
 	} {
-		got = append(got, s.Read(logEntry(t, int64(i+1), e)))
+		got = append(got, s.ApplyLogEntry(logEntry(t, int64(i+1), e)))
 	}
-	want := []Verdict{Claimed, Applied, Copy, Claimed, Stale, Applied}
+	want := []Result{Claimed, Applied, Duplicate, Claimed, Stale, Applied}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
 	}
@@ -54,10 +54,10 @@
 
 func TestClaimCountsGrantsAsSpent(t *testing.T) {
 	s := New()
-	s.Read(logEntry(t, 1, claimEntry("a")))
-	s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
-	s.Read(logEntry(t, 3, claimEntry("b")))
-	want := &types.Purse{Root: "p", Budget: 100, Granted: 30, Spent: 30}
+	s.ApplyLogEntry(logEntry(t, 1, claimEntry("a")))
+	s.ApplyLogEntry(logEntry(t, 2, beginEntry(1, 1, "p")))
+	s.ApplyLogEntry(logEntry(t, 3, claimEntry("b")))
+	want := &types.TreeBudget{Root: "p", Budget: 100, Granted: 30, Spent: 30}
 	if diff := cmp.Diff(want, s.Purses["p"]); diff != "" {
 		t.Errorf("purse (-want +got):\n%s", diff)
 	}
@@ -65,29 +65,29 @@
 
 func TestHistoryAcceptsOnlyTheNextChainedTurn(t *testing.T) {
 	s := New()
-	s.Read(logEntry(t, 1, claimEntry("a")))
-	s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
+	s.ApplyLogEntry(logEntry(t, 1, claimEntry("a")))
+	s.ApplyLogEntry(logEntry(t, 2, beginEntry(1, 1, "p")))
 	prog := s.Programs["p"]
 	chainedTurn := func(n int, sealed string) types.Turn {
 		turn := types.Turn{Program: "p", Number: n, Sealed: []byte(sealed)}
-		turn.Digest = Digest(prog.Begin, turn, Last(prog))
+		turn.Digest = TurnDigest(prog.Begin, turn, LastDigest(prog))
 		return turn
 	}
 	first := chainedTurn(1, "one")
-	s.Record(types.Record{Turn: &first})
+	s.ApplyRecord(types.Record{Turn: &first})
 	for name, turn := range map[string]types.Turn{
 		"a gap":           chainedTurn(3, "three"),
 		"altered content": {Program: "p", Number: 2, Sealed: []byte("x"), Digest: chainedTurn(2, "two").Digest},
 		"another program": {Program: "q", Number: 2, Digest: chainedTurn(2, "two").Digest},
 	} {
-		s.Record(types.Record{Turn: &turn})
-		if Head(prog) != 1 {
+		s.ApplyRecord(types.Record{Turn: &turn})
+		if LastTurn(prog) != 1 {
 			t.Errorf("turn with %s was accepted", name)
 		}
 	}
 	second := chainedTurn(2, "two")
-	s.Record(types.Record{Turn: &second})
-	if diff := cmp.Diff(2, Head(prog)); diff != "" {
+	s.ApplyRecord(types.Record{Turn: &second})
+	if diff := cmp.Diff(2, LastTurn(prog)); diff != "" {
 		t.Errorf("head (-want +got):\n%s", diff)
 	}
 }
@@ -97,11 +97,11 @@
 	f.Add([]byte(`{"epoch":1,"seq":1,"records":[{"turn":{"program":"p"}},{"purse":{"root":"p"}}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := New()
-		s.Read(logEntry(t, 1, claimEntry("a")))
-		s.Read(logEntry(t, 2, beginEntry(1, 1, "p")))
-		s.Read(types.LogEntry{Offset: 3, Data: raw})
-		if s.Next != 4 || s.Epoch < 1 {
-			t.Errorf("next offset or epoch is wrong: next %d, want 4; epoch %d, want at least 1", s.Next, s.Epoch)
+		s.ApplyLogEntry(logEntry(t, 1, claimEntry("a")))
+		s.ApplyLogEntry(logEntry(t, 2, beginEntry(1, 1, "p")))
+		s.ApplyLogEntry(types.LogEntry{Offset: 3, Data: raw})
+		if s.NextOffset != 4 || s.Epoch < 1 {
+			t.Errorf("next offset or epoch is wrong: next %d, want 4; epoch %d, want at least 1", s.NextOffset, s.Epoch)
 		}
 	})
 }
--- a/gate/lease/message.go
+++ b/gate/lease/message.go
@@ -17,17 +17,17 @@
 // Leaving announces that an engine accepts no new work.
 type Leaving struct{ Name string }
 
-// Others holds another box's streams in flight, by target.
-type Others struct {
+// RemoteStreams holds another box's streams in flight, by target.
+type RemoteStreams struct {
 	Box     string
 	Streams map[string]int
 }
 
-// Forget removes programs from the queue's record of engine caches.
-type Forget struct{ Programs []string }
+// ForgetPrograms removes programs from the queue's record of engine caches.
+type ForgetPrograms struct{ Programs []string }
 
-// Cached is the complete list of programs in an engine's cache, with their tokens.
-type Cached struct {
+// CacheList is the complete list of programs in an engine's cache, with their tokens.
+type CacheList struct {
 	Target string
 	Tokens map[string]int
 }
@@ -38,11 +38,11 @@
 // Dropped announces that an engine no longer caches a program.
 type Dropped struct{ Program, Target string }
 
-func (Dropped) isMessage() {}
-func (Moved) isMessage()   {}
-func (Report) isMessage()  {}
-func (Targets) isMessage() {}
-func (Leaving) isMessage() {}
-func (Others) isMessage()  {}
-func (Forget) isMessage()  {}
-func (Cached) isMessage()  {}
+func (Dropped) isMessage()        {}
+func (Moved) isMessage()          {}
+func (Report) isMessage()         {}
+func (Targets) isMessage()        {}
+func (Leaving) isMessage()        {}
+func (RemoteStreams) isMessage()  {}
+func (ForgetPrograms) isMessage() {}
+func (CacheList) isMessage()      {}
--- a/gate/limit/adapt.go
+++ b/gate/limit/adapt.go
@@ -24,12 +24,12 @@
 	return int(a.limit)
 }
 
-// Good records a call that found the target not overloaded.
-func (a *Adaptive) Good() {
+// Success records a call that found the target not overloaded.
+func (a *Adaptive) Success() {
 	a.limit = math.Min(a.Max, a.limit+1/a.limit)
 }
 
-// Crowded records that the target queues or rejects calls.
-func (a *Adaptive) Crowded() {
+// Overloaded records that the target queues or rejects calls.
+func (a *Adaptive) Overloaded() {
 	a.limit = math.Max(a.Min, a.limit*decreaseFactor)
 }
--- a/gate/limit/eject.go
+++ b/gate/limit/eject.go
@@ -23,18 +23,18 @@
 	return &Ejector{failures: map[string]int{}, ejectedUntil: map[string]time.Time{}, ejections: map[string]int{}}
 }
 
-// Good records a successful call. It ends the target's ejection and clears its failures.
-func (e *Ejector) Good(name string) {
+// Success records a successful call. It ends the target's ejection and clears its failures.
+func (e *Ejector) Success(name string) {
 	delete(e.failures, name)
 	delete(e.ejections, name)
 	delete(e.ejectedUntil, name)
 }
 
-// Bad records a failed call and reports whether it ejects the target. poolSize is the number
+// Failure records a failed call and reports whether it ejects the target. poolSize is the number
 // of targets in the pool.
-func (e *Ejector) Bad(now time.Time, name string, poolSize int) bool {
+func (e *Ejector) Failure(now time.Time, name string, poolSize int) bool {
 	e.failures[name]++
-	if e.failures[name] < failuresToEject || 2*(e.Out(now)+1) > poolSize {
+	if e.failures[name] < failuresToEject || 2*(e.EjectedCount(now)+1) > poolSize {
 		return false
 	}
 	duration := min(minEjection<<e.ejections[name], maxEjection)
@@ -49,8 +49,8 @@
 	return now.Before(e.ejectedUntil[name])
 }
 
-// Out returns the number of targets ejected at the given time.
-func (e *Ejector) Out(now time.Time) int {
+// EjectedCount returns the number of targets ejected at the given time.
+func (e *Ejector) EjectedCount(now time.Time) int {
 	n := 0
 	for _, until := range e.ejectedUntil {
 		if now.Before(until) {
--- a/gate/plain/flight.go
+++ b/gate/plain/flight.go
@@ -62,13 +62,13 @@
 	case <-dispatchCtx.Done():
 	}
 	if r.abandon() {
-		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log did not confirm the intent in time").After(intentTimeout)
+		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log did not confirm the intent in time").WithRetryAfter(intentTimeout)
 	}
 	select {
 	case <-r.done:
 		return r.answer, r.err
 	case <-ctx.Done():
-		return types.ServiceAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").Because(ctx.Err())
+		return types.ServiceAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").WithCause(ctx.Err())
 	}
 }
 
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -22,14 +22,14 @@
 
 // Replicas sends calls to the replicas of services.
 type Replicas interface {
-	Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
-	Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
+	SendOnce(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
+	SendRepeatable(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
 	Probe(ctx context.Context, svc types.Service, in types.RuleInput, key string) (json.RawMessage, bool, error)
 }
 
 // Sealer provides the keys that encrypt stored answers.
 type Sealer interface {
-	Ring() (*seal.Ring, error)
+	Ring() (*seal.Keyring, error)
 }
 
 const (
@@ -40,8 +40,8 @@
 	probeTimeout   = 2 * time.Second
 )
 
-// Ask is a call to a tool or plain service.
-type Ask struct {
+// ServiceCall is a call to a tool or plain service.
+type ServiceCall struct {
 	Service types.Service
 	Input   types.RuleInput
 	// Key is the caller's idempotency key, unique within its workspace; it may be empty.
@@ -49,8 +49,8 @@
 	Program string
 	Body    json.RawMessage
 	Chunk   int64
-	// Adopt is the program's decrypted continuation, if the caller sent one.
-	Adopt *types.Continuation
+	// Continuation is the program's decrypted continuation, if the caller sent one.
+	Continuation *types.Continuation
 }
 
 // Plain is the service that runs calls of tools and plain services.
@@ -89,20 +89,20 @@
 
 // Call runs a call. This box must own the slot, or be able to claim it, if the call is recorded
 // in the slot's stream or charged to a program.
-func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
+func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
 	if !ask.Service.Repeatable && ask.Key != "" {
 		return p.callWithKey(ctx, slot, ask)
 	}
 	if err := p.chargeCall(ctx, slot, ask); err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	body := Body{Key: ident.Random(), Input: ask.Body}
+	body := Body{Key: ident.RandomID(), Input: ask.Body}
 	if ask.Key != "" {
 		body.Key = scopedKey(ask)
 	}
-	send := p.pools.Repeat
+	send := p.pools.SendRepeatable
 	if !ask.Service.Repeatable {
-		send = p.pools.Once
+		send = p.pools.SendOnce
 	}
 	output, err := send(ctx, ask.Service, ask.Input, body)
 	if err != nil {
@@ -112,19 +112,19 @@
 }
 
 // scopedKey returns the caller's key prefixed with its workspace, as logged and sent.
-func scopedKey(ask Ask) string {
+func scopedKey(ask ServiceCall) string {
 	return ask.Input.Workspace + "/" + ask.Key
 }
 
 // chargeCall charges the program for a call that has no intent, before it is sent.
-func (p *Plain) chargeCall(ctx context.Context, slot ident.Slot, ask Ask) error {
+func (p *Plain) chargeCall(ctx context.Context, slot ident.Slot, ask ServiceCall) error {
 	if ask.Program == "" || ask.Service.Price == 0 {
 		return nil
 	}
 	intent := types.Intent{Workspace: ask.Input.Workspace, Program: ask.Program}
 	call := desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk}
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adoptContinuation(d, ask.Adopt)
+		adopted, err := adoptContinuation(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
@@ -150,18 +150,18 @@
 	return ticket.Wait(ctx)
 }
 
-func (p *Plain) callWithKey(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
+func (p *Plain) callWithKey(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
 	hash := sha256.New()
 	_, _ = hash.Write([]byte(ask.Service.Name + "\x00"))
 	_, _ = hash.Write(ask.Body)
 	intent := types.Intent{
-		Key: scopedKey(ask), Attempt: ident.Random(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
-		Program: ask.Program, Ask: hash.Sum(nil), At: time.Now(),
+		Key: scopedKey(ask), Attempt: ident.RandomID(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
+		Program: ask.Program, RequestDigest: hash.Sum(nil), At: time.Now(),
 	}
 	run := newKeyedRun(intent.Attempt)
 	var start desk.CallStart
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adoptContinuation(d, ask.Adopt)
+		adopted, err := adoptContinuation(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
@@ -193,11 +193,11 @@
 
 // dispatchOnce waits until the log has confirmed the intent, dispatches the call once, and
 // logs the outcome.
-func (p *Plain) dispatchOnce(slot ident.Slot, ask Ask, callRun *desk.CallRun, run *keyedRun, ticket *desk.Ticket) {
+func (p *Plain) dispatchOnce(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, run *keyedRun, ticket *desk.Ticket) {
 	started := time.Now()
 	<-ticket.Done()
 	if err := ticket.Wait(context.Background()); err != nil {
-		run.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "this box lost the slot before it dispatched the call").After(time.Second).Because(err))
+		run.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "this box lost the slot before it dispatched the call").WithRetryAfter(time.Second).WithCause(err))
 		return
 	}
 	p.counts.Time("plain.intent_time", time.Since(started))
@@ -208,18 +208,18 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
-	out, err := p.pools.Once(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
+	out, err := p.pools.SendOnce(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
 	p.logOutcome(slot, ask, callRun, run, out, err)
 }
 
 // logOutcome logs the outcome of a dispatched call and then answers the callers. A fault with
 // NotRun frees the key; any other failure leaves the outcome unknown.
-func (p *Plain) logOutcome(slot ident.Slot, ask Ask, callRun *desk.CallRun, run *keyedRun, out json.RawMessage, err error) {
+func (p *Plain) logOutcome(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, run *keyedRun, out json.RawMessage, err error) {
 	if err != nil {
 		f := fault.From(err)
 		p.finishCall(slot, callRun, types.Outcome{NotRun: f.NotRun, Unknown: !f.NotRun})
 		if !f.NotRun {
-			f = fault.Fail(fault.OutcomeUnknown, "the call was dispatched and its outcome is not known").Because(err)
+			f = fault.Fail(fault.OutcomeUnknown, "the call was dispatched and its outcome is not known").WithCause(err)
 		}
 		run.finish(types.ServiceAnswer{}, f)
 		return
@@ -247,7 +247,7 @@
 	}
 }
 
-func (p *Plain) seal(ask Ask, out json.RawMessage) ([]byte, error) {
+func (p *Plain) seal(ask ServiceCall, out json.RawMessage) ([]byte, error) {
 	ring, err := p.sealer.Ring()
 	if err != nil {
 		return nil, err
@@ -255,21 +255,21 @@
 	return ring.Seal(ask.Input.Workspace, scopedKey(ask), out)
 }
 
-func (p *Plain) storedAnswer(ask Ask, out types.Outcome) (types.ServiceAnswer, error) {
+func (p *Plain) storedAnswer(ask ServiceCall, out types.Outcome) (types.ServiceAnswer, error) {
 	ring, err := p.sealer.Ring()
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
 	output, err := ring.Open(ask.Input.Workspace, scopedKey(ask), out.Sealed)
 	if err != nil {
-		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").Because(err)
+		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").WithCause(err)
 	}
 	return types.ServiceAnswer{ID: out.Attempt, Output: output, Stored: true}, nil
 }
 
 // resolveUnknown probes the service for the outcome of an intent if the service has a probe
 // path. It never runs the call again.
-func (p *Plain) resolveUnknown(ctx context.Context, slot ident.Slot, ask Ask, intent types.Intent) (types.ServiceAnswer, error) {
+func (p *Plain) resolveUnknown(ctx context.Context, slot ident.Slot, ask ServiceCall, intent types.Intent) (types.ServiceAnswer, error) {
 	unknown := fault.Fail(fault.OutcomeUnknown, "the call was started and its outcome is not known")
 	if ask.Service.ProbePath == "" {
 		return types.ServiceAnswer{}, unknown
@@ -278,7 +278,7 @@
 	defer stop()
 	out, done, err := p.pools.Probe(ctx, ask.Service, ask.Input, intent.Key)
 	if err != nil || !done {
-		return types.ServiceAnswer{}, unknown.Because(err)
+		return types.ServiceAnswer{}, unknown.WithCause(err)
 	}
 	sealed, err := p.seal(ask, out)
 	if err != nil {
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -19,14 +19,14 @@
 // Pools sends calls to the replicas of services and tracks their load and failures.
 type Pools struct {
 	zone   string
-	places Places
+	places PlacementPolicy
 	counts Counts
 	http   *client.Client
 
 	mu           sync.Mutex
 	replicas     map[string]*replica
 	ejector      *limit.Ejector
-	retryBudgets map[string]*limit.Retries
+	retryBudgets map[string]*limit.RetryBudget
 }
 
 type replica struct {
@@ -51,8 +51,8 @@
 	backoffMax      = 500 * time.Millisecond
 )
 
-// Places decides where the policy allows a use of data.
-type Places interface {
+// PlacementPolicy decides where the policy allows a use of data.
+type PlacementPolicy interface {
 	Allowed(in types.RuleInput) bool
 }
 
@@ -63,15 +63,15 @@
 }
 
 // NewPools creates the pools of a box in zone.
-func NewPools(zone string, places Places, counts Counts) *Pools {
+func NewPools(zone string, places PlacementPolicy, counts Counts) *Pools {
 	return &Pools{
 		zone: zone, places: places, counts: counts, http: client.New("plain", nil),
-		replicas: map[string]*replica{}, ejector: limit.NewEjector(), retryBudgets: map[string]*limit.Retries{},
+		replicas: map[string]*replica{}, ejector: limit.NewEjector(), retryBudgets: map[string]*limit.RetryBudget{},
 	}
 }
 
-// Take updates the replicas from the platform's list.
-func (p *Pools) Take(list types.List) {
+// UpdateTargets updates the replicas from the platform's list.
+func (p *Pools) UpdateTargets(list types.PlatformList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
@@ -95,8 +95,8 @@
 	}
 }
 
-// Leaving marks a replica as leaving because another box reported it.
-func (p *Pools) Leaving(name string) {
+// MarkLeaving marks a replica as leaving because another box reported it.
+func (p *Pools) MarkLeaving(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r, ok := p.replicas[name]; ok {
@@ -104,8 +104,8 @@
 	}
 }
 
-// Left lists the replicas known to be leaving.
-func (p *Pools) Left() []string {
+// LeavingReplicas lists the replicas known to be leaving.
+func (p *Pools) LeavingReplicas() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
@@ -129,14 +129,14 @@
 	Output json.RawMessage `json:"output,omitempty"`
 }
 
-// Once sends a call that may not be repeated. It tries another replica only after a failure
+// SendOnce sends a call that may not be repeated. It tries another replica only after a failure
 // that proves that the call was not run.
-func (p *Pools) Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
+func (p *Pools) SendOnce(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
 	return p.sendWithRetries(ctx, svc, in, body, func(err error) bool { return fault.From(err).NotRun })
 }
 
-// Repeat sends a repeatable call. It tries another replica after any failure of the target.
-func (p *Pools) Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
+// SendRepeatable sends a repeatable call. It tries another replica after any failure of the target.
+func (p *Pools) SendRepeatable(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
 	retryable := func(err error) bool {
 		f := fault.From(err)
 		return f.NotRun || f.Kind == fault.TargetFailed || f.Kind == fault.Protocol
@@ -186,7 +186,7 @@
 
 func (p *Pools) sendWithRetries(ctx context.Context, svc types.Service, in types.RuleInput, body Body, retryable func(error) bool) (json.RawMessage, error) {
 	budget := p.retryBudget(svc.Name)
-	budget.Call()
+	budget.RecordCall()
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = backoffBase, backoffMax
 	var failed []string
@@ -224,16 +224,16 @@
 	case <-time.After(d):
 		return nil
 	case <-ctx.Done():
-		return fault.Refuse(fault.DeadlineMissed, "no time is left for another attempt").Because(ctx.Err())
+		return fault.Refuse(fault.DeadlineMissed, "no time is left for another attempt").WithCause(ctx.Err())
 	}
 }
 
-func (p *Pools) retryBudget(service string) *limit.Retries {
+func (p *Pools) retryBudget(service string) *limit.RetryBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b, ok := p.retryBudgets[service]
 	if !ok {
-		b = limit.NewRetries(retryShare, retryRate, maxRetryBudget)
+		b = limit.NewRetryBudget(retryShare, retryRate, maxRetryBudget)
 		p.retryBudgets[service] = b
 	}
 	return b
@@ -287,11 +287,11 @@
 func noReplicaError(matching, allowed, busy int) error {
 	switch {
 	case matching > 0 && allowed == 0:
-		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
+		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
 	case busy > 0:
-		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").After(initialMeanTime * initialLimit)
+		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").WithRetryAfter(initialMeanTime * initialLimit)
 	default:
-		return fault.Refuse(fault.NoTarget, "no allowed replica serves now").After(time.Second)
+		return fault.Refuse(fault.NoTarget, "no allowed replica serves now").WithRetryAfter(time.Second)
 	}
 }
 
@@ -344,18 +344,18 @@
 	switch {
 	case err == nil:
 		if elapsed > slowCallFactor*r.meanTime && r.inFlight > 1 {
-			r.limit.Crowded()
+			r.limit.Overloaded()
 		} else {
-			r.limit.Good()
+			r.limit.Success()
 		}
 		r.meanTime += time.Duration(meanTimeGain * float64(elapsed-r.meanTime))
-		p.ejector.Good(r.target.Name)
+		p.ejector.Success(r.target.Name)
 	case f.Kind == fault.Overloaded:
-		r.limit.Crowded()
+		r.limit.Overloaded()
 	case f.Kind == fault.Stopping:
 		r.target.Leaving = true
 	default:
-		if p.ejector.Bad(time.Now(), r.target.Name, p.replicaCount(r.target.Service)) {
+		if p.ejector.Failure(time.Now(), r.target.Name, p.replicaCount(r.target.Service)) {
 			p.counts.Count("plain.ejections", 1)
 		}
 	}
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -13,14 +13,14 @@
 
 // Owners tells which slots this box holds.
 type Owners interface {
-	Held() map[ident.Slot]int64
+	Owned() map[ident.Slot]int64
 }
 
 // Engines reads and orders engines.
 type Engines interface {
 	Targets() []types.Target
 	Models(ctx context.Context, target types.Target) (map[string]string, error)
-	Order(ctx context.Context, target types.Target, order types.EngineOrder) error
+	SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error
 }
 
 // Policies is the configuration in force.
@@ -104,7 +104,7 @@
 	if len(slots) == 0 {
 		return
 	}
-	held := p.owners.Held()
+	held := p.owners.Owned()
 	for _, model := range p.policies.Models() {
 		epoch, mine := held[Slot(model.Name, slots)]
 		if !mine || model.MinWarm == 0 || time.Now().Before(p.quiet[model.Name]) {
@@ -121,7 +121,7 @@
 		return
 	}
 	order := types.EngineOrder{Kind: loadOrder, Model: model.Name, Version: model.Version, Fence: epoch}
-	err := p.engines.Order(p.ctx, target, order)
+	err := p.engines.SendModelOrder(p.ctx, target, order)
 	if err == nil {
 		p.counts.Count("pool.orders", 1)
 		p.logger.Info("pool: engine ordered to load", "target", target.Name, "model", model.Name, "version", model.Version, "fence", epoch)
--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -137,7 +137,7 @@
 	ctx, stop := context.WithTimeout(ctx, endConfirmTimeout)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log has not confirmed the program's end yet").After(time.Second).Because(err)
+		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log has not confirmed the program's end yet").WithRetryAfter(time.Second).WithCause(err)
 	}
 	return state, nil
 }
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -33,7 +33,7 @@
 	if !ok {
 		return
 	}
-	destination, ok := p.queue.Refuge(lease.Ask{Input: ruleInput(begin), Program: id})
+	destination, ok := p.queue.EvacuationTarget(lease.Request{Input: ruleInput(begin), Program: id})
 	if !ok {
 		return
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return types.Begin{}, false
 	}
-	if _, owned := p.owner.Held()[slot]; !owned {
+	if _, owned := p.owner.Owned()[slot]; !owned {
 		return types.Begin{}, false
 	}
 	var begin types.Begin
@@ -60,9 +60,9 @@
 	return begin, found && err == nil
 }
 
-// Tightened releases caches on engines where the current policy no longer
+// ReleaseDisallowedCaches releases caches on engines where the current policy no longer
 // allows them. It does not interrupt running turns.
-func (p *Prog) Tightened() {
+func (p *Prog) ReleaseDisallowedCaches() {
 	for name, ids := range p.queue.Holders() {
 		target, ok := p.engines.Target(name)
 		if !ok {
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -38,7 +38,7 @@
 		return
 	}
 	content := types.TurnContent{
-		Ask: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
+		Request: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
 		Usage: end.Usage, Finish: end.Finish, ID: attempt.id,
 	}
 	p.completeTurn(j, run, turnRun, cont, content)
@@ -48,7 +48,7 @@
 	ctx, stop := context.WithTimeout(ctx, grantTimeout)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the grant in time").After(time.Second).Because(err)
+		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the grant in time").WithRetryAfter(time.Second).WithCause(err)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 			mayHaveRun = true
 			try.charge = turnRun.Reserved
 		}
-		p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "attempt failed", Why: string(f.Kind), Target: target})
+		p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
 		if target == "" || n == maxAttempts || ctx.Err() != nil {
 			return end, try, clearNotRun(f, mayHaveRun)
 		}
@@ -129,21 +129,21 @@
 	in := ruleInput(j.begin)
 	in.Turn = int64(j.ask.Body.Turn)
 	work := sched.ProgramProgress{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
-	reservation, err := p.queue.Acquire(ctx, lease.Ask{
-		Input: in, Program: j.ask.Program, Work: work, Prompt: j.historyTokens + estimateTokens(j.ask.Body.Messages),
-		Expected: int(float64(j.maxTokens) * expectedOutputShare), Fresh: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
-		Deadline: j.begin.Deadline, Avoid: failed,
+	reservation, err := p.queue.Acquire(ctx, lease.Request{
+		Input: in, Program: j.ask.Program, Progress: work, PromptTokens: j.historyTokens + estimateTokens(j.ask.Body.Messages),
+		ExpectedTokens: int(float64(j.maxTokens) * expectedOutputShare), NewProgram: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
+		Deadline: j.begin.Deadline, Exclude: failed,
 	})
 	if err != nil {
 		return types.EngineEvent{}, "", err
 	}
-	p.notes.Note(types.Step{
-		Request: j.ask.Request, Program: j.ask.Program, What: "target chosen", Target: reservation.Target.Name, Weighed: reservation.Weighed,
+	p.notes.Note(types.TraceEvent{
+		Request: j.ask.Request, Program: j.ask.Program, Event: "target chosen", Target: reservation.Target.Name, Candidates: reservation.Candidates,
 	})
 	call := types.EngineCall{
 		Attempt: id, Model: j.begin.Model, Messages: append(j.history[:len(j.history):len(j.history)], j.ask.Body.Messages...),
 		MaxTokens: j.maxTokens, Priority: reservation.Rank, CacheKey: j.ask.Program,
-		Hold: reservation.Hold, Class: j.begin.Kind,
+		Hold: reservation.KeepCache, Class: j.begin.Kind,
 	}
 	end, err := p.streamAnswer(ctx, j, run, reservation, call)
 	return end, reservation.Target.Name, err
@@ -175,15 +175,15 @@
 		result.Refused = fault.From(err).NotRun
 		if ctx.Err() != nil {
 			p.goroutines.Go(func() { p.engines.Cancel(reservation.Target, call.Attempt) })
-			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").Because(ctx.Err())
+			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").WithCause(ctx.Err())
 		}
 		reservation.Finish(result)
 		return end, err
 	}
-	result.First = firstToken.Sub(began)
+	result.TimeToFirstToken = firstToken.Sub(began)
 	if n := end.Usage.CompletionTokens; n > 1 {
-		result.PerToken = time.Since(firstToken) / time.Duration(n-1)
-		p.counts.Time("prog.token_gap", result.PerToken)
+		result.TimePerToken = time.Since(firstToken) / time.Duration(n-1)
+		p.counts.Time("prog.token_gap", result.TimePerToken)
 	}
 	reservation.Finish(result)
 	if cachedElsewhere(reservation) {
@@ -194,8 +194,8 @@
 
 // cachedElsewhere reports whether another candidate engine has a prefix of the program cached.
 func cachedElsewhere(reservation *lease.Lease) bool {
-	for _, w := range reservation.Weighed {
-		if w.Cached > 0 && w.Name != reservation.Target.Name {
+	for _, w := range reservation.Candidates {
+		if w.CachedTokens > 0 && w.Name != reservation.Target.Name {
 			return true
 		}
 	}
@@ -214,7 +214,7 @@
 		p.logger.Debug("prog: cannot settle failed turn", "program", j.ask.Program, "error", doErr)
 	}
 	p.counts.Count("prog.failed_turns", 1)
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn failed", Why: string(fault.From(err).Kind)})
+	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
 	run.finish(types.TurnAnswer{}, err)
 }
 
@@ -226,8 +226,8 @@
 		p.failTurn(j, run, turnRun, turnRun.Reserved, err)
 		return
 	}
-	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, Ask: j.digest, Sealed: sealed, At: time.Now()}
-	turn.Digest = fold.Digest(j.begin, turn, previous.Digest)
+	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, RequestDigest: j.digest, Sealed: sealed, At: time.Now()}
+	turn.Digest = fold.TurnDigest(j.begin, turn, previous.Digest)
 	cont, err := p.recordTurn(j, turnRun, turn, content.Usage)
 	if fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Stopping) {
 		// Another box took the slot over during the run: the token carries the turn to it.
@@ -245,7 +245,7 @@
 	}
 	p.counts.Count("prog.turns", 1)
 	p.counts.Latency("prog.turn", j.begin.Workspace, j.begin.DataClass, time.Since(j.started))
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn answered"})
+	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn answered"})
 	run.finish(turnAnswer(j, content, token), nil)
 }
 
@@ -271,8 +271,8 @@
 	var cont types.Continuation
 	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		prog, err := d.Program(j.ask.Program, j.ask.Workspace)
-		if err != nil || fold.Head(prog) < turn.Number {
-			return nil, fault.Fail(fault.NotOwner, "the program's slot has moved to another box").Because(err)
+		if err != nil || fold.LastTurn(prog) < turn.Number {
+			return nil, fault.Fail(fault.NotOwner, "the program's slot has moved to another box").WithCause(err)
 		}
 		cont = d.Continuation(prog, turn.Number)
 		return nil, nil
--- a/gate/prog/token.go
+++ b/gate/prog/token.go
@@ -17,7 +17,7 @@
 	}
 	raw, err := json.Marshal(cont)
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "cannot encode the continuation").Because(err)
+		return "", fault.Fail(fault.Internal, "cannot encode the continuation").WithCause(err)
 	}
 	return ring.SealText(cont.Workspace, tokenContext, raw)
 }
@@ -63,7 +63,7 @@
 	}
 	raw, err := json.Marshal(content)
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "cannot encode the turn").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot encode the turn").WithCause(err)
 	}
 	return ring.Seal(b.Workspace, contentContext(b.ID), raw)
 }
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -13,8 +13,8 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// TurnAsk is a caller's request to run one turn of a program.
-type TurnAsk struct {
+// TurnCall is a caller's request to run one turn of a program.
+type TurnCall struct {
 	Program   string
 	Workspace string
 	Request   string
@@ -29,7 +29,7 @@
 }
 
 // Turn starts the turn, joins it if it is running, or returns its stored answer.
-func (p *Prog) Turn(ctx context.Context, ask TurnAsk) (*Run, error) {
+func (p *Prog) Turn(ctx context.Context, ask TurnCall) (*Run, error) {
 	slot, err := ident.ProgramSlot(ask.Program)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 }
 
 // adoptAndRead adopts the continuation, if any, and returns a copy of the program.
-func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, ask TurnAsk, cont *types.Continuation) (programView, error) {
+func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, ask TurnCall, cont *types.Continuation) (programView, error) {
 	var program programView
 	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		recs, err := adoptContinuation(d, cont)
@@ -73,7 +73,7 @@
 // turnJob is a requested turn with everything that its run needs.
 type turnJob struct {
 	slot    ident.Slot
-	ask     TurnAsk
+	ask     TurnCall
 	begin   types.Begin
 	digest  []byte
 	history []types.Message
@@ -91,7 +91,7 @@
 // byte, so the number of bytes is an upper bound of the tokens of text not counted yet.
 const bytesPerMessage = 8
 
-func (p *Prog) prepare(slot ident.Slot, ask TurnAsk, program programView) (*turnJob, error) {
+func (p *Prog) prepare(slot ident.Slot, ask TurnCall, program programView) (*turnJob, error) {
 	j := &turnJob{slot: slot, ask: ask, begin: program.begin, digest: requestDigest(ask.Body.Messages), started: time.Now()}
 	answered := min(max(ask.Body.Turn-1, 0), len(program.turns))
 	for _, turn := range program.turns[:answered] {
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		j.history = append(j.history, content.Ask...)
+		j.history = append(j.history, content.Request...)
 		j.history = append(j.history, content.Answer)
 		j.historyTokens = content.Usage.PromptTokens + content.Usage.CompletionTokens
 		j.attained += int64(content.Usage.PromptTokens - content.Usage.CachedTokens + content.Usage.CompletionTokens)
@@ -127,7 +127,7 @@
 // to return a stored answer.
 func (p *Prog) startTurn(ctx context.Context, j *turnJob) (*Run, error) {
 	defaults := p.policies.Defaults()
-	run := newRun(p.ctx, ident.Random())
+	run := newRun(p.ctx, ident.RandomID())
 	var decision desk.TurnStart
 	var cont types.Continuation
 	covered := false
@@ -168,7 +168,7 @@
 		ticket = nil
 	}
 	j.maxTokens = int(decision.MaxTokens)
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn started"})
+	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn started"})
 	p.runs.Go(func() { p.execute(j, run, decision.Run, cont, ticket) })
 	return run, nil
 }
@@ -179,7 +179,7 @@
 	if decision.Stored != nil {
 		return decision.Stored.Number
 	}
-	return fold.Head(decision.Program)
+	return fold.LastTurn(decision.Program)
 }
 
 // checkTailSize returns an error if the program's turns that the log has not confirmed exceed
@@ -195,7 +195,7 @@
 		size += len(turn.Sealed)
 	}
 	if size > maxBytes {
-		return fault.Refuse(fault.TailTooLong, "the log has been unavailable too long for this program").After(time.Second)
+		return fault.Refuse(fault.TailTooLong, "the log has been unavailable too long for this program").WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -91,7 +91,7 @@
 		}
 		f := fault.From(err)
 		mayHaveRun = mayHaveRun || !f.NotRun
-		moved := f.Kind == fault.NotOwner || f.Kind == fault.OwnerUnknown || f.Kind == fault.PeerLost || f.Kind == fault.Stopping
+		moved := f.Kind == fault.NotOwner || f.Kind == fault.OwnerUnavailable || f.Kind == fault.PeerUnreachable || f.Kind == fault.Stopping
 		if !moved || time.Now().After(until) || ctx.Err() != nil {
 			out := *f
 			out.NotRun = f.NotRun && !mayHaveRun
@@ -104,7 +104,7 @@
 func (o *oracle) routeOnce(entry int, slot ident.Slot, do func(b *box) error) error {
 	b := o.w.box(entry)
 	if !b.responds() {
-		return fault.Refuse(fault.PeerLost, "entry box does not respond")
+		return fault.Refuse(fault.PeerUnreachable, "entry box does not respond")
 	}
 	if err := b.store.Ready(); err != nil {
 		return err
@@ -129,7 +129,7 @@
 	if !b.isUp() || o.countRunning() >= maxPrograms {
 		return
 	}
-	slot, ok := b.owners.Pick(ident.Random())
+	slot, ok := b.owners.Pick(ident.RandomID())
 	if !ok {
 		return
 	}
@@ -231,7 +231,7 @@
 	defer stop()
 	var answer types.TurnAnswer
 	err := o.route(ctx, entry, slot, func(b *box) error {
-		run, err := b.progs.Turn(ctx, prog.TurnAsk{Program: p.id, Workspace: p.workspace, Request: "r", Body: body})
+		run, err := b.progs.Turn(ctx, prog.TurnCall{Program: p.id, Workspace: p.workspace, Request: "r", Body: body})
 		if err != nil {
 			return err
 		}
@@ -336,7 +336,7 @@
 	if k.service == "probed" {
 		svc.ProbePath = "/v1/probe"
 	}
-	ask := plain.Ask{
+	ask := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: k.workspace}, Key: k.key, Body: json.RawMessage(k.input), Chunk: 150,
 	}
 	slot := ident.KeySlot(k.workspace, k.key, o.w.slots())
@@ -351,7 +351,7 @@
 			if err != nil {
 				return err
 			}
-			ask.Adopt = cont
+			ask.Continuation = cont
 		}
 		var err error
 		answer, err = b.calls.Call(ctx, slot, ask)
--- a/gate/proof/fakes_test.go
+++ b/gate/proof/fakes_test.go
@@ -34,13 +34,13 @@
 	return t.counts[key]
 }
 
-// Once runs a call that may not be repeated.
-func (t *fakeTools) Once(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// SendOnce runs a call that may not be repeated.
+func (t *fakeTools) SendOnce(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
-// Repeat runs a call that may be repeated.
-func (t *fakeTools) Repeat(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// SendRepeatable runs a call that may be repeated.
+func (t *fakeTools) SendRepeatable(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -67,7 +67,7 @@
 	logger *slog.Logger
 	http   *http.Server
 	// running is nil until the start.
-	running *serve.Running
+	running *serve.Server
 }
 
 // NewServer makes a server that does not listen yet.
@@ -203,7 +203,7 @@
 	call.Arrived = now.Add(-time.Duration(msg.WaitedMillis) * time.Millisecond)
 	var err error
 	if call.Body, err = io.ReadAll(body); err != nil {
-		return msg, fault.Refuse(fault.BadRequest, "forwarded turn broke off").Because(err)
+		return msg, fault.Refuse(fault.BadRequest, "forwarded turn broke off").WithCause(err)
 	}
 	return msg, nil
 }
--- a/gate/slots/claim.go
+++ b/gate/slots/claim.go
@@ -42,10 +42,10 @@
 // appendClaim appends a claim and reads the whole stream. It returns the slot's state if the
 // claim is the newest in the log, and an error otherwise.
 func (s *Slots) appendClaim(ctx context.Context, id ident.Slot) (*fold.State, error) {
-	claim := types.Claim{Box: s.self.Name, Incarnation: s.incarnation, Attempt: ident.Random()}
+	claim := types.Claim{Box: s.self.Name, Incarnation: s.incarnation, Attempt: ident.RandomID()}
 	data, err := json.Marshal(types.Entry{Claim: &claim})
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot encode the claim").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode the claim").WithCause(err)
 	}
 	_, appendErr := s.log.Append(ctx, id.Stream(), data)
 	if appendErr != nil && fault.From(appendErr).NotRun {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if state.Owner != claim {
-		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").After(claimRetryDelay)
+		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").WithRetryAfter(claimRetryDelay)
 	}
 	return state, nil
 }
@@ -66,15 +66,15 @@
 func (s *Slots) readStream(ctx context.Context, id ident.Slot) (*fold.State, error) {
 	state := fold.New()
 	for {
-		page, err := s.log.Read(ctx, id.Stream(), state.Next, pageSize)
+		page, err := s.log.Read(ctx, id.Stream(), state.NextOffset, pageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, entry := range page.Entries {
-			state.Read(entry)
+			state.ApplyLogEntry(entry)
 		}
-		state.Next = max(state.Next, page.First)
-		if state.Next >= page.Next {
+		state.NextOffset = max(state.NextOffset, page.First)
+		if state.NextOffset >= page.Next {
 			return state, nil
 		}
 	}
--- a/gate/slots/owner.go
+++ b/gate/slots/owner.go
@@ -119,7 +119,7 @@
 	case r := <-reply:
 		return r.ticket, r.err
 	case <-o.svc.ctx.Done():
-		return nil, fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)
+		return nil, fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 }
 
@@ -193,12 +193,12 @@
 }
 
 func notOwner() error {
-	return fault.Refuse(fault.NotOwner, "this box does not own the slot").After(claimRetryDelay)
+	return fault.Refuse(fault.NotOwner, "this box does not own the slot").WithRetryAfter(claimRetryDelay)
 }
 
 func (o *owner) perform(m operationMsg) {
 	if m.ctx.Err() != nil {
-		m.reply <- operationReply{err: fault.Refuse(fault.DeadlineMissed, "the caller is gone").Because(m.ctx.Err())}
+		m.reply <- operationReply{err: fault.Refuse(fault.DeadlineMissed, "the caller is gone").WithCause(m.ctx.Err())}
 		return
 	}
 	if o.releasing != nil && m.mode < desk.Finish {
@@ -206,11 +206,11 @@
 		return
 	}
 	if m.mode == desk.Durable && !o.desk.LogUp {
-		m.reply <- operationReply{err: fault.Refuse(fault.LogUnavailable, "the log is unavailable").After(time.Second)}
+		m.reply <- operationReply{err: fault.Refuse(fault.LogUnavailable, "the log is unavailable").WithRetryAfter(time.Second)}
 		return
 	}
 	if o.queuedRecords > o.svc.timing.MaxQueued && m.mode < desk.Finish {
-		m.reply <- operationReply{err: fault.Refuse(fault.Overloaded, "too many records wait for the log").After(time.Second)}
+		m.reply <- operationReply{err: fault.Refuse(fault.Overloaded, "too many records wait for the log").WithRetryAfter(time.Second)}
 		return
 	}
 	// The records are enqueued even if the operation failed, since it has already applied them.
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -50,16 +50,16 @@
 
 // Timing holds the intervals and limits of slot ownership.
 type Timing struct {
-	// Tick is the interval between checks of slot ownership.
-	Tick time.Duration
-	// FlushAfter is how long records that are not urgent wait to be batched with others.
-	FlushAfter time.Duration
-	// AdoptAfter is how long a zone must have no live boxes before other zones claim its slots.
-	AdoptAfter time.Duration
+	// CheckInterval is the interval between checks of slot ownership.
+	CheckInterval time.Duration
+	// FlushDelay is how long records that are not urgent wait to be batched with others.
+	FlushDelay time.Duration
+	// AdoptionDelay is how long a zone must have no live boxes before other zones claim its slots.
+	AdoptionDelay time.Duration
 	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
-	// AppendShare limits this box's appends per second; 0 means no limit.
-	AppendShare float64
+	// AppendRate limits this box's appends per second; 0 means no limit.
+	AppendRate float64
 	// MaxQueued limits the records waiting to be appended for one slot.
 	MaxQueued int
 }
@@ -96,12 +96,12 @@
 // New creates the service; self must hold the name, zone and peer address of this box.
 func New(self types.Member, incarnation string, log Log, view View, settings Settings, timing Timing, counts Counts, logger *slog.Logger) *Slots {
 	limit := rate.Inf
-	if timing.AppendShare > 0 {
-		limit = rate.Limit(timing.AppendShare)
+	if timing.AppendRate > 0 {
+		limit = rate.Limit(timing.AppendRate)
 	}
 	return &Slots{
 		self: self, incarnation: incarnation, log: log, view: view, settings: settings, timing: timing, counts: counts, logger: logger,
-		appendLimiter: rate.NewLimiter(limit, max(1, int(timing.AppendShare))),
+		appendLimiter: rate.NewLimiter(limit, max(1, int(timing.AppendRate))),
 		owners:        map[ident.Slot]*owner{}, emptySince: map[string]time.Time{},
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 func (s *Slots) run() {
-	tick := time.NewTicker(s.timing.Tick)
+	tick := time.NewTicker(s.timing.CheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -173,7 +173,7 @@
 func (s *Slots) reconcile() {
 	live := s.view.Live()
 	s.updateEmptyZones(live)
-	held := s.Held()
+	held := s.Owned()
 	mayNotClaim := !s.view.Settled() || s.isLeaving()
 	for _, id := range s.settings.Slots() {
 		holder, epoch, ok := s.view.Owner(id.String())
@@ -229,15 +229,15 @@
 		}
 	}
 	if len(sameZone) > 0 {
-		return ident.Winner(id.String(), sameZone)
+		return ident.Rendezvous(id.String(), sameZone)
 	}
 	s.mu.Lock()
 	since, isEmpty := s.emptySince[id.Zone]
 	s.mu.Unlock()
-	if !isEmpty || time.Since(since) < s.timing.AdoptAfter {
+	if !isEmpty || time.Since(since) < s.timing.AdoptionDelay {
 		return ""
 	}
-	return ident.Winner(id.String(), all)
+	return ident.Rendezvous(id.String(), all)
 }
 
 // Locate returns the box that serves the slot, and whether it is this one. It fails with
@@ -260,7 +260,7 @@
 			return m, false, nil
 		}
 	}
-	return types.Member{}, false, fault.Refuse(fault.OwnerUnknown, "no box serves the slot now").After(time.Second)
+	return types.Member{}, false, fault.Refuse(fault.OwnerUnavailable, "no box serves the slot now").WithRetryAfter(time.Second)
 }
 
 // Live reports whether a box is live in this box's view.
@@ -276,8 +276,8 @@
 	return ok && o.epoch.Load() > 0
 }
 
-// Held returns the slots that this box owns and their epochs.
-func (s *Slots) Held() map[ident.Slot]int64 {
+// Owned returns the slots that this box owns and their epochs.
+func (s *Slots) Owned() map[ident.Slot]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	epochs := map[ident.Slot]int64{}
@@ -304,13 +304,13 @@
 // of the seed. It returns false if this box owns none.
 func (s *Slots) Pick(seed string) (ident.Slot, bool) {
 	var names []string
-	for id := range s.Held() {
+	for id := range s.Owned() {
 		names = append(names, id.String())
 	}
 	if len(names) == 0 {
 		return ident.Slot{}, false
 	}
-	id, err := ident.ParseSlot(ident.Winner(seed, names))
+	id, err := ident.ParseSlot(ident.Rendezvous(seed, names))
 	return id, err == nil
 }
 
--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -47,7 +47,7 @@
 		o.scheduleFlush()
 		return
 	}
-	b := &batch{expectedOffset: o.desk.State.Next, retryDelay: minRetryDelay, firstSent: time.Now()}
+	b := &batch{expectedOffset: o.desk.State.NextOffset, retryDelay: minRetryDelay, firstSent: time.Now()}
 	for _, q := range o.queue {
 		b.recs = append(b.recs, q.recs...)
 		b.tickets = append(b.tickets, q.ticket)
@@ -56,7 +56,7 @@
 	o.seq++
 	data, err := json.Marshal(types.Entry{Epoch: o.desk.State.Epoch, Seq: o.seq, Records: b.recs})
 	if err != nil {
-		b.fail(fault.Refuse(fault.Internal, "cannot encode the log entry").Because(err))
+		b.fail(fault.Refuse(fault.Internal, "cannot encode the log entry").WithCause(err))
 		o.stepDown("a log entry cannot be encoded")
 		return
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	o.flushScheduled = true
-	time.AfterFunc(o.svc.timing.FlushAfter, func() { o.send(flushMsg{}) })
+	time.AfterFunc(o.svc.timing.FlushDelay, func() { o.send(flushMsg{}) })
 }
 
 func (o *owner) startAppend(b *batch) {
@@ -81,7 +81,7 @@
 
 func (s *Slots) appendBatch(ctx context.Context, stream string, b *batch) appendResult {
 	if err := s.appendLimiter.Wait(ctx); err != nil {
-		return appendResult{err: fault.Refuse(fault.Stopping, "box is stopping").Because(err)}
+		return appendResult{err: fault.Refuse(fault.Stopping, "box is stopping").WithCause(err)}
 	}
 	offset, err := s.log.Append(ctx, stream, b.data)
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	now := time.Now()
 	o.inFlight = nil
-	o.desk.State.Next = m.result.offset + 1
+	o.desk.State.NextOffset = m.result.offset + 1
 	o.desk.State.Seq = o.seq
 	o.desk.Confirm(now, m.batch.recs)
 	if !o.desk.LogUp {
