--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -18,42 +18,40 @@
 )
 
 const (
-	turnPath  = "/turn"
-	yieldPath = "/yield"
-	findPath  = "/find"
-	logPath   = "/log"
-	// deliverPath takes records of a turn that began at the owner before; pingPath answers
-	// at once.
+	turnPath     = "/turn"
+	handoverPath = "/yield"
+	findPath     = "/find"
+	logPath      = "/log"
+	// deliverPath accepts records of turns that began at a previous owner of the slot.
 	deliverPath = "/deliver"
 	pingPath    = "/ping"
-	// leftPath takes a box's word that it leaves.
-	leftPath = "/left"
-	// copyPath and rosterPath take questions to a source.
+	// leavingPath accepts the announcement that a box leaves the fleet.
+	leavingPath = "/left"
+	// copyPath and rosterPath accept requests to a source.
 	copyPath   = "/copy"
 	rosterPath = "/roster"
-	// quotaPath takes questions for a workspace's quota.
+	// quotaPath accepts requests for calls from a workspace's quota.
 	quotaPath = "/quota"
-	// connections bounds those to one box: the turns that one box may forward to another.
-	connections = 256
-	// confirmWait is how long a box may take to say that it takes a turn: a few round trips between
-	// availability zones, on a busy box. A turn that was sent whole to a box which has just been cut off may
-	// have run, so its caller can't be told when to come back; three such failures end a program.
-	confirmWait = 400 * time.Millisecond
-	// retryFull is the advice given when none of them is free: some turns end in that time.
-	retryFull = 200 * time.Millisecond
+	// maxConnsPerBox bounds the connections to one box, and so the turns forwarded to it at once.
+	maxConnsPerBox = 256
+	// continueTimeout bounds the wait for 100 Continue from the box that gets a turn. The body is held back
+	// until then, so that a turn for an unreachable box has certainly not run and its caller may retry.
+	continueTimeout = 400 * time.Millisecond
+	// fullPoolRetryDelay is the Retry-After delay if no connection to the box is free.
+	fullPoolRetryDelay = 200 * time.Millisecond
 
 	slotParam   = "slot"
 	turnParam   = "turn"
 	memberParam = "member"
 )
 
-// Client calls other boxes.
+// Client sends requests to other boxes. It keeps a pool of connections to each.
 type Client struct {
 	mu    sync.Mutex
 	pools map[netip.AddrPort]*dial.Pool
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient() *Client {
 	return &Client{pools: map[netip.AddrPort]*dial.Pool{}}
 }
@@ -63,13 +61,13 @@
 	defer c.mu.Unlock()
 	p, ok := c.pools[addr]
 	if !ok {
-		p = dial.New(addr, connections)
+		p = dial.New(addr, maxConnsPerBox)
 		c.pools[addr] = p
 	}
 	return p
 }
 
-// Keep ends the connections to boxes that live no longer.
+// Keep closes the connections to all boxes that are not in live.
 func (c *Client) Keep(live []work.Box) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,14 +83,14 @@
 	}
 }
 
-// Turn has another box run a turn of a slot and passes its answer on. A fault with NotRun
-// is the other box's word that the turn has not run and won't.
+// Turn forwards a turn to the box, which runs it if it owns the slot, and copies the response to out. A fault
+// with NotRun means that the turn has not run and won't.
 func (c *Client) Turn(ctx context.Context, box work.Box, slot int, call *work.Call, route *work.Route, out work.Answer) error {
 	ctx, stop := context.WithDeadline(ctx, call.Deadline)
 	defer stop()
 	meta := *call
 	meta.Body = nil
-	raw, err := frame(ask{
+	raw, err := frame(turnRequest{
 		Slot: slot, Call: &meta, Route: route, LeftMillis: time.Until(call.Deadline).Milliseconds(),
 		WaitedMillis: time.Since(call.Arrived).Milliseconds(),
 	})
@@ -100,22 +98,22 @@
 		return err
 	}
 	resp, err := c.pool(box.Peer).Send(ctx, dial.Request{
-		Method: http.MethodPost, Target: turnPath, Host: box.Peer.String(), Body: append(raw, call.Body...), ContinueTimeout: confirmWait,
+		Method: http.MethodPost, Target: turnPath, Host: box.Peer.String(), Body: append(raw, call.Body...), ContinueTimeout: continueTimeout,
 	})
 	if err != nil {
-		return notSent(err)
+		return turnFault(err)
 	}
 	defer resp.Close()
-	var head answer
+	var head turnResponse
 	if err := unframe(resp, &head); err != nil {
 		return err
 	}
 	if head.Problem != nil {
-		_, _ = io.Copy(io.Discard, resp) // only so that the connection can be used again
+		_, _ = io.Copy(io.Discard, resp) // lets the connection be reused
 		return head.Problem.Fault()
 	}
 	if head.Head == nil {
-		return fault.Fail(fault.Protocol, "another box answers without a head")
+		return fault.Fail(fault.Protocol, "another box's response has no head")
 	}
 	if err := out.Begin(*head.Head); err != nil {
 		return err
@@ -123,64 +121,64 @@
 	return work.CopyBody(resp, out, fault.PeerLost)
 }
 
-// lost keeps a box's failure apart from a target's.
-func lost(err error) error {
+// peerLost converts a transport fault into PeerLost, which distinguishes a box's failure from a target's.
+func peerLost(err error) error {
 	f := fault.From(err)
-	return &fault.Fault{Kind: fault.PeerLost, Detail: "the owner of the slot is not reached: " + f.Error(), NotRun: f.NotRun}
+	return &fault.Fault{Kind: fault.PeerLost, Detail: "cannot reach another box: " + f.Error(), NotRun: f.NotRun}
 }
 
-// notSent is the fault of a turn that got no answer. Where this box has no connection free, the
-// other one is sound and must not be taken for lost; another may hold the slot.
-func notSent(err error) error {
+// turnFault returns the fault of a turn that got no response. If no connection was free, the other box works
+// and must not be marked unreachable; the caller may try another box that may hold the slot.
+func turnFault(err error) error {
 	if fault.Is(err, fault.Overloaded) {
-		return fault.Refuse(fault.OwnerUnknown, "no connection to the owner of the slot is free").After(retryFull).Because(err)
+		return fault.Refuse(fault.OwnerUnknown, "no connection to the owner of the slot is free").After(fullPoolRetryDelay).Because(err)
 	}
-	return lost(err)
+	return peerLost(err)
 }
 
-// ask sends a short message to a box and reads its whole answer.
-func (c *Client) ask(ctx context.Context, box work.Box, method, path string, query url.Values, body []byte) (status int, raw []byte, err error) {
+// send sends a short request to a box and reads the whole response.
+func (c *Client) send(ctx context.Context, box work.Box, method, path string, query url.Values, body []byte) (status int, raw []byte, err error) {
 	resp, err := c.pool(box.Peer).Send(ctx, dial.Request{
 		Method: method, Target: path + "?" + query.Encode(), Host: box.Peer.String(), Body: body,
 	})
 	if err != nil {
-		return 0, nil, lost(err)
+		return 0, nil, peerLost(err)
 	}
 	defer resp.Close()
 	raw, err = io.ReadAll(io.LimitReader(resp, maxBody))
 	if err != nil {
-		return 0, nil, fault.Fail(fault.PeerLost, "another box's answer broke off").Because(err)
+		return 0, nil, fault.Fail(fault.PeerLost, "another box's response is truncated").Because(err)
 	}
 	return resp.Status, raw, nil
 }
 
-// order sends a message whose answer is its status: 200 if the box has done it.
-func (c *Client) order(ctx context.Context, box work.Box, path string, query url.Values, body []byte) error {
-	status, _, err := c.ask(ctx, box, http.MethodPost, path, query, body)
+// command sends a request whose response is only a status. Any status but 200 is an error.
+func (c *Client) command(ctx context.Context, box work.Box, path string, query url.Values, body []byte) error {
+	status, _, err := c.send(ctx, box, http.MethodPost, path, query, body)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fault.Fail(fault.PeerLost, "the box does not do as asked: status "+strconv.Itoa(status))
+		return fault.Fail(fault.PeerLost, "another box rejected the request: status "+strconv.Itoa(status))
 	}
 	return nil
 }
 
-// Handover asks a box to give a slot up, and returns once it has.
+// Handover asks a box to release a slot, and returns once it has.
 func (c *Client) Handover(ctx context.Context, box work.Box, slot int) error {
-	return c.order(ctx, box, yieldPath, url.Values{slotParam: {strconv.Itoa(slot)}}, nil)
+	return c.command(ctx, box, handoverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, nil)
 }
 
 // Find implements entry.Peers.
 func (c *Client) Find(ctx context.Context, box work.Box, turn string, home int) ([]byte, []int, error) {
 	query := url.Values{turnParam: {turn}, slotParam: {strconv.Itoa(home)}}
-	_, raw, err := c.ask(ctx, box, http.MethodGet, findPath, query, nil)
+	_, raw, err := c.send(ctx, box, http.MethodGet, findPath, query, nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	var out findAnswer
+	var out findResponse
 	if err := json.Unmarshal(raw, &out); err != nil {
-		return nil, nil, fault.Fail(fault.Protocol, "another box's answer does not decode").Because(err)
+		return nil, nil, fault.Fail(fault.Protocol, "cannot decode another box's response").Because(err)
 	}
 	return out.Text, out.Slots, nil
 }
@@ -189,46 +187,46 @@
 func (c *Client) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
 	raw, err := json.Marshal(recs)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "records do not encode").Because(err)
+		return fault.Refuse(fault.Internal, "cannot encode records").Because(err)
 	}
-	return c.order(ctx, box, deliverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, raw)
+	return c.command(ctx, box, deliverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, raw)
 }
 
-// Leaving tells a box that another, named by its member text, leaves.
+// Leaving tells a box that the given member leaves the fleet.
 func (c *Client) Leaving(ctx context.Context, box work.Box, member string) error {
-	return c.order(ctx, box, leftPath, url.Values{memberParam: {member}}, nil)
+	return c.command(ctx, box, leavingPath, url.Values{memberParam: {member}}, nil)
 }
 
 // Quota implements quota.Peers.
 func (c *Client) Quota(ctx context.Context, box work.Box, msg quota.GrantRequest) (quota.GrantReply, error) {
 	var out quota.GrantReply
-	if err := c.exchange(ctx, box, quotaPath, msg, &out); err != nil {
+	if err := c.exchangeJSON(ctx, box, quotaPath, msg, &out); err != nil {
 		return quota.GrantReply{}, err
 	}
 	return out, nil
 }
 
-// exchange sends a box a message and reads its answer, both JSON. An answer other than 200 is none.
-func (c *Client) exchange(ctx context.Context, box work.Box, path string, msg, answer any) error {
+// exchangeJSON sends msg to a box as JSON and decodes the response into out. Any status but 200 is an error.
+func (c *Client) exchangeJSON(ctx context.Context, box work.Box, path string, msg, out any) error {
 	body, err := json.Marshal(msg)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "a message to another box does not encode").Because(err)
+		return fault.Refuse(fault.Internal, "cannot encode a request to another box").Because(err)
 	}
-	status, raw, err := c.ask(ctx, box, http.MethodPost, path, nil, body)
+	status, raw, err := c.send(ctx, box, http.MethodPost, path, nil, body)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fault.Fail(fault.Protocol, "another box does not answer: status "+strconv.Itoa(status))
+		return fault.Fail(fault.Protocol, "another box refused the request: status "+strconv.Itoa(status))
 	}
-	if err := json.Unmarshal(raw, answer); err != nil {
-		return fault.Fail(fault.Protocol, "another box's answer does not decode").Because(err)
+	if err := json.Unmarshal(raw, out); err != nil {
+		return fault.Fail(fault.Protocol, "cannot decode another box's response").Because(err)
 	}
 	return nil
 }
 
 // Ping reports whether the box answers.
 func (c *Client) Ping(ctx context.Context, box work.Box) bool {
-	_, _, err := c.ask(ctx, box, http.MethodGet, pingPath, nil, nil)
+	_, _, err := c.send(ctx, box, http.MethodGet, pingPath, nil, nil)
 	return err == nil
 }
--- a/gate/remote/client_test.go
+++ b/gate/remote/client_test.go
@@ -14,31 +14,30 @@
 	"mulleingate.dev/gate/work"
 )
 
-// nowhere takes an answer that must not come.
-type nowhere struct{ t *testing.T }
+// unexpectedAnswer is a work.Answer that fails the test if a response begins.
+type unexpectedAnswer struct{ t *testing.T }
 
-func (n nowhere) Begin(work.Head) error {
-	n.t.Error("an answer begins")
+func (n unexpectedAnswer) Begin(work.Head) error {
+	n.t.Error("a response begins, want none")
 	return nil
 }
-func (n nowhere) Write([]byte) error { return nil }
+func (n unexpectedAnswer) Write([]byte) error { return nil }
 
-// turnTo sends a turn to a box and returns its fault.
+// turnTo sends a turn to a box and returns the fault.
 func turnTo(t *testing.T, c *Client, box work.Box) *fault.Fault {
 	t.Helper()
 	now := time.Now()
 	call := &work.Call{ID: "r", Arrived: now, Deadline: now.Add(5 * time.Second)}
-	err := c.Turn(context.Background(), box, 1, call, &work.Route{}, nowhere{t})
+	err := c.Turn(context.Background(), box, 1, call, &work.Route{}, unexpectedAnswer{t})
 	if err == nil {
-		t.Fatal("the turn is answered")
+		t.Fatal("the turn succeeds, want a fault")
 	}
 	return fault.From(err)
 }
 
-// TestFullPoolIsNoLostPeer checks that a box which has no connection to another left does not
-// take that for lost, but may ask the next that can hold the slot, and has advice for the caller.
-// A box that is not reached is still lost.
-func TestFullPoolIsNoLostPeer(t *testing.T) {
+// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnknown with a Retry-After delay,
+// and a refused connection PeerLost.
+func TestFullPoolIsNotPeerLost(t *testing.T) {
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer srv.Close()
@@ -46,23 +45,23 @@
 	box := work.Box{Name: "b", Peer: netip.MustParseAddrPort(srv.Listener.Addr().String())}
 	c := NewClient()
 	c.pools[box.Peer] = dial.New(box.Peer, 1)
-	go func() { _ = c.Ping(context.Background(), box) }() // it holds the only connection
+	go func() { _ = c.Ping(context.Background(), box) }() // occupies the only connection
 	for end := time.Now().Add(5 * time.Second); !c.pool(box.Peer).Full(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the connection is not taken")
+			t.Fatal("the connection is still free")
 		}
 	}
 	if f := turnTo(t, c, box); f.Kind != fault.OwnerUnknown || !f.NotRun || f.RetryAfter <= 0 {
-		t.Errorf("no connection is free: %v, not run %v, again after %v", f, f.NotRun, f.RetryAfter)
+		t.Errorf("no connection is free: %v, not run %v, retry after %v", f, f.NotRun, f.RetryAfter)
 	}
 	gone := work.Box{Name: "c", Peer: netip.MustParseAddrPort(closedAddr(t))}
 	if f := turnTo(t, c, gone); f.Kind != fault.PeerLost || !f.NotRun {
-		t.Errorf("nobody listens: %v, not run %v", f, f.NotRun)
+		t.Errorf("connection refused: %v, not run %v", f, f.NotRun)
 	}
 }
 
-// TestTurnToDeadBoxHasNotRun checks that a turn for a box which is gone or hangs has surely not run: its caller
-// can be told when to come back.
+// TestTurnToDeadBoxHasNotRun checks that a turn sent to a box that resets the connection or hangs fails in
+// time and is known not to have run.
 func TestTurnToDeadBoxHasNotRun(t *testing.T) {
 	for name, do := range map[string]func(conn net.Conn){
 		"resets": func(conn net.Conn) { _ = conn.Close() },
@@ -85,14 +84,14 @@
 			}()
 			start := time.Now()
 			f := turnTo(t, NewClient(), work.Box{Name: "b", Peer: netip.MustParseAddrPort(ln.Addr().String())})
-			if f.Kind != fault.PeerLost || !f.NotRun || time.Since(start) > 2*confirmWait {
+			if f.Kind != fault.PeerLost || !f.NotRun || time.Since(start) > 2*continueTimeout {
 				t.Errorf("%v, not run %v, after %v", f, f.NotRun, time.Since(start))
 			}
 		})
 	}
 }
 
-// closedAddr is an address at which nobody listens.
+// closedAddr returns an address on which nothing listens.
 func closedAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/gate/remote/doc.go
+++ b/gate/remote/doc.go
@@ -1,3 +1,4 @@
-// Package remote carries turns and questions between boxes over HTTP/1.1. A message is a
-// JSON header with its length before it, then bytes as they are; twirp has no streams.
+// Package remote sends turns and requests between boxes over HTTP/1.1. A forwarded turn and its response
+// are a length-prefixed JSON header followed by the raw body, so that the body can be streamed; all other
+// messages are plain JSON or query parameters.
 package remote
--- a/gate/remote/frame.go
+++ b/gate/remote/frame.go
@@ -12,56 +12,56 @@
 // maxHeader bounds the JSON header of a message, in bytes.
 const maxHeader = 256 << 10
 
-// ask is the header of a forwarded turn.
-type ask struct {
+// turnRequest is the header of a forwarded turn, followed by the body of the call.
+type turnRequest struct {
 	Slot int        `json:"slot"`
 	Call *work.Call `json:"call"`
-	// Route is as the box knows it that took the call, so that one version decides.
+	// Route comes from the configuration of the forwarding box, which may differ from the version here.
 	Route *work.Route `json:"route"`
-	// Left is how long the caller waits; clocks of boxes differ, so that it is no moment.
+	// LeftMillis is the time until the call's deadline. It is relative because the clocks of boxes differ.
 	LeftMillis int64 `json:"left_ms"`
-	// Waited is how long the call was under way before.
+	// WaitedMillis is the time since the call arrived at the forwarding box.
 	WaitedMillis int64 `json:"waited_ms"`
 }
 
-// answer is the header of a reply.
-type answer struct {
+// turnResponse is the header of the response to a forwarded turn. Exactly one field is set.
+type turnResponse struct {
 	Head    *work.Head     `json:"head,omitempty"`
 	Problem *fault.Problem `json:"problem,omitempty"`
 }
 
-// findAnswer is the answer to a search for a turn.
-type findAnswer struct {
+// findResponse is the response to a search for a turn.
+type findResponse struct {
 	Text []byte `json:"text,omitempty"`
-	// Slots are sure not to keep the turn.
+	// Slots are those that are known not to store the turn.
 	Slots []int `json:"slots,omitempty"`
 }
 
-// frame encodes a header with its length before it.
+// frame encodes a header as JSON, prefixed with its length.
 func frame(header any) ([]byte, error) {
 	raw, err := json.Marshal(header)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "message does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode the message header").Because(err)
 	}
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(raw)+4), uint32(len(raw))), raw...), nil
 }
 
-// unframe reads a header.
+// unframe reads a header written by frame.
 func unframe(in io.Reader, header any) error {
 	var size [4]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
-		return fault.Fail(fault.PeerLost, "message broke off").Because(err)
+		return fault.Fail(fault.PeerLost, "message is truncated").Because(err)
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n > maxHeader {
-		return fault.Fail(fault.Protocol, "header of a message is too long")
+		return fault.Fail(fault.Protocol, "message header is too long")
 	}
 	raw := make([]byte, n)
 	if _, err := io.ReadFull(in, raw); err != nil {
-		return fault.Fail(fault.PeerLost, "message broke off").Because(err)
+		return fault.Fail(fault.PeerLost, "message is truncated").Because(err)
 	}
 	if err := json.Unmarshal(raw, header); err != nil {
-		return fault.Fail(fault.Protocol, "header of a message does not decode").Because(err)
+		return fault.Fail(fault.Protocol, "cannot decode the message header").Because(err)
 	}
 	return nil
 }
--- a/gate/remote/log.go
+++ b/gate/remote/log.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// The calls of the log that one box makes for another.
+// The operations of the log that one box may perform on behalf of another.
 const (
 	opAppend  = "append"
 	opNewest  = "newest"
@@ -20,8 +20,8 @@
 	opMembers = "members"
 )
 
-// logAsk is a call to the log.
-type logAsk struct {
+// logRequest is a request to perform an operation of the log. Its fields hold the arguments of the operation.
+type logRequest struct {
 	Op      string        `json:"op"`
 	Shard   work.Shard    `json:"shard"`
 	Writer  work.Writer   `json:"writer"`
@@ -31,114 +31,114 @@
 	WaitMS  int64         `json:"wait_ms,omitempty"`
 	LimitMS int64         `json:"limit_ms"`
 	Member  string        `json:"member,omitempty"`
-	// Generation is that of a join; TTLMS how long it holds.
+	// Generation and TTLMS are the arguments of a join.
 	Generation int64 `json:"generation,omitempty"`
 	TTLMS      int64 `json:"ttl_ms,omitempty"`
 }
 
-// logAnswer is its result.
-type logAnswer struct {
+// logResponse is the result of an operation of the log, or its fault.
+type logResponse struct {
 	Page  work.Page  `json:"page"`
 	Batch work.Batch `json:"batch"`
-	// Generation and Members are those of the fleet.
+	// Generation is the fleet's after a join; Members are its members.
 	Generation int64          `json:"generation,omitempty"`
 	Members    []string       `json:"members,omitempty"`
 	Problem    *fault.Problem `json:"problem,omitempty"`
 }
 
-// Via is the log by way of another box.
+// Via is a work.Log that reaches the log through another box.
 type Via struct {
 	client *Client
 	box    work.Box
 }
 
-// Via returns the log by way of the box.
+// Via returns the log as reached through the box.
 func (c *Client) Via(box work.Box) work.Log {
 	return Via{client: c, box: box}
 }
 
 // Append implements work.Log.
 func (v Via) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
-	_, err := v.call(ctx, logAsk{Op: opAppend, Shard: shard, Writer: writer, Records: recs})
+	_, err := v.call(ctx, logRequest{Op: opAppend, Shard: shard, Writer: writer, Records: recs})
 	return err
 }
 
 // Join implements work.Log.
 func (v Via) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
-	out, err := v.call(ctx, logAsk{Op: opJoin, Member: member, Generation: generation, TTLMS: ttl.Milliseconds()})
+	out, err := v.call(ctx, logRequest{Op: opJoin, Member: member, Generation: generation, TTLMS: ttl.Milliseconds()})
 	return out.Generation, err
 }
 
 // Leave implements work.Log.
 func (v Via) Leave(ctx context.Context, member string) error {
-	_, err := v.call(ctx, logAsk{Op: opLeave, Member: member})
+	_, err := v.call(ctx, logRequest{Op: opLeave, Member: member})
 	return err
 }
 
 // Members implements work.Log.
 func (v Via) Members(ctx context.Context) ([]string, error) {
-	out, err := v.call(ctx, logAsk{Op: opMembers})
+	out, err := v.call(ctx, logRequest{Op: opMembers})
 	return out.Members, err
 }
 
 // Newest implements work.Log.
 func (v Via) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
-	out, err := v.call(ctx, logAsk{Op: opNewest, Shard: shard, After: after})
+	out, err := v.call(ctx, logRequest{Op: opNewest, Shard: shard, After: after})
 	return out.Batch, err
 }
 
 // Read implements work.Log.
 func (v Via) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
-	out, err := v.call(ctx, logAsk{Op: opRead, Shard: shard, From: from, WaitMS: wait.Milliseconds()})
+	out, err := v.call(ctx, logRequest{Op: opRead, Shard: shard, From: from, WaitMS: wait.Milliseconds()})
 	return out.Page, err
 }
 
-func (v Via) call(ctx context.Context, msg logAsk) (logAnswer, error) {
+func (v Via) call(ctx context.Context, msg logRequest) (logResponse, error) {
 	if end, ok := ctx.Deadline(); ok {
 		msg.LimitMS = time.Until(end).Milliseconds()
 	}
-	var out logAnswer
-	if err := v.client.exchange(ctx, v.box, logPath, msg, &out); err != nil {
-		return logAnswer{}, err
+	var out logResponse
+	if err := v.client.exchangeJSON(ctx, v.box, logPath, msg, &out); err != nil {
+		return logResponse{}, err
 	}
 	if out.Problem != nil {
-		return logAnswer{}, out.Problem.Fault()
+		return logResponse{}, out.Problem.Fault()
 	}
 	return out, nil
 }
 
-// log makes a call to the log for another box.
+// log performs an operation of the log on behalf of another box.
 func (s *Server) log(w http.ResponseWriter, r *http.Request) {
-	var msg logAsk
+	var msg logRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&msg); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	ctx, stop := context.WithTimeout(r.Context(), time.Duration(msg.LimitMS)*time.Millisecond)
 	defer stop()
-	var out logAnswer
+	var out logResponse
 	var err error
 	switch msg.Op {
 	case opAppend:
-		err = s.direct.Append(ctx, msg.Shard, msg.Writer, msg.Records)
+		err = s.directLog.Append(ctx, msg.Shard, msg.Writer, msg.Records)
 	case opNewest:
-		out.Batch, err = s.direct.Newest(ctx, msg.Shard, msg.After)
+		out.Batch, err = s.directLog.Newest(ctx, msg.Shard, msg.After)
 	case opRead:
-		out.Page, err = s.direct.Read(ctx, msg.Shard, msg.From, time.Duration(msg.WaitMS)*time.Millisecond)
+		out.Page, err = s.directLog.Read(ctx, msg.Shard, msg.From, time.Duration(msg.WaitMS)*time.Millisecond)
 	case opJoin:
-		out.Generation, err = s.direct.Join(ctx, msg.Member, msg.Generation, time.Duration(msg.TTLMS)*time.Millisecond)
+		out.Generation, err = s.directLog.Join(ctx, msg.Member, msg.Generation, time.Duration(msg.TTLMS)*time.Millisecond)
 	case opLeave:
-		err = s.direct.Leave(ctx, msg.Member)
+		err = s.directLog.Leave(ctx, msg.Member)
 	case opMembers:
-		out.Members, err = s.direct.Members(ctx)
+		out.Members, err = s.directLog.Members(ctx)
 	default:
-		err = fault.Refuse(fault.BadRequest, "no such call of the log")
+		err = fault.Refuse(fault.BadRequest, "unknown operation of the log")
 	}
 	if err != nil {
 		problem := fault.From(err).Problem("")
 		out.Problem = &problem
 	}
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		s.logger.Debug("remote: answer of the log not sent", "cause", err)
+		s.logger.Debug("remote: cannot send response of the log", "cause", err)
 	}
 }
--- a/gate/remote/mirror.go
+++ b/gate/remote/mirror.go
@@ -10,8 +10,8 @@
 	"mulleingate.dev/gate/work"
 )
 
-// told is a source's answer or its refusal.
-type told struct {
+// sourceResponse is a source's response: exactly one field is set.
+type sourceResponse struct {
 	Copy    *mirror.CopyResponse   `json:"copy,omitempty"`
 	Roster  *mirror.RosterResponse `json:"roster,omitempty"`
 	Problem *fault.Problem         `json:"problem,omitempty"`
@@ -19,35 +19,35 @@
 
 // Copy implements mirror.Peers.
 func (c *Client) Copy(ctx context.Context, box work.Box, ask mirror.CopyRequest) (mirror.CopyResponse, error) {
-	out, err := c.source(ctx, box, copyPath, ask)
+	out, err := c.askSource(ctx, box, copyPath, ask)
 	if err != nil {
 		return mirror.CopyResponse{}, err
 	}
 	if out.Copy == nil {
-		return mirror.CopyResponse{}, fault.Fail(fault.Protocol, "a source's answer lacks the topic")
+		return mirror.CopyResponse{}, fault.Fail(fault.Protocol, "a source's response has no topic")
 	}
 	return *out.Copy, nil
 }
 
 // Roster implements mirror.Peers.
 func (c *Client) Roster(ctx context.Context, box work.Box, ask mirror.RosterRequest) (mirror.RosterResponse, error) {
-	out, err := c.source(ctx, box, rosterPath, ask)
+	out, err := c.askSource(ctx, box, rosterPath, ask)
 	if err != nil {
 		return mirror.RosterResponse{}, err
 	}
 	if out.Roster == nil {
-		return mirror.RosterResponse{}, fault.Fail(fault.Protocol, "a source's answer lacks the members")
+		return mirror.RosterResponse{}, fault.Fail(fault.Protocol, "a source's response has no member list")
 	}
 	return *out.Roster, nil
 }
 
-func (c *Client) source(ctx context.Context, box work.Box, path string, ask any) (told, error) {
-	var out told
-	if err := c.exchange(ctx, box, path, ask, &out); err != nil {
-		return told{}, err
+func (c *Client) askSource(ctx context.Context, box work.Box, path string, ask any) (sourceResponse, error) {
+	var out sourceResponse
+	if err := c.exchangeJSON(ctx, box, path, ask, &out); err != nil {
+		return sourceResponse{}, err
 	}
 	if out.Problem != nil {
-		return told{}, out.Problem.Fault()
+		return sourceResponse{}, out.Problem.Fault()
 	}
 	return out, nil
 }
@@ -57,8 +57,8 @@
 	if !decode(w, r, &ask) {
 		return
 	}
-	answer, err := s.mirror.Copy(r.Context(), ask)
-	s.tell(w, told{Copy: &answer}, err)
+	answer, err := s.sources.Copy(r.Context(), ask)
+	s.sendSourceResponse(w, sourceResponse{Copy: &answer}, err)
 }
 
 func (s *Server) roster(w http.ResponseWriter, r *http.Request) {
@@ -66,17 +66,17 @@
 	if !decode(w, r, &ask) {
 		return
 	}
-	answer, err := s.mirror.Roster(r.Context(), ask)
-	s.tell(w, told{Roster: &answer}, err)
+	answer, err := s.sources.Roster(r.Context(), ask)
+	s.sendSourceResponse(w, sourceResponse{Roster: &answer}, err)
 }
 
-// tell sends a source's answer, or its refusal.
-func (s *Server) tell(w http.ResponseWriter, out told, err error) {
+// sendSourceResponse sends a source's response, or only the fault if err is set.
+func (s *Server) sendSourceResponse(w http.ResponseWriter, out sourceResponse, err error) {
 	if err != nil {
 		problem := fault.From(err).Problem("")
-		out = told{Problem: &problem}
+		out = sourceResponse{Problem: &problem}
 	}
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		s.logger.Debug("remote: answer of a source not sent", "cause", err)
+		s.logger.Debug("remote: cannot send response of a source", "cause", err)
 	}
 }
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -17,70 +17,71 @@
 	"mulleingate.dev/gate/work"
 )
 
-// maxBody bounds a forwarded turn, in bytes.
+// maxBody bounds the body of a large request or response, in bytes.
 const maxBody = 32 << 20
 
-// idleTimeout is longer than clients keep connections, so that they end them.
+// idleTimeout is longer than clients keep idle connections, so that the clients close them.
 const idleTimeout = 30 * time.Second
 
 // Turns runs the turns that other boxes forward.
 type Turns interface {
 	// RunHere runs the turn if this box owns the slot.
 	RunHere(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error
-	// Find returns the text of the chain that ends with the turn if a slot of this box keeps
-	// it, and otherwise the slots that are sure not to.
-	Find(ctx context.Context, turn string, home int) (text []byte, sure []int)
+	// Find returns the text of the chain that ends with the turn if a slot of this box stores it, and
+	// otherwise the slots that are known not to.
+	Find(ctx context.Context, turn string, home int) (text []byte, absent []int)
 }
 
-// Slots gives slots up.
+// Slots releases slots and writes records to them.
 type Slots interface {
+	// Yield releases the slot to another box.
 	Yield(ctx context.Context, slot int) error
-	// Deliver writes records of a turn that began at an owner before.
+	// Deliver writes records of turns that began at a previous owner.
 	Deliver(ctx context.Context, slot int, recs []work.Record) error
 }
 
-// Quotas counts the quotas that this box was chosen for.
+// Quotas grants calls from the quotas that are counted on this box.
 type Quotas interface {
 	Grant(now time.Time, ask quota.GrantRequest) quota.GrantReply
 }
 
-// Sources tells what this box has read, as a source.
+// Sources answers requests to this box as a source of the shared topics and the members.
 type Sources interface {
 	Copy(ctx context.Context, ask mirror.CopyRequest) (mirror.CopyResponse, error)
 	Roster(ctx context.Context, ask mirror.RosterRequest) (mirror.RosterResponse, error)
 }
 
-// Boxes hears of boxes that leave.
+// Boxes is notified of boxes that announce that they leave.
 type Boxes interface {
 	Left(box work.Box)
 }
 
-// Server takes the calls of other boxes.
+// Server serves the requests of other boxes.
 type Server struct {
-	addr   netip.AddrPort
-	turns  Turns
-	slots  Slots
-	boxes  Boxes
-	quotas Quotas
-	mirror Sources
-	direct work.Log
-	logger *slog.Logger
-	http   *http.Server
-	// running is nil until the start.
+	addr      netip.AddrPort
+	turns     Turns
+	slots     Slots
+	boxes     Boxes
+	quotas    Quotas
+	sources   Sources
+	directLog work.Log
+	logger    *slog.Logger
+	http      *http.Server
+	// running is nil before Start.
 	running *serve.Running
 }
 
-// NewServer makes a server that does not listen yet.
-// It calls the log directly for boxes that can't.
+// NewServer returns a server that does not listen yet. It performs operations on direct, the log, for boxes
+// that can't reach the log themselves.
 func NewServer(addr netip.AddrPort, turns Turns, slots Slots, boxes Boxes, quotas Quotas, sources Sources, direct work.Log, logger *slog.Logger) *Server {
-	s := &Server{addr: addr, turns: turns, slots: slots, boxes: boxes, quotas: quotas, mirror: sources, direct: direct, logger: logger}
+	s := &Server{addr: addr, turns: turns, slots: slots, boxes: boxes, quotas: quotas, sources: sources, directLog: direct, logger: logger}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+turnPath, s.turn)
-	mux.HandleFunc("POST "+yieldPath, s.yield)
+	mux.HandleFunc("POST "+handoverPath, s.handover)
 	mux.HandleFunc("GET "+findPath, s.find)
 	mux.HandleFunc("POST "+logPath, s.log)
 	mux.HandleFunc("POST "+deliverPath, s.deliver)
-	mux.HandleFunc("POST "+leftPath, s.left)
+	mux.HandleFunc("POST "+leavingPath, s.leaving)
 	mux.HandleFunc("POST "+quotaPath, s.quota)
 	mux.HandleFunc("POST "+copyPath, s.copy)
 	mux.HandleFunc("POST "+rosterPath, s.roster)
@@ -89,22 +90,22 @@
 	return s
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (s *Server) Start(context.Context) error {
 	ln, err := serve.Listen(s.addr)
 	if err != nil {
 		return err
 	}
-	s.running = serve.Run(s.http, ln, s.logger, func(cause error) { s.logger.Error("remote: listener ended", "cause", cause) })
+	s.running = serve.Run(s.http, ln, s.logger, func(cause error) { s.logger.Error("remote: listener failed", "cause", cause) })
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (s *Server) Stop(ctx context.Context) error {
 	return s.running.Stop(ctx)
 }
 
-func (s *Server) yield(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handover(w http.ResponseWriter, r *http.Request) {
 	slot, err := strconv.Atoi(r.URL.Query().Get(slotParam))
 	if err == nil {
 		err = s.slots.Yield(r.Context(), slot)
@@ -125,12 +126,12 @@
 		return
 	}
 	if err := s.slots.Deliver(r.Context(), slot, recs); err != nil {
-		s.logger.Info("remote: records of another box not written", "slot", slot, "cause", err)
+		s.logger.Info("remote: cannot write records delivered by another box", "slot", slot, "cause", err)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (s *Server) left(w http.ResponseWriter, r *http.Request) {
+func (s *Server) leaving(w http.ResponseWriter, r *http.Request) {
 	box, err := work.ParseMember(r.URL.Query().Get(memberParam))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -145,11 +146,11 @@
 		return
 	}
 	if err := json.NewEncoder(w).Encode(s.quotas.Grant(time.Now(), msg)); err != nil {
-		s.logger.Debug("remote: answer on a quota not sent", "cause", err)
+		s.logger.Debug("remote: cannot send quota grant", "cause", err)
 	}
 }
 
-// decode reads a short question, and refuses one that is none.
+// decode reads a short JSON request. It responds with status 400 and returns false if that fails.
 func decode(w http.ResponseWriter, r *http.Request, ask any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHeader)).Decode(ask); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -159,7 +160,7 @@
 }
 
 func (s *Server) find(w http.ResponseWriter, r *http.Request) {
-	var out findAnswer
+	var out findResponse
 	home, err := strconv.Atoi(r.URL.Query().Get(slotParam))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -167,12 +168,12 @@
 	}
 	out.Text, out.Slots = s.turns.Find(r.Context(), r.URL.Query().Get(turnParam), home)
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		s.logger.Debug("remote: answer to a search not sent", "cause", err)
+		s.logger.Debug("remote: cannot send result of a search", "cause", err)
 	}
 }
 
 func (s *Server) turn(w http.ResponseWriter, r *http.Request) {
-	out := &reply{w: w, flush: http.NewResponseController(w)}
+	out := &turnWriter{w: w, flush: http.NewResponseController(w)}
 	msg, err := readTurn(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
 		err = s.turns.RunHere(r.Context(), msg.Slot, msg.Call, msg.Route, out)
@@ -181,16 +182,16 @@
 		return
 	}
 	if out.begun {
-		panic(http.ErrAbortHandler) // the answer must not look whole
+		panic(http.ErrAbortHandler) // the response must not look complete
 	}
 	problem := fault.From(err).Problem("")
-	if err := out.send(answer{Problem: &problem}); err != nil {
-		s.logger.Debug("remote: refusal not sent", "cause", err)
+	if err := out.send(turnResponse{Problem: &problem}); err != nil {
+		s.logger.Debug("remote: cannot send fault of a forwarded turn", "cause", err)
 	}
 }
 
-func readTurn(body io.Reader) (ask, error) {
-	var msg ask
+func readTurn(body io.Reader) (turnRequest, error) {
+	var msg turnRequest
 	if err := unframe(body, &msg); err != nil {
 		return msg, err
 	}
@@ -203,22 +204,22 @@
 	call.Arrived = now.Add(-time.Duration(msg.WaitedMillis) * time.Millisecond)
 	var err error
 	if call.Body, err = io.ReadAll(body); err != nil {
-		return msg, fault.Refuse(fault.BadRequest, "forwarded turn broke off").Because(err)
+		return msg, fault.Refuse(fault.BadRequest, "forwarded turn is truncated").Because(err)
 	}
 	return msg, nil
 }
 
-// callerGone tells whom an answer can't be passed to.
-const callerGone = "the box that forwarded the turn is gone"
+// callerGone is the detail of the fault if a response can't be written.
+const callerGone = "the box that forwarded the turn has disconnected"
 
-// reply passes an answer to the box that forwarded the turn.
-type reply struct {
+// turnWriter is a work.Answer that sends the response to the box that forwarded the turn.
+type turnWriter struct {
 	w     http.ResponseWriter
 	flush *http.ResponseController
 	begun bool
 }
 
-func (r *reply) send(header answer) error {
+func (r *turnWriter) send(header turnResponse) error {
 	raw, err := frame(header)
 	if err != nil {
 		return err
@@ -226,13 +227,13 @@
 	return work.WriteToCaller(r.w, nil, raw, callerGone)
 }
 
-// Begin implements work.Answer. The head goes out with the first bytes of the body.
-func (r *reply) Begin(head work.Head) error {
+// Begin implements work.Answer. The header is not flushed: it is sent with the first bytes of the body.
+func (r *turnWriter) Begin(head work.Head) error {
 	r.begun = true
-	return r.send(answer{Head: &head})
+	return r.send(turnResponse{Head: &head})
 }
 
 // Write implements work.Answer.
-func (r *reply) Write(data []byte) error {
+func (r *turnWriter) Write(data []byte) error {
 	return work.WriteToCaller(r.w, r.flush, data, callerGone)
 }
