--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -31,32 +31,32 @@
 )
 
 const (
-	// leaveFor is how long a leaving box takes new connections: a balancer that asks every
-	// second and wants two answers has taken it out by then.
-	leaveFor = 2600 * time.Millisecond
-	// finishFor bounds the stop of all services after that. With leaveFor it stays 0.8 s below
-	// the 8 s after which the platform ends a box.
-	finishFor = 4600 * time.Millisecond
-	// behindFront is the part of finishFor that callers' calls under way leave to the services
-	// behind the front; behindShards is what of that the slots' last records leave to the
-	// turns that run for other boxes: these had the front's time too, and end in order.
-	behindFront  = 400 * time.Millisecond
-	behindShards = 200 * time.Millisecond
+	// leaveGrace is how long a leaving box accepts new connections. The load balancer needs two failed health
+	// checks, one second apart, to take it out.
+	leaveGrace = 2600 * time.Millisecond
+	// stopTimeout bounds the stop of all services after that. The platform kills a box 8 s after the request
+	// to stop; leaveGrace and stopTimeout together must stay below that.
+	stopTimeout = 4600 * time.Millisecond
+	// frontReserve is the part of stopTimeout that is reserved for the services stopped after the front, even
+	// if callers' calls are still in flight. Of that, shardsReserve is reserved for the services stopped
+	// after the shards, so that turns of other boxes can end.
+	frontReserve  = 400 * time.Millisecond
+	shardsReserve = 200 * time.Millisecond
 )
 
-// Replicas speaks to replicas.
+// Replicas sends requests to replicas.
 type Replicas interface {
 	target.Opener
 	relay.Sender
 	load.Reporter
 }
 
-// Deps is what a box is made from.
+// Deps holds the dependencies and settings of a box.
 type Deps struct {
 	Self work.Box
-	// Slots is the number of slots, alike on all boxes.
+	// Slots is the number of slots, which must be the same on all boxes.
 	Slots int
-	// RecordBytes is the longest record that the log takes.
+	// RecordBytes is the size of the largest record that the log accepts, in bytes.
 	RecordBytes int
 	Log         work.Log
 	Decoder     feed.Decoder
@@ -64,81 +64,82 @@
 	Logger      *slog.Logger
 	Meter       *meter.Meter
 	Timing      view.Timing
-	// Zones are all availability zones.
+	// Zones lists all availability zones.
 	Zones []string
-	// Regions tells the region of each of them.
+	// Regions maps each of them to its region.
 	Regions work.Regions
 	Access  access.Bounds
 	Quota   quota.Bounds
 	Cold    sched.ColdLimits
 }
 
-// Node is a box.
+// Node is a box with all of its services.
 type Node struct {
-	deps    Deps
-	layout  shard.Layout
-	kern    *kernel.Kernel
-	view    *view.View
-	mirror  *mirror.Mirror
-	feed    *feed.Feed
-	shards  *shard.Manager
-	entry   *entry.Entry
-	peers   *remote.Client
-	targets *target.Targets
-	places  *places
-	server  *remote.Server
-	reach   *reach
-	watch   *load.Watch
-	counter *quota.Counter
-	leaving atomic.Bool
+	deps     Deps
+	layout   shard.Layout
+	kern     *kernel.Kernel
+	view     *view.View
+	mirror   *mirror.Mirror
+	feed     *feed.Feed
+	shards   *shard.Manager
+	entry    *entry.Entry
+	peers    *remote.Client
+	targets  *target.Targets
+	senders  *callSenders
+	server   *remote.Server
+	detector *cutOffDetector
+	watch    *load.Watch
+	counter  *quota.Counter
+	leaving  atomic.Bool
 }
 
-// New makes a box; nothing runs yet.
+// New returns a box whose services are not started.
 func New(deps Deps) *Node {
 	layout := shard.NewLayout(deps.Slots)
 	n := &Node{deps: deps, layout: layout, kern: kernel.New(deps.Logger), peers: remote.NewClient()}
 	log := deps.Logger
 	n.targets = target.New(deps.Self.Zone, deps.Replicas, log)
-	reached := detour.New(deps.Log, others{n}, log)
-	n.mirror = mirror.New(deps.Self, deps.Zones, reached, boxes{n}, n.peers, deps.Decoder, log)
+	detourLog := detour.New(deps.Log, logProxies{n}, log)
+	n.mirror = mirror.New(deps.Self, deps.Zones, detourLog, lateView{n}, n.peers, deps.Decoder, log)
 	n.feed = feed.New(n.mirror, deps.Decoder, n.targets, log)
 	n.view = view.New(deps.Self, n.mirror, deps.Timing, log)
 	n.targets.SetBounds(target.Bounds{Regions: deps.Regions, Cold: deps.Cold})
-	n.targets.SetWarmingCheck(n.places.Warms)
-	n.shards = shard.New(deps.Self, layout, reached, n.view, n.peers, deps.Meter, log)
-	n.places = newPlaces(deps.Self, n.view, layout.Names())
+	n.targets.SetWarmingCheck(n.senders.Warms)
+	n.shards = shard.New(deps.Self, layout, detourLog, n.view, n.peers, deps.Meter, log)
+	n.senders = newCallSenders(deps.Self, n.view, layout.Names())
 	n.mirror.OnLevels(func(levels subset.Levels) {
-		n.places.Draw(levels)
+		n.senders.Draw(levels)
 		n.targets.SetLevels(levels)
 	})
-	n.watch = load.New(deps.Self, deps.Replicas, n.targets, n.places, log)
-	n.reach = newReach(deps.Self.Name, n.view, n.peers, log)
+	n.watch = load.New(deps.Self, deps.Replicas, n.targets, n.senders, log)
+	n.detector = newCutOffDetector(deps.Self.Name, n.view, n.peers, log)
 	runner := turns.New(n.targets, deps.Replicas, deps.RecordBytes, deps.Meter, log)
-	carrier := relay.New(n.targets, deps.Replicas, deps.Meter, log)
+	forwarder := relay.New(n.targets, deps.Replicas, deps.Meter, log)
 	n.counter = quota.NewCounter(deps.Self, deps.Zones, deps.Quota, n.view)
 	quotas := quota.New(deps.Self, deps.Zones, deps.Quota, n.view, n.counter, n.peers, deps.Meter)
-	n.entry = entry.New(deps.Self, layout, deps.Regions, n.feed, access.New(deps.Access), quotas, n.view, n.reach, n.shards, runner, n.peers, carrier, deps.Meter, log)
+	n.entry = entry.New(deps.Self, layout, deps.Regions, n.feed, access.New(deps.Access), quotas, n.view, n.detector, n.shards, runner, n.peers, forwarder, deps.Meter, log)
 	n.server = remote.NewServer(deps.Self.Peer, n.entry, n.shards, n.view, n.counter, n.mirror, deps.Log, log)
 	n.feed.OnConfig(func(conf *work.Config) { n.counter.Update(time.Now(), conf) })
-	n.view.OnChange(n.boxesChanged)
+	n.view.OnChange(n.onBoxesChanged)
 	n.targets.OnFailing(n.watch.SendFailureRate)
 	return n
 }
 
-// boxes tells the mirror who lives; the view is made after it.
-type boxes struct{ node *Node }
+// lateView gives the mirror access to the view, which is created after it.
+type lateView struct{ node *Node }
 
 // Live implements mirror.Boxes.
-func (b boxes) Live() []work.Box { return b.node.view.Live() }
+func (b lateView) Live() []work.Box { return b.node.view.Live() }
 
 // HasSettled implements mirror.Boxes.
-func (b boxes) HasSettled() bool { return b.node.view.HasSettled() }
+func (b lateView) HasSettled() bool { return b.node.view.HasSettled() }
 
-// others are the boxes by whose way the log may be called.
-type others struct{ node *Node }
+// logProxies provides the boxes through which the log may be called.
+type logProxies struct{ node *Node }
 
-// Others implements detour.Others. What goes to the log may be bound to regions, and other regions are far.
-func (o others) Others() []work.Box {
+// Others implements detour.Others. It returns only boxes of this box's region, since records may have to stay
+// there and other regions are slow to reach.
+func (o logProxies) Others() []work.Box {
 	regions, self := o.node.deps.Regions, o.node.deps.Self
 	var boxes []work.Box
 	for _, box := range o.node.view.Live() {
@@ -150,77 +151,76 @@
 }
 
 // Via implements detour.Others.
-func (o others) Via(box work.Box) work.Log {
+func (o logProxies) Via(box work.Box) work.Log {
 	return o.node.peers.Via(box)
 }
 
-func (n *Node) boxesChanged() {
+func (n *Node) onBoxesChanged() {
 	live := n.view.Live()
 	n.targets.SetBoxCount(len(live))
-	n.places.Renew()
-	n.targets.SetPlacerCount(n.places.Placers())
+	n.senders.Renew()
+	n.targets.SetPlacerCount(n.senders.Placers())
 	n.peers.Keep(live)
 	n.counter.Update(time.Now(), n.feed.Config())
 	n.shards.Rebalance()
 }
 
-// Start starts all services, last the front: it takes callers' connections from its start on,
-// tells callers to leave while the box is not ready, and finishes calls under way at its stop.
+// Start starts all services, the front last. The front accepts connections once started, asks callers to
+// reconnect elsewhere while the box is not ready, and completes calls in flight when it stops.
 func (n *Node) Start(ctx context.Context, front kernel.Service) error {
 	return n.kern.Start(ctx, n.parts(front))
 }
 
-// parts are the services of a box. A stop takes them from the last to the first.
+// parts returns the services of a box. They are stopped from last to first.
 func (n *Node) parts(front kernel.Service) []kernel.Part {
-	made := func(svc kernel.Service) kernel.Factory {
+	factoryFor := func(svc kernel.Service) kernel.Factory {
 		return func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
 	}
 	return []kernel.Part{
-		{Name: "meter", Make: made(n.deps.Meter)},
-		{Name: "mirror", Needs: []string{"meter"}, Make: made(n.mirror)},
-		{Name: "feed", Needs: []string{"meter", "mirror"}, Make: made(n.feed)},
-		{Name: "view", Needs: []string{"meter"}, Make: made(n.view)},
-		{Name: "load", Needs: []string{"view", "feed"}, Make: made(n.watch)},
-		{Name: "quota", Needs: []string{"view", "feed"}, Make: made(n.counter)},
-		{Name: "reach", Needs: []string{"view"}, Make: made(n.reach)},
-		{Name: "peers", Needs: []string{"view", "feed", "quota"}, Make: made(n.server)},
-		{Name: "shards", Needs: []string{"peers"}, Make: made(n.shards), Spare: behindShards},
-		{Name: "front", Needs: []string{"shards"}, Make: made(front), Spare: behindFront},
+		{Name: "meter", Make: factoryFor(n.deps.Meter)},
+		{Name: "mirror", Needs: []string{"meter"}, Make: factoryFor(n.mirror)},
+		{Name: "feed", Needs: []string{"meter", "mirror"}, Make: factoryFor(n.feed)},
+		{Name: "view", Needs: []string{"meter"}, Make: factoryFor(n.view)},
+		{Name: "load", Needs: []string{"view", "feed"}, Make: factoryFor(n.watch)},
+		{Name: "quota", Needs: []string{"view", "feed"}, Make: factoryFor(n.counter)},
+		{Name: "reach", Needs: []string{"view"}, Make: factoryFor(n.detector)},
+		{Name: "peers", Needs: []string{"view", "feed", "quota"}, Make: factoryFor(n.server)},
+		{Name: "shards", Needs: []string{"peers"}, Make: factoryFor(n.shards), Spare: shardsReserve},
+		{Name: "front", Needs: []string{"shards"}, Make: factoryFor(front), Spare: frontReserve},
 	}
 }
 
-// Stop is a planned stop: the box hands its slots over and is taken out of the balancer
-// while it still serves, then finishes what it has accepted.
+// Stop performs a planned stop. While the box still serves, its slots are handed over and the load balancer
+// takes it out; then its services stop and complete what they have accepted.
 func (n *Node) Stop(ctx context.Context) error {
 	n.leaving.Store(true)
 	n.deps.Logger.Info("node: leaving")
-	served := time.After(leaveFor) // a store that does not answer must not put the end off
+	graceOver := time.After(leaveGrace) // also runs while leave waits for the log
 	n.leave(ctx)
 	select {
-	case <-served:
+	case <-graceOver:
 	case <-ctx.Done():
 	}
-	ctx, stop := context.WithTimeout(ctx, finishFor)
+	ctx, stop := context.WithTimeout(ctx, stopTimeout)
 	defer stop()
 	err := n.kern.Stop(ctx)
 	n.deps.Logger.Info("node: stopped")
 	return err
 }
 
-// leave takes this box out of the fleet and tells the others, who then ask for its slots. They
-// are told while the store is: a store that answers late must not put their word off, and they
-// take the word before the store's list of members.
+// leave removes this box from the fleet and announces that to other boxes, which then ask for its slots. The
+// announcement does not wait for the log, which may be slow, and overrides its member list.
 func (n *Node) leave(ctx context.Context) {
-	boxes := told(n.view.Live(), n.layout.Names(), n.view.Owners)
+	boxes := leaveRecipients(n.view.Live(), n.layout.Names(), n.view.Owners)
 	var all sync.WaitGroup
 	all.Go(func() { n.view.Leave(ctx) })
-	all.Go(func() { n.tell(ctx, boxes) })
+	all.Go(func() { n.announceLeave(ctx, boxes) })
 	all.Wait()
 }
 
-// tell tells the other boxes that this one leaves.
-func (n *Node) tell(ctx context.Context, boxes []work.Box) {
-	ctx, stop := context.WithTimeout(ctx, reachWait)
+// announceLeave announces to the other boxes that this one leaves.
+func (n *Node) announceLeave(ctx context.Context, boxes []work.Box) {
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	var all sync.WaitGroup
 	for _, box := range boxes {
@@ -229,41 +229,42 @@
 		}
 		all.Go(func() {
 			if err := n.peers.Leaving(ctx, box, n.deps.Self.Member()); err != nil {
-				n.deps.Logger.Info("node: box not told that this one leaves", "to", box.Name, "cause", err)
+				n.deps.Logger.Info("node: cannot announce leave to another box", "to", box.Name, "cause", err)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether the load balancer should send callers to this box.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.feed.Ready() && n.view.HasSettled() && !n.reach.CutOff()
+	return !n.leaving.Load() && n.feed.Ready() && n.view.HasSettled() && !n.detector.CutOff()
 }
 
-// Figures writes what the box measures, in the usual text exposition format.
+// Figures writes the metrics of the box in the Prometheus text exposition format.
 func (n *Node) Figures(out io.Writer) error {
-	figures := n.deps.Meter
-	figures.Gauge("node.slots", int64(n.shards.HeldCount()))
-	figures.Gauge("node.boxes", int64(len(n.view.Live())))
-	figures.Gauge("node.ready", flag(n.Ready()))
-	figures.Gauge("node.source", flag(n.mirror.IsSource()))
-	figures.Gauge("node.cut_off", flag(n.reach.CutOff()))
-	figures.Gauge("node.log_age_ms", n.view.ReadAge().Milliseconds())
-	figures.Gauge("node.memory_bytes", memory())
-	figures.Gauge("node.list_age_ms", n.feed.ListAge().Milliseconds())
-	figures.Gauge("node.config_age_ms", n.feed.ConfigAge().Milliseconds())
-	figures.Gauge("node.configs_refused", n.feed.ConfigsRefused())
-	figures.Gauge("node.entries_refused", n.feed.EntriesRefused())
-	figures.Gauge("node.replicas", int64(len(n.targets.ListedIDs())))
+	gauges := n.deps.Meter
+	gauges.Gauge("node.slots", int64(n.shards.HeldCount()))
+	gauges.Gauge("node.boxes", int64(len(n.view.Live())))
+	gauges.Gauge("node.ready", boolGauge(n.Ready()))
+	gauges.Gauge("node.source", boolGauge(n.mirror.IsSource()))
+	gauges.Gauge("node.cut_off", boolGauge(n.detector.CutOff()))
+	gauges.Gauge("node.log_age_ms", n.view.ReadAge().Milliseconds())
+	gauges.Gauge("node.memory_bytes", mappedMemory())
+	gauges.Gauge("node.list_age_ms", n.feed.ListAge().Milliseconds())
+	gauges.Gauge("node.config_age_ms", n.feed.ConfigAge().Milliseconds())
+	gauges.Gauge("node.configs_refused", n.feed.ConfigsRefused())
+	gauges.Gauge("node.entries_refused", n.feed.EntriesRefused())
+	gauges.Gauge("node.replicas", int64(len(n.targets.ListedIDs())))
 	if conf := n.feed.Config(); conf != nil {
-		figures.Gauge("node.config_version", conf.Version)
+		gauges.Gauge("node.config_version", conf.Version)
 	}
-	return figures.WriteText(out)
+	return gauges.WriteText(out)
 }
 
-// memory is what the process has mapped, in bytes, without stopping it for the count.
-func memory() int64 {
+// mappedMemory returns the memory mapped by the process, in bytes. Unlike runtime.ReadMemStats it does not
+// stop the world.
+func mappedMemory() int64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
@@ -272,14 +273,14 @@
 	return int64(sample[0].Value.Uint64())
 }
 
-func flag(on bool) int64 {
+func boolGauge(on bool) int64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// Limits bound what callers may send. They are nil while no configuration is known.
+// Limits returns the limits on what callers may send, or nil while no configuration is known.
 func (n *Node) Limits() *work.Limits {
 	conf := n.feed.Config()
 	if conf == nil {
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -10,45 +10,47 @@
 	"mulleingate.dev/gate/work"
 )
 
-// fleet is the part of the view that places uses.
-type fleet interface {
+// fleetView is the part of view.View that places uses.
+type fleetView interface {
 	Live() []work.Box
 	Owner(slot string) (work.Box, bool)
 	Settled() bool
 }
 
-// places knows which boxes send calls to replicas: turns are placed by the owners of slots, other calls by all.
-type places struct {
+// callSenders tracks which boxes send calls to replicas: owners of slots send turns, all boxes send other
+// calls.
+type callSenders struct {
 	self  work.Box
-	fleet fleet
-	// slots are the names of all slots.
+	fleet fleetView
+	// slots holds the names of all slots.
 	slots []string
 
 	mu sync.Mutex
-	// near are the names of this availability zone's boxes, placing those of them that own slots.
-	near    []string
-	placing []work.Box
-	// far counts the owners of slots elsewhere.
-	far int
-	// levels are those at which each box draws its part of the replicas.
+	// zoneBoxes holds the names of the live boxes in this availability zone; zonePlacers holds those boxes that
+	// own slots, and must not be modified since callers share it.
+	zoneBoxes   []string
+	zonePlacers []work.Box
+	// otherZonePlacers is the number of boxes in other availability zones that own slots.
+	otherZonePlacers int
+	// levels determines which part of the replicas each box knows.
 	levels subset.Levels
 }
 
-func newPlaces(self work.Box, fleet fleet, slots []string) *places {
-	return &places{self: self, fleet: fleet, slots: slots}
+func newCallSenders(self work.Box, fleet fleetView, slots []string) *callSenders {
+	return &callSenders{self: self, fleet: fleet, slots: slots}
 }
 
-// Renew is called when the living boxes have changed.
-func (p *places) Renew() {
-	var near []string
+// Renew recomputes the senders after the live boxes have changed.
+func (p *callSenders) Renew() {
+	var zoneBoxes []string
 	for _, box := range p.fleet.Live() {
 		if box.Zone == p.self.Zone {
-			near = append(near, box.Name)
+			zoneBoxes = append(zoneBoxes, box.Name)
 		}
 	}
 	owners := map[string]bool{}
-	var placing []work.Box
-	far := 0
+	var zonePlacers []work.Box
+	otherZonePlacers := 0
 	for _, slot := range p.slots {
 		box, ok := p.fleet.Owner(slot)
 		if !ok || owners[box.Name] {
@@ -56,41 +58,42 @@
 		}
 		owners[box.Name] = true
 		if box.Zone != p.self.Zone {
-			far++
+			otherZonePlacers++
 			continue
 		}
-		placing = append(placing, box)
+		zonePlacers = append(zonePlacers, box)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.near, p.placing, p.far = near, placing, far
+	p.zoneBoxes, p.zonePlacers, p.otherZonePlacers = zoneBoxes, zonePlacers, otherZonePlacers
 }
 
-// Placers is how many boxes count as placing turns at the same replicas as this one. In a large fleet most own no slot.
-func (p *places) Placers() int {
+// Placers returns the effective number of boxes that place turns on the same replicas as this one; boxes
+// without slots don't count.
+func (p *callSenders) Placers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return sched.EffectivePlacers(len(p.placing), p.far)
+	return sched.EffectivePlacers(len(p.zonePlacers), p.otherZonePlacers)
 }
 
-// Warms reports whether this box is the one of its availability zone that sends calls to a cold replica. A box that does
-// not know who lives sends none.
-func (p *places) Warms(rep work.Replica, model bool) bool {
+// Warms reports whether this box is the one in its availability zone that sends calls to a cold replica. If
+// model is set, only owners of slots are considered. It returns false while the view is not settled.
+func (p *callSenders) Warms(rep work.Replica, model bool) bool {
 	if !p.fleet.Settled() {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	senders := p.near
+	candidates := p.zoneBoxes
 	if model {
-		senders = names(p.placing)
+		candidates = boxNames(p.zonePlacers)
 	}
 	knows := func(name string) bool { return p.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
-	senders = slices.DeleteFunc(slices.Clone(senders), func(name string) bool { return !knows(name) })
-	return ident.Winner(rep.ID, senders) == p.self.Name
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(name string) bool { return !knows(name) })
+	return ident.Winner(rep.ID, candidates) == p.self.Name
 }
 
-func names(boxes []work.Box) []string {
+func boxNames(boxes []work.Box) []string {
 	names := make([]string, 0, len(boxes))
 	for _, box := range boxes {
 		names = append(names, box.Name)
@@ -99,58 +102,58 @@
 }
 
 // Live implements load.Boxes.
-func (p *places) Live() []work.Box {
+func (p *callSenders) Live() []work.Box {
 	return p.fleet.Live()
 }
 
 // PlacingBoxes implements load.Boxes.
-func (p *places) PlacingBoxes() []work.Box {
+func (p *callSenders) PlacingBoxes() []work.Box {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.placing
+	return p.zonePlacers
 }
 
 // Knows implements load.Boxes.
-func (p *places) Knows(box work.Box, rep work.Replica) bool {
+func (p *callSenders) Knows(box work.Box, rep work.Replica) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.levels.Knows(box.Name, rep.ID, subset.Group(rep.Service, rep.Zone))
 }
 
 // KnownToAll implements load.Boxes.
-func (p *places) KnownToAll(rep work.Replica) bool {
+func (p *callSenders) KnownToAll(rep work.Replica) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.levels[subset.Group(rep.Service, rep.Zone)] == 0
 }
 
-// Draw takes the levels at which boxes draw their parts of the replicas.
-func (p *places) Draw(levels subset.Levels) {
+// Draw sets the levels that determine which part of the replicas each box knows.
+func (p *callSenders) Draw(levels subset.Levels) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.levels = levels
 }
 
 const (
-	// mostTold is the number of boxes up to which all are told that one leaves.
-	mostTold = 200
-	// holderRanks is how many boxes may hold a slot while boxes come and go.
-	holderRanks = 4
+	// announceToAllLimit is the largest number of live boxes at which a leave is announced to all of them.
+	announceToAllLimit = 200
+	// holdersPerSlot is how many of a slot's highest-ranked boxes may hold it while boxes join and leave.
+	holdersPerSlot = 4
 )
 
-// told are the boxes that a box which leaves tells of it: in a large fleet those that may hold a slot, since they come to
-// hold its own or run the turns of others. The rest hears of it from the log, and is led on by those that it asks. A
-// box that told a thousand others would be busy with that until its callers are gone.
-func told(live []work.Box, slots []string, owners func(slot string, n int) []work.Box) []work.Box {
-	if len(live) <= mostTold {
+// leaveRecipients returns the boxes to which a leave is announced. In a large fleet these are only the boxes
+// that may hold a slot, since they take over slots or run forwarded turns; the others learn of the leave from
+// the log. Announcing it to all would take up much of the stop.
+func leaveRecipients(live []work.Box, slots []string, owners func(slot string, n int) []work.Box) []work.Box {
+	if len(live) <= announceToAllLimit {
 		return live
 	}
-	named := map[string]bool{}
+	added := map[string]bool{}
 	var holders []work.Box
 	for _, slot := range slots {
-		for _, box := range owners(slot, holderRanks) {
-			if !named[box.Name] {
-				named[box.Name] = true
+		for _, box := range owners(slot, holdersPerSlot) {
+			if !added[box.Name] {
+				added[box.Name] = true
 				holders = append(holders, box)
 			}
 		}
--- a/gate/node/place_test.go
+++ b/gate/node/place_test.go
@@ -9,21 +9,22 @@
 	"mulleingate.dev/gate/work"
 )
 
-// herd is living boxes, the first few of which own one slot each.
-type herd struct {
+// fakeFleet is a fake view with the given live boxes and owners of slots.
+type fakeFleet struct {
 	live    []work.Box
 	owners  map[string]work.Box
 	settled bool
 }
 
-func (h herd) Live() []work.Box                   { return h.live }
-func (h herd) Owner(slot string) (work.Box, bool) { box, ok := h.owners[slot]; return box, ok }
-func (h herd) Settled() bool                      { return h.settled }
+func (h fakeFleet) Live() []work.Box                   { return h.live }
+func (h fakeFleet) Owner(slot string) (work.Box, bool) { box, ok := h.owners[slot]; return box, ok }
+func (h fakeFleet) Settled() bool                      { return h.settled }
 
-// TestOneBoxOfAZoneWarms checks that of boxes which see the same fleet one of each availability zone sends to a cold
-// replica, among those that place turns if it runs turns; and none that does not know who lives.
-func TestOneBoxOfAZoneWarms(t *testing.T) {
-	h := herd{owners: map[string]work.Box{}, settled: true}
+// TestOneBoxPerZoneWarmsReplica checks that of boxes with the same view exactly one in each availability zone
+// sends calls to a cold replica, an owner of slots if the replica runs a model, and none whose view is not
+// settled.
+func TestOneBoxPerZoneWarmsReplica(t *testing.T) {
+	h := fakeFleet{owners: map[string]work.Box{}, settled: true}
 	for i := range 12 {
 		box := work.Box{Name: fmt.Sprintf("b%d", i), Zone: string(rune('a' + i%3))}
 		h.live = append(h.live, box)
@@ -37,34 +38,34 @@
 			rep := work.Replica{ID: fmt.Sprintf("r%d", n)}
 			senders := map[string]int{}
 			for i, box := range h.live {
-				p := newPlaces(box, h, slots)
+				p := newCallSenders(box, h, slots)
 				p.Renew()
 				if !p.Warms(rep, model) {
 					continue
 				}
 				senders[box.Zone]++
 				if model && i >= 6 {
-					t.Errorf("%s sends turns to %s and owns no slot", box.Name, rep.ID)
+					t.Errorf("%s sends turns to %s but owns no slot", box.Name, rep.ID)
 				}
 			}
 			if senders["a"] != 1 || senders["b"] != 1 || senders["c"] != 1 {
-				t.Errorf("%s, turns %v: %v send", rep.ID, model, senders)
+				t.Errorf("%s, runs a model %v: senders by zone %v, want one each", rep.ID, model, senders)
 			}
 		}
 	}
 	h.settled = false
 	for _, box := range h.live {
-		p := newPlaces(box, h, slots)
+		p := newCallSenders(box, h, slots)
 		p.Renew()
 		if p.Warms(work.Replica{ID: "r0"}, false) {
-			t.Errorf("%s sends and does not know who lives", box.Name)
+			t.Errorf("%s sends calls to a cold replica while its view is not settled", box.Name)
 		}
 	}
 }
 
-// TestFewAreToldOfALeave checks that a box of a large fleet tells only those that may hold slots, and one of a small fleet
-// all.
-func TestFewAreToldOfALeave(t *testing.T) {
+// TestLeaveRecipientsAreBounded checks that a leave is announced to all boxes of a small fleet, and in a large
+// one only to those that may hold slots.
+func TestLeaveRecipientsAreBounded(t *testing.T) {
 	slots := make([]string, 48)
 	for i := range slots {
 		slots[i] = fmt.Sprintf("slot-%d", i)
@@ -81,17 +82,17 @@
 			}
 			return boxes
 		}
-		got := told(live, slots, owners)
-		if n <= mostTold && len(got) != n {
-			t.Errorf("%d of %d boxes are told", len(got), n)
+		got := leaveRecipients(live, slots, owners)
+		if n <= announceToAllLimit && len(got) != n {
+			t.Errorf("leave announced to %d of %d boxes, want all", len(got), n)
 		}
-		if len(got) > len(slots)*holderRanks {
-			t.Errorf("%d of %d boxes are told", len(got), n)
+		if len(got) > len(slots)*holdersPerSlot {
+			t.Errorf("leave announced to %d of %d boxes, want only holders of slots", len(got), n)
 		}
 		for _, slot := range slots {
-			for _, box := range owners(slot, holderRanks) {
+			for _, box := range owners(slot, holdersPerSlot) {
 				if !slices.Contains(got, box) {
-					t.Errorf("%s may hold %s and is not told", box.Name, slot)
+					t.Errorf("%s may hold %s but gets no announcement", box.Name, slot)
 				}
 			}
 		}
--- a/gate/node/reach.go
+++ b/gate/node/reach.go
@@ -15,102 +15,101 @@
 )
 
 const (
-	// reachEvery is the time between two looks, and reachWait bounds one question.
-	reachEvery = 300 * time.Millisecond
-	reachWait  = 300 * time.Millisecond
-	// readWithin is how old the last read of the log may be while all is well: a few reads,
-	// each of a slow store.
-	readWithin = 900 * time.Millisecond
-	// aloneRetry is the advice of a box that reaches nobody: the next try meets another box.
-	aloneRetry = 100 * time.Millisecond
-	// balancerMoves is how long the balancer takes to send new connections elsewhere: it asks
-	// every second and wants two misses. Boxes that are cut off together advise to wait for it.
-	balancerMoves = 2100 * time.Millisecond
-	// mostAsked bounds the boxes that are asked. While the log is away every box asks at every look:
-	// of 200 boxes that all ask all, each would send and answer 650 questions a second. Of sixteen, a box
-	// that reaches a fifth of the fleet reaches eight less than once in a thousand looks.
-	mostAsked = 16
+	// checkInterval is the time between two checks. requestTimeout bounds the requests to other boxes.
+	checkInterval  = 300 * time.Millisecond
+	requestTimeout = 300 * time.Millisecond
+	// maxReadAge is the age of the view above which the log counts as unreachable.
+	maxReadAge = 900 * time.Millisecond
+	// aloneRetryDelay is the retry delay if no other box is reached: only this one is cut off, so that a retry
+	// probably reaches another.
+	aloneRetryDelay = 100 * time.Millisecond
+	// balancerFailover is how long the load balancer takes to send new connections elsewhere: two failed health
+	// checks, one second apart. Boxes that are cut off together have callers wait for that.
+	balancerFailover = 2100 * time.Millisecond
+	// maxPings bounds the boxes that are pinged in one check, since all boxes do so during an outage of the
+	// log. It is large enough that a box in a minority partition rarely reaches half of its sample.
+	maxPings = 16
 )
 
-// neighbours is the part of the view that a reach uses.
-type neighbours interface {
+// boxView is the part of view.View that cutOffDetector uses.
+type boxView interface {
 	Live() []work.Box
 	ReadAge() time.Duration
 }
 
-// pinger asks whether a box answers.
+// pinger checks whether a box responds.
 type pinger interface {
 	Ping(ctx context.Context, box work.Box) bool
 }
 
-// reach finds out whether this box is cut off: it reaches neither the log nor half of the
-// boxes that it asks. The log alone may be away for all; then nobody is better off with another box.
-type reach struct {
+// cutOffDetector detects whether this box is cut off: it reaches neither the log nor half of a sample of the
+// boxes. If only the log is unreachable it may be so for all boxes, and callers gain nothing from another box.
+type cutOffDetector struct {
 	self   string
-	boxes  neighbours
+	boxes  boxView
 	pinger pinger
 	logger *slog.Logger
-	cut    atomic.Bool
-	// since is when the box was found to be cut off, in nanoseconds of the Unix time.
-	since atomic.Int64
-	// alone says that no other box is reached.
+	cutOff atomic.Bool
+	// cutOffSince is when the box was first found to be cut off, as a Unix time in nanoseconds.
+	cutOffSince atomic.Int64
+	// alone is set if the last check reached no other box.
 	alone  atomic.Bool
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-func newReach(self string, boxes neighbours, pinger pinger, logger *slog.Logger) *reach {
-	return &reach{self: self, boxes: boxes, pinger: pinger, logger: logger}
+func newCutOffDetector(self string, boxes boxView, pinger pinger, logger *slog.Logger) *cutOffDetector {
+	return &cutOffDetector{self: self, boxes: boxes, pinger: pinger, logger: logger}
 }
 
 // CutOff reports whether this box is cut off.
-func (r *reach) CutOff() bool {
-	return r.cut.Load()
+func (r *cutOffDetector) CutOff() bool {
+	return r.cutOff.Load()
 }
 
-// RetryDelay is when a caller that comes again is likely to meet a box that is not cut off.
-func (r *reach) RetryDelay() time.Duration {
+// RetryDelay returns how long a caller should wait until a retry is likely to reach a box that is not cut off.
+func (r *cutOffDetector) RetryDelay() time.Duration {
 	if r.alone.Load() {
-		return aloneRetry
+		return aloneRetryDelay
 	}
-	left := balancerMoves - time.Since(time.Unix(0, r.since.Load()))
-	return max(left, aloneRetry)
+	left := balancerFailover - time.Since(time.Unix(0, r.cutOffSince.Load()))
+	return max(left, aloneRetryDelay)
 }
 
-// Start implements a service.
-func (r *reach) Start(context.Context) error {
+// Start implements kernel.Service.
+func (r *cutOffDetector) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	r.done.Go(func() { kernel.Every(ctx, reachEvery, func() { r.look(ctx) }) })
+	r.done.Go(func() { kernel.Every(ctx, checkInterval, func() { r.check(ctx) }) })
 	return nil
 }
 
-// Stop implements a service.
-func (r *reach) Stop(context.Context) error {
+// Stop implements kernel.Service.
+func (r *cutOffDetector) Stop(context.Context) error {
 	r.cancel()
 	r.done.Wait()
 	return nil
 }
 
-func (r *reach) look(ctx context.Context) {
-	cut := false
-	if age := r.boxes.ReadAge(); age > readWithin {
-		reached, all := r.count(ctx)
-		cut = 2*reached < all
+func (r *cutOffDetector) check(ctx context.Context) {
+	cutOff := false
+	if age := r.boxes.ReadAge(); age > maxReadAge {
+		reached, total := r.pingSample(ctx)
+		cutOff = 2*reached < total
 		r.alone.Store(reached <= 1)
-		if cut && !r.cut.Load() {
-			r.since.Store(time.Now().UnixNano())
-			r.logger.Warn("node: cut off", "log_silent", age, "reached", reached, "boxes", all)
+		if cutOff && !r.cutOff.Load() {
+			r.cutOffSince.Store(time.Now().UnixNano())
+			r.logger.Warn("node: cut off from the log and most boxes", "log_silent", age, "reached", reached, "boxes", total)
 		}
 	}
-	if was := r.cut.Swap(cut); was && !cut {
-		r.logger.Info("node: cut off no longer")
+	if was := r.cutOff.Swap(cutOff); was && !cutOff {
+		r.logger.Info("node: no longer cut off")
 	}
 }
 
-// count asks some boxes at once; this one counts as reached.
-func (r *reach) count(ctx context.Context) (reached, all int) {
-	ctx, stop := context.WithTimeout(ctx, reachWait)
+// pingSample pings a sample of the boxes concurrently. Both results include this box.
+func (r *cutOffDetector) pingSample(ctx context.Context) (reached, total int) {
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	boxes := r.sample()
 	answers := make(chan bool, len(boxes))
@@ -126,34 +125,34 @@
 	return reached, 1 + len(boxes)
 }
 
-// asked is a box with its place among those of its availability zone, 0 to 1.
-type asked struct {
-	box   work.Box
-	place float64
+// rankedBox is a box with its rendezvous rank among the boxes of its availability zone, scaled to 0 to 1.
+type rankedBox struct {
+	box  work.Box
+	rank float64
 }
 
-// sample returns the other boxes to ask, from each availability zone in proportion to its size: a cut
-// runs along zones. They stay the same while the fleet does, so that connections to them are kept.
-func (r *reach) sample() []work.Box {
+// sample returns the other boxes to ping, from each availability zone in proportion to its size, since
+// partitions tend to separate zones. The choice is stable while the fleet is, so that connections are reused.
+func (r *cutOffDetector) sample() []work.Box {
 	zones := map[string][]work.Box{}
 	for _, box := range r.boxes.Live() {
 		if box.Name != r.self {
 			zones[box.Zone] = append(zones[box.Zone], box)
 		}
 	}
-	var all []asked
+	var ranked []rankedBox
 	for _, boxes := range zones {
 		name := func(i int) string { return boxes[i].Name }
-		for place, i := range ident.Closest(r.self, len(boxes), name, mostAsked) {
-			all = append(all, asked{box: boxes[i], place: (float64(place) + 0.5) / float64(len(boxes))})
+		for rank, i := range ident.Closest(r.self, len(boxes), name, maxPings) {
+			ranked = append(ranked, rankedBox{box: boxes[i], rank: (float64(rank) + 0.5) / float64(len(boxes))})
 		}
 	}
-	slices.SortFunc(all, func(a, b asked) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.box.Name, b.box.Name))
+	slices.SortFunc(ranked, func(a, b rankedBox) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.box.Name, b.box.Name))
 	})
-	boxes := make([]work.Box, 0, mostAsked)
-	for _, one := range all[:min(mostAsked, len(all))] {
-		boxes = append(boxes, one.box)
+	boxes := make([]work.Box, 0, maxPings)
+	for _, next := range ranked[:min(maxPings, len(ranked))] {
+		boxes = append(boxes, next.box)
 	}
 	return boxes
 }
--- a/gate/node/reach_test.go
+++ b/gate/node/reach_test.go
@@ -13,18 +13,18 @@
 	"mulleingate.dev/gate/work"
 )
 
-// cutWorld is a box whose log and mates answer or don't.
-type cutWorld struct {
-	age   time.Duration
-	mates []string
+// fakeNetwork is a fake view and network in which only the boxes in reachable respond.
+type fakeNetwork struct {
+	age       time.Duration
+	reachable []string
 }
 
-func (w *cutWorld) Live() []work.Box {
+func (w *fakeNetwork) Live() []work.Box {
 	return []work.Box{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}, {Name: "e"}}
 }
-func (w *cutWorld) ReadAge() time.Duration { return w.age }
-func (w *cutWorld) Ping(_ context.Context, box work.Box) bool {
-	for _, name := range w.mates {
+func (w *fakeNetwork) ReadAge() time.Duration { return w.age }
+func (w *fakeNetwork) Ping(_ context.Context, box work.Box) bool {
+	for _, name := range w.reachable {
 		if name == box.Name {
 			return true
 		}
@@ -32,94 +32,95 @@
 	return false
 }
 
-// TestCutOff checks when a box counts itself as cut off, and that callers are told to come
-// back once the balancer sends them to other boxes.
+// TestCutOff checks when a box counts as cut off, and that callers are told to retry once the load balancer
+// has moved to other boxes.
 func TestCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cutWorld{mates: []string{"b", "c", "d"}}
-		r := newReach("a", w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		look := func(cut bool, why string) {
+		w := &fakeNetwork{reachable: []string{"b", "c", "d"}}
+		r := newCutOffDetector("a", w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		check := func(want bool, why string) {
 			t.Helper()
-			r.look(context.Background())
-			if r.CutOff() != cut {
+			r.check(context.Background())
+			if r.CutOff() != want {
 				t.Errorf("%s: cut off %v", why, r.CutOff())
 			}
 		}
-		w.age = 2 * readWithin
-		look(false, "the log is away, most boxes answer")
-		w.mates = []string{"b"}
-		look(true, "few boxes answer")
-		if got := r.RetryDelay(); got != balancerMoves {
-			t.Errorf("advice at once: %v", got)
+		w.age = 2 * maxReadAge
+		check(false, "log unreachable, most boxes respond")
+		w.reachable = []string{"b"}
+		check(true, "few boxes respond")
+		if got := r.RetryDelay(); got != balancerFailover {
+			t.Errorf("retry delay at once: %v", got)
 		}
-		time.Sleep(balancerMoves - 500*time.Millisecond)
-		look(true, "still")
+		time.Sleep(balancerFailover - 500*time.Millisecond)
+		check(true, "still cut off")
 		if got := r.RetryDelay(); got != 500*time.Millisecond {
-			t.Errorf("advice shortly before the balancer moves: %v", got)
+			t.Errorf("retry delay shortly before the balancer moves: %v", got)
 		}
 		time.Sleep(time.Second)
-		if got := r.RetryDelay(); got != aloneRetry {
-			t.Errorf("advice after it: %v", got)
+		if got := r.RetryDelay(); got != aloneRetryDelay {
+			t.Errorf("retry delay after the balancer has moved: %v", got)
 		}
-		w.mates = nil
-		look(true, "alone")
+		w.reachable = nil
+		check(true, "no other box responds")
 		w.age = 0
-		look(false, "the log is back")
+		check(false, "log reachable again")
 	})
 }
 
-// bigWorld is a fleet of five availability zones that loses its log; the boxes of one zone are cut off.
-type bigWorld struct {
-	boxes []work.Box
-	cut   string
-	self  work.Box
+// partitionedFleet is a fleet of five availability zones that can't reach the log, with one zone partitioned
+// from the rest.
+type partitionedFleet struct {
+	boxes      []work.Box
+	cutOffZone string
+	self       work.Box
 
 	mu    sync.Mutex
-	asked map[string]int
+	pings map[string]int
 }
 
-func newBigWorld(boxes int) *bigWorld {
-	w := &bigWorld{asked: map[string]int{}}
+func newPartitionedFleet(boxes int) *partitionedFleet {
+	w := &partitionedFleet{pings: map[string]int{}}
 	for i := range boxes {
 		w.boxes = append(w.boxes, work.Box{Name: fmt.Sprintf("box-%d", i), Zone: string(rune('a' + i%5))})
 	}
 	return w
 }
 
-func (w *bigWorld) Live() []work.Box       { return w.boxes }
-func (w *bigWorld) ReadAge() time.Duration { return 2 * readWithin }
-func (w *bigWorld) Ping(_ context.Context, box work.Box) bool {
+func (w *partitionedFleet) Live() []work.Box       { return w.boxes }
+func (w *partitionedFleet) ReadAge() time.Duration { return 2 * maxReadAge }
+func (w *partitionedFleet) Ping(_ context.Context, box work.Box) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked[box.Name]++
-	return (box.Zone == w.cut) == (w.self.Zone == w.cut)
+	w.pings[box.Name]++
+	return (box.Zone == w.cutOffZone) == (w.self.Zone == w.cutOffZone)
 }
 
-// TestCutOffOfMany checks that in a fleet of 200 boxes without its log the boxes of a zone that is cut off
-// know it and all others don't, and that each asks few others, not all 199.
-func TestCutOffOfMany(t *testing.T) {
-	const few, some = 20, 10
+// TestPartitionedZoneIsCutOff checks that during an outage of the log exactly the boxes of a partitioned zone
+// count as cut off, and that each box pings only a bounded sample of the fleet.
+func TestPartitionedZoneIsCutOff(t *testing.T) {
+	const maxPinged, minAveragePinged = 20, 10
 	synctest.Test(t, func(t *testing.T) {
-		w := newBigWorld(200)
-		w.cut = "b"
-		asked := 0
+		w := newPartitionedFleet(200)
+		w.cutOffZone = "b"
+		pinged := 0
 		for _, box := range w.boxes {
 			w.self = box
-			r := newReach(box.Name, w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			r := newCutOffDetector(box.Name, w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for range 5 {
-				r.look(context.Background())
+				r.check(context.Background())
 			}
-			if r.CutOff() != (box.Zone == w.cut) {
+			if r.CutOff() != (box.Zone == w.cutOffZone) {
 				t.Errorf("%s of zone %s: cut off %v", box.Name, box.Zone, r.CutOff())
 			}
-			if len(w.asked) > few {
-				t.Errorf("%s asks %d boxes", box.Name, len(w.asked))
+			if len(w.pings) > maxPinged {
+				t.Errorf("%s pings %d boxes", box.Name, len(w.pings))
 			}
-			asked += len(w.asked)
-			clear(w.asked)
+			pinged += len(w.pings)
+			clear(w.pings)
 		}
-		if asked < some*len(w.boxes) {
-			t.Errorf("%d questions of all boxes", asked)
+		if pinged < minAveragePinged*len(w.boxes) {
+			t.Errorf("all boxes together pinged only %d boxes", pinged)
 		}
 	})
 }
--- a/gate/node/stop_test.go
+++ b/gate/node/stop_test.go
@@ -11,18 +11,18 @@
 	"mulleingate.dev/gate/kernel"
 )
 
-// stops are the times that services were given for their stops, by name.
-type stops map[string]time.Duration
+// stopTimes maps the names of services to the times that they had to stop.
+type stopTimes map[string]time.Duration
 
-// slow is a service that uses all the time that it is given, if it is to.
-type slow struct {
+// fakeService is a service that records how long it had to stop. If uses is set, it takes all of that.
+type fakeService struct {
 	name string
 	uses bool
-	got  stops
+	got  stopTimes
 }
 
-func (s *slow) Start(context.Context) error { return nil }
-func (s *slow) Stop(ctx context.Context) error {
+func (s *fakeService) Start(context.Context) error { return nil }
+func (s *fakeService) Stop(ctx context.Context) error {
 	end, _ := ctx.Deadline()
 	s.got[s.name] = time.Until(end)
 	if s.uses {
@@ -31,49 +31,49 @@
 	return ctx.Err()
 }
 
-// stopOf stops a box whose named services use all their time.
-func stopOf(t *testing.T, using ...string) stops {
+// stopBox stops a box in which the named services use all their time.
+func stopBox(t *testing.T, using ...string) stopTimes {
 	t.Helper()
 	uses := map[string]bool{}
 	for _, name := range using {
 		uses[name] = true
 	}
-	got := stops{}
+	got := stopTimes{}
 	parts := (&Node{}).parts(nil)
 	for i, part := range parts {
-		svc := &slow{name: part.Name, uses: uses[part.Name], got: got}
+		svc := &fakeService{name: part.Name, uses: uses[part.Name], got: got}
 		parts[i].Make = func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
 	}
 	kern := kernel.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err := kern.Start(context.Background(), parts); err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), finishFor)
+	ctx, stop := context.WithTimeout(context.Background(), stopTimeout)
 	defer stop()
-	_ = kern.Stop(ctx) // services that use their time up say so
+	_ = kern.Stop(ctx) // fails if a service used up its time
 	return got
 }
 
-// TestStopLeavesTimeBehindTheFront checks that calls which outlast the stop don't take the time
-// of the turns that run for other boxes, and that what they leave is used.
-func TestStopLeavesTimeBehindTheFront(t *testing.T) {
+// TestStopReservesTimeBehindFront checks that callers' calls which outlast the stop leave the reserved time to
+// the services stopped later, and that these also get the time left unused.
+func TestStopReservesTimeBehindFront(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name                 string
 			using                []string
 			front, shards, peers time.Duration
 		}{
-			{"all is done", nil, 4200 * time.Millisecond, 4400 * time.Millisecond, 4600 * time.Millisecond},
-			{"calls last", []string{"front"}, 4200 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond},
+			{"no service hangs", nil, 4200 * time.Millisecond, 4400 * time.Millisecond, 4600 * time.Millisecond},
+			{"calls outlast the stop", []string{"front"}, 4200 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond},
 			{"the store hangs too", []string{"front", "shards"}, 4200 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond},
 		} {
-			got := stopOf(t, c.using...)
+			got := stopBox(t, c.using...)
 			if got["front"] != c.front || got["shards"] != c.shards || got["peers"] != c.peers {
 				t.Errorf("%s: %v", c.name, got)
 			}
 		}
-		if whole := leaveFor + finishFor; whole > 7200*time.Millisecond {
-			t.Errorf("a stop may take %v", whole)
+		if whole := leaveGrace + stopTimeout; whole > 7200*time.Millisecond {
+			t.Errorf("a stop may take %v, want at most 7.2s", whole)
 		}
 	})
 }
