--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -13,342 +13,344 @@
 )
 
 const (
-	// patience is how long a direct call may take before the detour is tried beside it; a
-	// store sixty times slower than usual answers within it.
-	patience = 450 * time.Millisecond
-	// badFor is how long calls take the detour first after a direct one failed, twice as long
-	// each time it fails again, badMost at most: each try of the direct way costs a call its
-	// patience.
-	badFor  = time.Second
-	badMost = 4 * time.Second
-	// avoidFor is how long a box is not asked again after the detour failed there.
-	avoidFor = 600 * time.Millisecond
-	// hopeless is the number of boxes that say they don't reach the log either from which it
-	// counts as away for all.
-	hopeless = 3
-	// tries bounds the boxes that one call is made by way of, one after the other.
-	tries = 2
-	// otherPatience is how long a call by way of another box may take before the next is tried.
-	// Many boxes share its way when the log turns some away, and a call has two ways to go.
-	otherPatience = 2 * patience
-	// doubtWait bounds the wait for news by a way that may hang: that of another box, or one's
-	// own after it has failed. Such a way is left after doubtWait and patience: together with the
-	// pause between reads that is well below the time for which a replica that leaves serves on,
-	// and in which a change must be in force.
-	doubtWait = 200 * time.Millisecond
-	// joinAgain is the time between two heartbeats sent while the first is not answered: what
-	// was sent into a silent log is lost, and the first answer shows that the log is back.
-	joinAgain = 250 * time.Millisecond
-	// maxAnew bounds how often one call is sent again directly.
-	maxAnew = 4
+	// hedgeDelay is how long a direct call may take before another box is tried concurrently. Even a slow log
+	// responds within it.
+	hedgeDelay = 450 * time.Millisecond
+	// minBackoff is how long calls try other boxes first after a direct call failed. It doubles with each
+	// failure up to maxBackoff, since each direct attempt may delay a call by hedgeDelay.
+	minBackoff = time.Second
+	maxBackoff = 4 * time.Second
+	// avoidTime is how long a box is avoided after a call through it failed.
+	avoidTime = 600 * time.Millisecond
+	// outageBoxes is the number of other boxes that must be unable to reach the log before that counts as an
+	// outage for all.
+	outageBoxes = 3
+	// maxProxies bounds the boxes through which one call is tried one after the other.
+	maxProxies = 2
+	// proxyHedgeDelay is how long a call through another box may take before the next is tried. It takes two
+	// hops, and the other box may serve many others.
+	proxyHedgeDelay = 2 * hedgeDelay
+	// doubtfulReadWait bounds how long a read waits for new records on a path that may hang: through another
+	// box, or directly after a failure. A hanging path is abandoned after doubtfulReadWait plus hedgeDelay,
+	// which must be well below the time within which changes must take effect.
+	doubtfulReadWait = 200 * time.Millisecond
+	// heartbeatResend is the interval at which an unanswered heartbeat is sent again. Requests sent during an
+	// outage are lost, so that only a new one shows that the log has recovered.
+	heartbeatResend = 250 * time.Millisecond
+	// maxResends bounds how often one call is sent again directly.
+	maxResends = 4
 )
 
-// Others are the boxes that may be asked.
+// Others provides the boxes through which the log may be called.
 type Others interface {
-	// Others returns the living boxes without this one.
+	// Others returns the live boxes that may be used, without this one.
 	Others() []work.Box
-	// Via returns the log by way of a box.
+	// Via returns the log as reached through the box.
 	Via(box work.Box) work.Log
 }
 
-// Detour is the log, reached in one way or the other.
+// Detour is a work.Log that is reached directly or through other boxes.
 type Detour struct {
-	direct work.Log
-	others Others
-	logger *slog.Logger
+	direct  work.Log
+	proxies Others
+	logger  *slog.Logger
 
 	mu sync.Mutex
-	// badUntil is until when direct calls are believed to fail; zero while they don't. badNext
-	// is for how long that is believed after the next failure.
-	badUntil time.Time
-	badNext  time.Duration
-	// avoid holds the boxes that failed a detour.
-	avoid map[string]avoided
-	// used is the box that served the last detour.
-	used work.Box
-	// silent says that a direct call has not been answered in time, and none since.
-	silent bool
-	// heard is closed at the next answer of a direct call; nil while nobody waits for one.
-	heard chan struct{}
+	// backoffUntil is until when calls try other boxes first; zero if the last direct call worked. backoff is
+	// the length of the current or last backoff.
+	backoffUntil time.Time
+	backoff      time.Duration
+	// failedProxies holds by name the boxes through which a call failed recently.
+	failedProxies map[string]failedProxy
+	// preferred is the box through which a call reached the log last; zero if none.
+	preferred work.Box
+	// directHangs is set if a direct call got no response in time, and none has got one since.
+	directHangs bool
+	// answered is closed at the next response to a direct call; nil while nothing waits for it.
+	answered chan struct{}
 }
 
-// avoided is a box that is asked only if no other is left.
-type avoided struct {
+// failedProxy is a box through which a call failed. It is avoided until the given time.
+type failedProxy struct {
 	until time.Time
-	// without says that the box has no way to the log; otherwise it was slow or hangs.
-	without bool
+	// noLog is set if the box can't reach the log either. Otherwise it is slow or hangs, and is used if no
+	// other box is left.
+	noLog bool
 }
 
-// New makes a detour that has not been needed yet.
+// New returns a detour that calls the log directly until that fails.
 func New(direct work.Log, others Others, logger *slog.Logger) *Detour {
-	return &Detour{direct: direct, others: others, logger: logger, avoid: map[string]avoided{}}
+	return &Detour{direct: direct, proxies: others, logger: logger, failedProxies: map[string]failedProxy{}}
 }
 
-// result is the end of one call; which fields hold something depends on the call.
+// result is the result of one attempt at a call. Which fields are set depends on the operation.
 type result struct {
 	page       work.Page
 	batch      work.Batch
 	generation int64
 	members    []string
 	err        error
-	// way is the box that was asked; empty for a direct call.
-	way work.Box
+	// proxy is the box through which the call went; zero for a direct call.
+	proxy work.Box
 }
 
-func (r result) direct() bool {
-	return r.way.Name == ""
+func (r result) isDirect() bool {
+	return r.proxy.Name == ""
 }
 
-// call is one of the calls of the log, made by one way. Direct says that it is this box's own.
-type call func(ctx context.Context, log work.Log, direct bool) result
-
-// ask is a call and how long its ways may take.
-type ask struct {
-	make call
-	// ownIn is how long the direct way may take before another is tried beside it, otherIn the
-	// same for the way by another box.
-	ownIn, otherIn time.Duration
-	// again is the time after which the call is sent directly once more while nothing answers;
-	// zero sends it again only once another call was answered.
-	again time.Duration
+// operation performs one operation on the log. direct is set if log is not reached through another box.
+type operation func(ctx context.Context, log work.Log, direct bool) result
+
+// request is an operation with the delays after which further paths are tried.
+type request struct {
+	run operation
+	// directDelay is how long the direct path may take before another is tried concurrently; proxyDelay is the
+	// same for a path through another box.
+	directDelay, proxyDelay time.Duration
+	// resendInterval is the interval at which the call is sent directly again while there is no response; if
+	// zero, it is sent again only when another direct call is answered.
+	resendInterval time.Duration
 }
 
-// Append implements the log. The same writer and number may go both ways: the log does it once.
+// Append implements work.Log. Several paths may deliver the same append; the log applies it once, as it has
+// the same writer and number.
 func (d *Detour) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
-	return d.do(ctx, ask{ownIn: patience, otherIn: otherPatience, make: func(ctx context.Context, log work.Log, _ bool) result {
+	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
 		return result{err: log.Append(ctx, shard, writer, recs)}
 	}}).err
 }
 
-// Join implements the log. A heartbeat has little time: the box by whose way it goes is left
-// for the next as soon as the direct way.
+// Join implements work.Log. A heartbeat has little time, so another box gets no longer than the direct path.
 func (d *Detour) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
-	got := d.do(ctx, ask{ownIn: patience, otherIn: patience, again: joinAgain, make: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: hedgeDelay, resendInterval: heartbeatResend, run: func(ctx context.Context, log work.Log, _ bool) result {
 		generation, err := log.Join(ctx, member, generation, ttl)
 		return result{generation: generation, err: err}
 	}})
 	return got.generation, got.err
 }
 
-// Leave implements the log.
+// Leave implements work.Log.
 func (d *Detour) Leave(ctx context.Context, member string) error {
-	return d.do(ctx, ask{ownIn: patience, otherIn: otherPatience, make: func(ctx context.Context, log work.Log, _ bool) result {
+	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
 		return result{err: log.Leave(ctx, member)}
 	}}).err
 }
 
-// Members implements the log.
+// Members implements work.Log.
 func (d *Detour) Members(ctx context.Context) ([]string, error) {
-	got := d.do(ctx, ask{ownIn: patience, otherIn: otherPatience, make: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
 		members, err := log.Members(ctx)
 		return result{members: members, err: err}
 	}})
 	return got.members, got.err
 }
 
-// Newest implements the log. Each answer of a long shard is a call of its own: read in one, a shard that takes a box with
-// a slow link longer than the direct way may would be read twice over that link at once, and never end.
+// Newest implements work.Log. Since each call reads only one batch of a shard, even a box with a slow link
+// gets a batch before the hedge delay ends, and does not read it twice concurrently.
 func (d *Detour) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
-	got := d.do(ctx, ask{ownIn: 2 * patience, otherIn: otherPatience, make: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: 2 * hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
 		batch, err := log.Newest(ctx, shard, after)
 		return result{batch: batch, err: err}
 	}})
 	return got.batch, got.err
 }
 
-// Read implements the log.
+// Read implements work.Log.
 func (d *Detour) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
-	own, other := wait, min(wait, doubtWait)
-	if d.doubted() {
-		own = other
+	directWait, proxyWait := wait, min(wait, doubtfulReadWait)
+	if d.directDoubtful() {
+		directWait = proxyWait
 	}
-	got := d.do(ctx, ask{ownIn: own + patience, otherIn: other + patience, make: func(ctx context.Context, log work.Log, direct bool) result {
-		news := other
+	got := d.do(ctx, request{directDelay: directWait + hedgeDelay, proxyDelay: proxyWait + hedgeDelay, run: func(ctx context.Context, log work.Log, direct bool) result {
+		newsWait := proxyWait
 		if direct {
-			news = own
+			newsWait = directWait
 		}
-		page, err := log.Read(ctx, shard, from, news)
+		page, err := log.Read(ctx, shard, from, newsWait)
 		return result{page: page, err: err}
 	}})
 	return got.page, got.err
 }
 
-// do makes the call directly, and by way of another box if that fails or takes too long. While
-// the direct way is believed to fail, the other goes first.
-func (d *Detour) do(ctx context.Context, what ask) result {
+// do makes the call directly, and through other boxes if that fails or takes too long. During a backoff other
+// boxes are tried first.
+func (d *Detour) do(ctx context.Context, req request) result {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	r := newRace(ctx, d, what)
-	if d.bad() {
-		if got, ok := r.around(); ok {
+	r := newRace(ctx, d, req)
+	if d.inBackoff() {
+		if got, ok := r.tryProxies(); ok {
 			return got
 		}
 	}
-	if !r.tried {
-		r.direct()
-		if got, ok := r.word(what.ownIn); ok {
+	if !r.triedDirect {
+		r.sendDirect()
+		if got, ok := r.await(req.directDelay); ok {
 			return got
 		}
 	}
 	if r.pending > 0 {
-		d.unanswered()
-		return r.finish()
+		d.noteNoAnswer()
+		return r.awaitSlowDirect()
 	}
-	if got, ok := r.around(); ok {
+	if got, ok := r.tryProxies(); ok {
 		return got
 	}
-	return r.last
+	return r.lastFailure
 }
 
-// unanswered notes that a direct call takes long.
-func (d *Detour) unanswered() {
+// noteNoAnswer records that a direct call got no response in time.
+func (d *Detour) noteNoAnswer() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = true
+	d.directHangs = true
 }
 
-// answered wakes the calls that are not answered: the log answers others.
-func (d *Detour) answered() {
+// noteAnswer records a response to a direct call and wakes the calls that wait for one, which are sent again.
+func (d *Detour) noteAnswer() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = false
-	if d.heard != nil {
-		close(d.heard)
-		d.heard = nil
+	d.directHangs = false
+	if d.answered != nil {
+		close(d.answered)
+		d.answered = nil
 	}
 }
 
-// next is closed at the next answer of a direct call.
-func (d *Detour) next() chan struct{} {
+// nextAnswer returns a channel that is closed at the next response to a direct call.
+func (d *Detour) nextAnswer() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.heard == nil {
-		d.heard = make(chan struct{})
+	if d.answered == nil {
+		d.answered = make(chan struct{})
 	}
-	return d.heard
+	return d.answered
 }
 
-// via makes the call by way of the box.
-func (d *Detour) via(ctx context.Context, box work.Box, make call) result {
-	got := make(ctx, d.others.Via(box), false)
-	got.way = box
+// via makes the call through the box and records whether the box reaches the log.
+func (d *Detour) via(ctx context.Context, box work.Box, run operation) result {
+	got := run(ctx, d.proxies.Via(box), false)
+	got.proxy = box
 	switch {
-	case !away(got.err):
-		d.use(box)
-	case ctx.Err() == nil: // otherwise another way was faster, which says nothing of this one
-		d.shun(box, true)
+	case !notReached(got.err):
+		d.prefer(box)
+	case ctx.Err() == nil: // otherwise the call has ended, which says nothing about the box
+		d.avoid(box, true)
 	}
 	return got
 }
 
-// use has calls go by way of the box as long as it serves.
-func (d *Detour) use(box work.Box) {
+// prefer has further calls go through the box until one fails.
+func (d *Detour) prefer(box work.Box) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.used = box
-	delete(d.avoid, box.Name)
+	d.preferred = box
+	delete(d.failedProxies, box.Name)
 }
 
-// shun has calls go by way of other boxes for a while. Without says that the box does not reach
-// the log.
-func (d *Detour) shun(box work.Box, without bool) {
+// avoid has further calls avoid the box for avoidTime. noLog is set if the box can't reach the log.
+func (d *Detour) avoid(box work.Box, noLog bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.used == box {
-		d.used = work.Box{}
+	if d.preferred == box {
+		d.preferred = work.Box{}
 	}
-	d.avoid[box.Name] = avoided{until: time.Now().Add(avoidFor), without: without}
+	d.failedProxies[box.Name] = failedProxy{until: time.Now().Add(avoidTime), noLog: noLog}
 }
 
-// away reports that a call failed for want of the log, not by the log's own word.
-func away(err error) bool {
+// notReached reports whether a call failed because the log was not reached, rather than with a fault that the
+// log returned.
+func notReached(err error) bool {
 	if err == nil {
 		return false
 	}
 	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.Protocol)
 }
 
-func (d *Detour) bad() bool {
+// inBackoff reports whether direct calls failed recently, so that other boxes are tried first.
+func (d *Detour) inBackoff() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().Before(d.badUntil)
+	return time.Now().Before(d.backoffUntil)
 }
 
-// doubted reports that the direct way has failed or hung and has not been seen to work since.
-func (d *Detour) doubted() bool {
+// directDoubtful reports whether the direct path failed or hung and has not worked since.
+func (d *Detour) directDoubtful() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.silent || !d.badUntil.IsZero()
+	return d.directHangs || !d.backoffUntil.IsZero()
 }
 
-func (d *Detour) good(err error) {
+// noteDirectSuccess ends the backoff if err, the result of a direct call that reached the log, is nil.
+func (d *Detour) noteDirectSuccess(err error) {
 	if err != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.badUntil.IsZero() {
-		d.badUntil, d.badNext = time.Time{}, 0
-		d.logger.Info("detour: log reached directly again")
+	if !d.backoffUntil.IsZero() {
+		d.backoffUntil, d.backoff = time.Time{}, 0
+		d.logger.Info("detour: log directly reachable again")
 	}
 }
 
-func (d *Detour) failed(err error) {
+// noteDirectFailure starts or extends the backoff after a direct call did not reach the log.
+func (d *Detour) noteDirectFailure(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.badUntil.IsZero() {
-		d.logger.Warn("detour: log not reached directly", "cause", err)
+	if d.backoffUntil.IsZero() {
+		d.logger.Warn("detour: cannot reach log directly", "cause", err)
 	}
-	if now.Before(d.badUntil) {
-		return // calls that began before tell nothing new
+	if now.Before(d.backoffUntil) {
+		return // already in backoff
 	}
-	d.badNext = min(max(2*d.badNext, badFor), badMost)
-	d.badUntil = now.Add(d.badNext)
+	d.backoff = min(max(2*d.backoff, minBackoff), maxBackoff)
+	d.backoffUntil = now.Add(d.backoff)
 }
 
-// choose returns the box that served last, or draws one of the others that live: one that was
-// slow only if none is left, and none that is among those asked before.
-func (d *Detour) choose(asked []work.Box) (work.Box, bool) {
-	boxes := d.others.Others()
+// chooseProxy returns the preferred box or else a random one, a slow one only if no other is left. It skips
+// boxes that were asked before or can't reach the log, and returns false if none is left or during an outage.
+func (d *Detour) chooseProxy(asked []work.Box) (work.Box, bool) {
+	boxes := d.proxies.Others()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.awayForAll(time.Now()) {
+	if d.logOutage(time.Now()) {
 		return work.Box{}, false
 	}
-	var sound, slow []work.Box
+	var usable, slow []work.Box
 	for _, box := range boxes {
-		failed, ok := d.avoid[box.Name]
+		failed, ok := d.failedProxies[box.Name]
 		switch {
 		case slices.Contains(asked, box):
-		case box == d.used:
+		case box == d.preferred:
 			return box, true
 		case !ok:
-			sound = append(sound, box)
-		case !failed.without:
+			usable = append(usable, box)
+		case !failed.noLog:
 			slow = append(slow, box)
 		}
 	}
-	if len(sound) == 0 {
-		sound = slow
+	if len(usable) == 0 {
+		usable = slow
 	}
-	if len(sound) == 0 {
+	if len(usable) == 0 {
 		return work.Box{}, false
 	}
-	return sound[rand.IntN(len(sound))], true
+	return usable[rand.IntN(len(usable))], true
 }
 
-// awayForAll forgets what is no longer avoided and reports whether so many boxes are without
-// the log that asking more of them is idle.
-func (d *Detour) awayForAll(now time.Time) bool {
-	without := 0
-	for name, failed := range d.avoid {
+// logOutage drops expired entries and reports whether so many boxes can't reach the log that trying others
+// is futile. d.mu must be held.
+func (d *Detour) logOutage(now time.Time) bool {
+	withoutLog := 0
+	for name, failed := range d.failedProxies {
 		switch {
 		case now.After(failed.until):
-			delete(d.avoid, name)
-		case failed.without:
-			without++
+			delete(d.failedProxies, name)
+		case failed.noLog:
+			withoutLog++
 		}
 	}
-	return without >= hopeless
+	return withoutLog >= outageBoxes
 }
--- a/gate/detour/detour_test.go
+++ b/gate/detour/detour_test.go
@@ -17,34 +17,34 @@
 	"mulleingate.dev/gate/work"
 )
 
-// fake is a log that fails in one way.
-type fake struct {
+// fakeLog is a log that returns err after the given delay, and counts its calls.
+type fakeLog struct {
 	mu    sync.Mutex
 	err   error
 	after time.Duration
 	calls int
 }
 
-func (f *fake) set(err error, after time.Duration) {
+func (f *fakeLog) set(err error, after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.err, f.after = err, after
 }
 
-func (f *fake) call(ctx context.Context) error {
+func (f *fakeLog) call(ctx context.Context) error {
 	f.mu.Lock()
 	f.calls++
 	err, after := f.err, f.after
 	f.mu.Unlock()
-	if !pass(ctx, after) {
+	if !sleepOrDone(ctx, after) {
 		return fault.Fail(fault.LogUnavailable, "no answer")
 	}
 	return err
 }
 
-// pass returns true after a time, false once ctx ends. No timer is made for no time: under the
-// race detector the test clock's timers of zero length can end the process.
-func pass(ctx context.Context, after time.Duration) bool {
+// sleepOrDone returns true after a time, or false once ctx ends. It makes no timer of zero length, which
+// can crash a synctest bubble under the race detector.
+func sleepOrDone(ctx context.Context, after time.Duration) bool {
 	if after == 0 {
 		return true
 	}
@@ -56,36 +56,36 @@
 	}
 }
 
-func (f *fake) Append(ctx context.Context, _ work.Shard, _ work.Writer, _ []work.Record) error {
+func (f *fakeLog) Append(ctx context.Context, _ work.Shard, _ work.Writer, _ []work.Record) error {
 	return f.call(ctx)
 }
 
-func (f *fake) Join(ctx context.Context, _ string, _ int64, _ time.Duration) (int64, error) {
+func (f *fakeLog) Join(ctx context.Context, _ string, _ int64, _ time.Duration) (int64, error) {
 	return 7, f.call(ctx)
 }
 
-func (f *fake) Leave(ctx context.Context, _ string) error {
+func (f *fakeLog) Leave(ctx context.Context, _ string) error {
 	return f.call(ctx)
 }
 
-func (f *fake) Members(ctx context.Context) ([]string, error) {
+func (f *fakeLog) Members(ctx context.Context) ([]string, error) {
 	return []string{"m"}, f.call(ctx)
 }
 
-func (f *fake) Newest(ctx context.Context, _ work.Shard, _ string) (work.Batch, error) {
+func (f *fakeLog) Newest(ctx context.Context, _ work.Shard, _ string) (work.Batch, error) {
 	return work.Batch{Records: []work.Record{{Key: "k"}}, Next: 1}, f.call(ctx)
 }
 
-// Read waits for news that do not come.
-func (f *fake) Read(ctx context.Context, _ work.Shard, _ int64, wait time.Duration) (work.Page, error) {
-	pass(ctx, wait)
+// Read waits for new records, which never arrive.
+func (f *fakeLog) Read(ctx context.Context, _ work.Shard, _ int64, wait time.Duration) (work.Page, error) {
+	sleepOrDone(ctx, wait)
 	return work.Page{Next: 7}, f.call(ctx)
 }
 
-// peers are the other boxes with the logs that they reach.
-type peers map[string]*fake
+// fakeProxies maps the names of the other boxes to the log as reached through them.
+type fakeProxies map[string]*fakeLog
 
-func (p peers) Others() []work.Box {
+func (p fakeProxies) Others() []work.Box {
 	var boxes []work.Box
 	for name := range p {
 		boxes = append(boxes, work.Box{Name: name})
@@ -93,35 +93,36 @@
 	return boxes
 }
 
-func (p peers) Via(box work.Box) work.Log {
+func (p fakeProxies) Via(box work.Box) work.Log {
 	return p[box.Name]
 }
 
 var (
-	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
-	gone  = fault.Refuse(fault.LogUnavailable, "away")
+	discardLogger  = slog.New(slog.NewTextHandler(io.Discard, nil))
+	errUnreachable = fault.Refuse(fault.LogUnavailable, "unreachable")
 )
 
-func TestWays(t *testing.T) {
+// TestPaths checks the results and durations of calls that go directly and through another box.
+func TestPaths(t *testing.T) {
 	cases := []struct {
 		name   string
-		direct *fake
-		via    *fake
+		direct *fakeLog
+		via    *fakeLog
 		err    fault.Kind
 		within time.Duration
 	}{
-		{"directly", &fake{}, &fake{}, "", time.Millisecond},
-		{"refused directly", &fake{err: gone}, &fake{}, "", time.Millisecond},
-		{"no answer directly", &fake{after: time.Hour}, &fake{}, "", patience},
-		{"slow directly, refused by the other box", &fake{after: 2 * patience}, &fake{err: gone}, "", 2 * patience},
-		{"away for all", &fake{err: gone}, &fake{err: gone}, fault.LogUnavailable, time.Millisecond},
-		{"the log's own word is not asked for again", &fake{err: fault.Refuse(fault.NotOwner, "fenced")}, &fake{}, fault.NotOwner, time.Millisecond},
-		{"the log's own word by the other box", &fake{err: gone}, &fake{err: fault.Refuse(fault.NotOwner, "fenced")}, fault.NotOwner, time.Millisecond},
+		{"direct", &fakeLog{}, &fakeLog{}, "", time.Millisecond},
+		{"direct call refused", &fakeLog{err: errUnreachable}, &fakeLog{}, "", time.Millisecond},
+		{"direct call hangs", &fakeLog{after: time.Hour}, &fakeLog{}, "", hedgeDelay},
+		{"direct call slow, refused through the other box", &fakeLog{after: 2 * hedgeDelay}, &fakeLog{err: errUnreachable}, "", 2 * hedgeDelay},
+		{"outage for all boxes", &fakeLog{err: errUnreachable}, &fakeLog{err: errUnreachable}, fault.LogUnavailable, time.Millisecond},
+		{"fault of the log is not retried", &fakeLog{err: fault.Refuse(fault.NotOwner, "fenced")}, &fakeLog{}, fault.NotOwner, time.Millisecond},
+		{"fault of the log through the other box", &fakeLog{err: errUnreachable}, &fakeLog{err: fault.Refuse(fault.NotOwner, "fenced")}, fault.NotOwner, time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := New(c.direct, peers{"b": c.via}, quiet)
+				d := New(c.direct, fakeProxies{"b": c.via}, discardLogger)
 				ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 				defer stop()
 				start := time.Now()
@@ -137,12 +138,12 @@
 	}
 }
 
-// TestDetourFirstWhileBad checks that calls do not wait for a log that has just failed, and
-// that the direct way is taken again once it works.
-func TestDetourFirstWhileBad(t *testing.T) {
+// TestProxiesFirstDuringBackoff checks that calls don't wait for the direct path after it failed, and that
+// they use it again once it works.
+func TestProxiesFirstDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, via := &fake{err: gone}, &fake{}
-		d := New(direct, peers{"b": via}, quiet)
+		direct, via := &fakeLog{err: errUnreachable}, &fakeLog{}
+		d := New(direct, fakeProxies{"b": via}, discardLogger)
 		ctx := context.Background()
 		for range 5 {
 			if _, err := d.Read(ctx, work.Shard{}, 0, 0); err != nil {
@@ -150,29 +151,30 @@
 			}
 		}
 		if diff := cmp.Diff([]int{1, 5}, []int{direct.calls, via.calls}); diff != "" {
-			t.Errorf("calls directly and by the other box (-want +got):\n%s", diff)
+			t.Errorf("calls directly and through the other box (-want +got):\n%s", diff)
 		}
 		direct.err = nil
-		time.Sleep(2 * badFor)
+		time.Sleep(2 * minBackoff)
 		for range 5 {
 			if _, err := d.Newest(ctx, work.Shard{}, ""); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if diff := cmp.Diff([]int{6, 5}, []int{direct.calls, via.calls}); diff != "" {
-			t.Errorf("calls after the return (-want +got):\n%s", diff)
+			t.Errorf("calls after the direct path works again (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestAwayForAll checks that a fleet without its log does not ask around for every call.
-func TestAwayForAll(t *testing.T) {
+// TestOutageLimitsCallsThroughProxies checks that during an outage of the log few calls are sent through
+// other boxes.
+func TestOutageLimitsCallsThroughProxies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		others := peers{}
+		others := fakeProxies{}
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
-			others[name] = &fake{err: gone}
+			others[name] = &fakeLog{err: errUnreachable}
 		}
-		d := New(&fake{err: gone}, others, quiet)
+		d := New(&fakeLog{err: errUnreachable}, others, discardLogger)
 		for range 50 {
 			if err := d.Append(context.Background(), work.Shard{}, work.Writer{}, nil); !fault.Is(err, fault.LogUnavailable) {
 				t.Fatalf("fault %v", err)
@@ -182,18 +184,18 @@
 		for _, other := range others {
 			asked += other.calls
 		}
-		if asked > 2*hopeless {
-			t.Errorf("%d questions to others", asked)
+		if asked > 2*outageBoxes {
+			t.Errorf("%d calls through other boxes", asked)
 		}
 	})
 }
 
-// TestCallsGoOutAnewWhenTheLogIsBack checks that what was sent into a silent log is sent again
-// as soon as a heartbeat shows that the log answers, and not only when its time is over.
-func TestCallsGoOutAnewWhenTheLogIsBack(t *testing.T) {
+// TestCallsAreResentWhenLogRecovers checks that a call lost in an outage is sent again as soon as a heartbeat
+// is answered, and does not wait for its timeout.
+func TestCallsAreResentWhenLogRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &fake{after: time.Hour}
-		d := New(direct, peers{"b": {after: time.Hour}}, quiet)
+		direct := &fakeLog{after: time.Hour}
+		d := New(direct, fakeProxies{"b": {after: time.Hour}}, discardLogger)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
 		start := time.Now()
@@ -207,34 +209,33 @@
 		if err := d.Append(ctx, work.Shard{}, work.Writer{}, nil); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(start); took > 800*time.Millisecond+joinAgain {
+		if took := time.Since(start); took > 800*time.Millisecond+heartbeatResend {
 			t.Errorf("took %v", took)
 		}
 	})
 }
 
-// TestSilentLogIsNotFlooded checks how often one call goes out while nothing answers.
-func TestSilentLogIsNotFlooded(t *testing.T) {
+// TestUnresponsiveLogIsNotFlooded checks how often one call is sent while the log does not respond.
+func TestUnresponsiveLogIsNotFlooded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &fake{after: time.Hour}
-		d := New(direct, peers{}, quiet)
+		direct := &fakeLog{after: time.Hour}
+		d := New(direct, fakeProxies{}, discardLogger)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
 		if _, err := d.Join(ctx, "m", 0, time.Second); !fault.Is(err, fault.LogUnavailable) {
 			t.Errorf("fault %v", err)
 		}
-		if direct.calls != 1+maxAnew {
+		if direct.calls != 1+maxResends {
 			t.Errorf("sent %d times", direct.calls)
 		}
 	})
 }
 
-// TestDirectWayIsTriedMoreSeldom checks that a box which the log turns away does not pay for
-// trying the direct way every second.
-func TestDirectWayIsTriedMoreSeldom(t *testing.T) {
+// TestDirectPathBacksOff checks that the direct path is tried with exponential backoff while it fails.
+func TestDirectPathBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, via := &fake{err: gone}, &fake{}
-		d := New(direct, peers{"b": via}, quiet)
+		direct, via := &fakeLog{err: errUnreachable}, &fakeLog{}
+		d := New(direct, fakeProxies{"b": via}, discardLogger)
 		start := time.Now()
 		for time.Since(start) < 10*time.Second {
 			if err := d.Append(context.Background(), work.Shard{}, work.Writer{}, nil); err != nil {
@@ -242,39 +243,39 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if direct.calls != 4 { // after 0, 1, 3 and 7 s
-			t.Errorf("the direct way was tried %d times", direct.calls)
+		if direct.calls != 4 { // at 0, 1, 3 and 7 s
+			t.Errorf("the direct path was tried %d times, want 4", direct.calls)
 		}
 		direct.err = nil
-		time.Sleep(badMost)
-		if err := d.Append(context.Background(), work.Shard{}, work.Writer{}, nil); err != nil || d.bad() {
-			t.Errorf("after the return: %v, still taken for bad: %v", err, d.bad())
+		time.Sleep(maxBackoff)
+		if err := d.Append(context.Background(), work.Shard{}, work.Writer{}, nil); err != nil || d.inBackoff() {
+			t.Errorf("after the direct path works again: %v, still in backoff: %v", err, d.inBackoff())
 		}
 	})
 }
 
-// TestOtherBoxThatHangs checks that calls which go by way of another box don't wait for one
-// that has stopped answering: a box whose own way works again must not hang on another's.
-func TestOtherBoxThatHangs(t *testing.T) {
-	ways := map[string]struct{ direct, spare *fake }{
-		"the direct way works again": {&fake{err: gone}, &fake{err: gone}},
-		"a third box answers":        {&fake{err: gone}, &fake{}},
+// TestHangingProxyIsReplaced checks that calls through another box don't wait for it once it hangs, but use
+// a third box or the direct path if that works again.
+func TestHangingProxyIsReplaced(t *testing.T) {
+	cases := map[string]struct{ direct, third *fakeLog }{
+		"the direct path works again": {&fakeLog{err: errUnreachable}, &fakeLog{err: errUnreachable}},
+		"a third box responds":        {&fakeLog{err: errUnreachable}, &fakeLog{}},
 	}
-	for name, way := range ways {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				used := &fake{}
-				others := peers{"b": used}
-				d := New(way.direct, others, quiet)
+				used := &fakeLog{}
+				others := fakeProxies{"b": used}
+				d := New(c.direct, others, discardLogger)
 				ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 				defer stop()
-				if err := d.Append(ctx, work.Shard{}, work.Writer{}, nil); err != nil || !d.bad() {
-					t.Fatalf("%v, the detour is not needed: %v", err, !d.bad())
+				if err := d.Append(ctx, work.Shard{}, work.Writer{}, nil); err != nil || !d.inBackoff() {
+					t.Fatalf("fault %v, not in backoff: %v", err, !d.inBackoff())
 				}
 				used.set(nil, time.Hour)
-				others["c"] = way.spare
-				if fault.Is(way.spare.err, fault.LogUnavailable) {
-					way.direct.set(nil, 0)
+				others["c"] = c.third
+				if fault.Is(c.third.err, fault.LogUnavailable) {
+					c.direct.set(nil, 0)
 				}
 				start := time.Now()
 				if _, err := d.Read(ctx, work.Shard{}, 0, 2*time.Second); err != nil {
@@ -288,28 +289,28 @@
 	}
 }
 
-// TestSlowBoxesAreSound checks that boxes which take long for a call, as the log is slow, are
-// not taken for boxes without the log: a box that the log turns away has no other way.
-func TestSlowBoxesAreSound(t *testing.T) {
+// TestSlowProxiesAreUsed checks that slow boxes don't count as unable to reach the log: a box without direct
+// access needs them.
+func TestSlowProxiesAreUsed(t *testing.T) {
 	for _, lag := range []time.Duration{300, 500, 800} {
-		for range 2 { // which boxes are asked is drawn
+		for range 2 { // the choice of boxes is random
 			if n := failedCalls(t, lag*time.Millisecond); n > 0 {
-				t.Errorf("others that answer in %d ms: %d calls failed", lag, n)
+				t.Errorf("other boxes respond in %d ms: %d calls failed", lag, n)
 			}
 		}
 	}
 }
 
-// failedCalls counts the heartbeats and appends that fail in 6 s at a box that the log turns
-// away, beside others that get an answer after lag.
+// failedCalls returns how many heartbeats and appends fail within 6 s at a box without direct access to the
+// log, if the other boxes respond after lag.
 func failedCalls(t *testing.T, lag time.Duration) int64 {
 	var failed atomic.Int64
 	synctest.Test(t, func(*testing.T) {
-		others := peers{}
+		others := fakeProxies{}
 		for n := range 7 {
-			others[fmt.Sprint("b", n)] = &fake{after: lag}
+			others[fmt.Sprint("b", n)] = &fakeLog{after: lag}
 		}
-		d := New(&fake{err: gone}, others, quiet)
+		d := New(&fakeLog{err: errUnreachable}, others, discardLogger)
 		end := time.Now().Add(6 * time.Second)
 		calls := []func(ctx context.Context) error{func(ctx context.Context) error {
 			_, err := d.Join(ctx, "m", 0, time.Second)
@@ -336,58 +337,58 @@
 	return failed.Load()
 }
 
-// TestReadsStayFresh checks that a box which the log does not answer learns news in time by way
-// of the others, also whenever it tries its own way again and while most of the others hang.
-func TestReadsStayFresh(t *testing.T) {
+// TestReadsReturnInTime checks that reads through other boxes return in time while the direct path hangs, also
+// when it is tried again and when most other boxes hang.
+func TestReadsReturnInTime(t *testing.T) {
 	for _, hanging := range []int{0, 1, 2} {
-		// Each way that hangs, the box's own among them, is waited for once at most.
-		fresh := time.Duration(hanging+1)*(doubtWait+patience) + doubtWait + 10*time.Millisecond
+		// Each hanging path, including the direct one, may delay a read once.
+		maxReadTime := time.Duration(hanging+1)*(doubtfulReadWait+hedgeDelay) + doubtfulReadWait + 10*time.Millisecond
 		synctest.Test(t, func(t *testing.T) {
-			others := peers{"sound": {after: 5 * time.Millisecond}}
+			others := fakeProxies{"healthy": {after: 5 * time.Millisecond}}
 			for n := range hanging {
-				others[fmt.Sprint("b", n)] = &fake{after: time.Hour}
+				others[fmt.Sprint("b", n)] = &fakeLog{after: time.Hour}
 			}
-			d := New(&fake{after: time.Hour}, others, quiet)
+			d := New(&fakeLog{after: time.Hour}, others, discardLogger)
 			ctx, stop := context.WithTimeout(context.Background(), time.Second)
-			_ = d.Leave(ctx, "m") // it learns that its own way fails
+			_ = d.Leave(ctx, "m") // detects that the direct path hangs
 			stop()
 			for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 				ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 				start := time.Now()
 				_, err := d.Read(ctx, work.Shard{}, 0, 2*time.Second)
 				stop()
-				if took := time.Since(start); err != nil || took > fresh {
-					t.Errorf("%d others hang: a read took %v: %v", hanging, took, err)
+				if took := time.Since(start); err != nil || took > maxReadTime {
+					t.Errorf("%d other boxes hang: a read took %v: %v", hanging, took, err)
 				}
 			}
 		})
 	}
 }
 
-// TestHeartbeatsGoOn checks that a box whose own way is silent goes on to be heard when the box
-// by whose way it goes hangs: others take it for dead after little more than a second.
-func TestHeartbeatsGoOn(t *testing.T) {
+// TestHeartbeatsContinueWhenProxyHangs checks that heartbeats continue while the direct path and then also
+// the preferred box hang, so that the box does not lose its membership.
+func TestHeartbeatsContinueWhenProxyHangs(t *testing.T) {
 	const (
-		beat = 300 * time.Millisecond
-		lag  = 60 * time.Millisecond
-		// longest is a heartbeat that finds its own way and another silent, and one more.
-		longest = 2*patience + 2*lag + beat
+		heartbeatInterval = 300 * time.Millisecond
+		lag               = 60 * time.Millisecond
+		// maxGap is the time of a heartbeat on which the direct path and another box hang, and of the next.
+		maxGap = 2*hedgeDelay + 2*lag + heartbeatInterval
 	)
 	for at := range 10 {
 		synctest.Test(t, func(t *testing.T) {
-			others := peers{}
+			others := fakeProxies{}
 			for n := range 6 {
-				others[fmt.Sprint("b", n)] = &fake{after: lag}
+				others[fmt.Sprint("b", n)] = &fakeLog{after: lag}
 			}
-			d := New(&fake{after: time.Hour}, others, quiet)
-			begun, last, worst := time.Now(), time.Now(), time.Duration(0)
+			d := New(&fakeLog{after: time.Hour}, others, discardLogger)
+			begun, last, longestGap := time.Now(), time.Now(), time.Duration(0)
 			frozen := false
 			var reads sync.WaitGroup
 			for range 2 {
 				reads.Go(func() {
 					for time.Since(begun) < 20*time.Second {
 						ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
-						_, _ = d.Read(ctx, work.Shard{}, 0, time.Second) // only beside the heartbeats
+						_, _ = d.Read(ctx, work.Shard{}, 0, time.Second) // only a concurrent call
 						stop()
 						time.Sleep(150 * time.Millisecond)
 					}
@@ -399,20 +400,20 @@
 				_, err := d.Join(ctx, "m", 0, time.Second)
 				stop()
 				if err == nil {
-					worst = max(worst, time.Since(last))
+					longestGap = max(longestGap, time.Since(last))
 					last = time.Now()
 				}
-				time.Sleep(max(0, beat-time.Since(start)))
+				time.Sleep(max(0, heartbeatInterval-time.Since(start)))
 				if !frozen && time.Since(begun) > 3*time.Second+time.Duration(at)*100*time.Millisecond {
 					frozen = true
-					used, _ := d.choose(nil)
+					used, _ := d.chooseProxy(nil)
 					others[used.Name].set(nil, time.Hour)
 				}
 			}
-			worst = max(worst, time.Since(last))
+			longestGap = max(longestGap, time.Since(last))
 			reads.Wait()
-			if worst > longest {
-				t.Errorf("frozen after %v: not heard for %v", 3*time.Second+time.Duration(at)*100*time.Millisecond, worst)
+			if longestGap > maxGap {
+				t.Errorf("preferred box hangs from %v: no heartbeat succeeded for %v", 3*time.Second+time.Duration(at)*100*time.Millisecond, longestGap)
 			}
 		})
 	}
--- a/gate/detour/doc.go
+++ b/gate/detour/doc.go
@@ -1,2 +1,2 @@
-// Package detour calls the log by way of another box while this one can't reach it itself.
+// Package detour calls the log through another box while this one can't reach it directly.
 package detour
--- a/gate/detour/race.go
+++ b/gate/detour/race.go
@@ -8,65 +8,65 @@
 	"mulleingate.dev/gate/work"
 )
 
-// maxWays bounds the ways that one call is sent: by other boxes before, after and beside the
-// direct way, and directly, once and anew.
-const maxWays = 2*tries + (tries + 1) + (1 + maxAnew)
+// maxAttempts bounds the attempts at one call: through other boxes before, after and beside the direct path,
+// and directly, including resends.
+const maxAttempts = 2*maxProxies + (maxProxies + 1) + (1 + maxResends)
 
-// race is one call on its way to the log by several ways. The first that gets the log's word
-// wins; all calls of the log may be sent more than once.
+// race is one call with concurrent attempts on several paths. The first response of the log wins. This is safe
+// since all calls of the log may be sent more than once.
 type race struct {
-	ask
+	request
 	ctx    context.Context
 	detour *Detour
-	// results has room for all ways, so that none waits for the end of the race.
+	// results has room for all attempts, so that none blocks after the race has ended.
 	results chan result
-	// pending counts the ways that have not ended.
+	// pending is the number of attempts that have not ended.
 	pending int
-	// tried says that the direct way was taken, asked by way of which boxes the call went.
-	tried bool
-	asked []work.Box
-	// last is the newest end of a way that did not reach the log.
-	last result
+	// triedDirect is set once the call was sent directly; asked holds the boxes through which it was sent.
+	triedDirect bool
+	asked       []work.Box
+	// lastFailure is the result of the latest attempt that did not reach the log.
+	lastFailure result
 }
 
-func newRace(ctx context.Context, d *Detour, what ask) *race {
-	return &race{ask: what, ctx: ctx, detour: d, results: make(chan result, maxWays)}
+func newRace(ctx context.Context, d *Detour, req request) *race {
+	return &race{request: req, ctx: ctx, detour: d, results: make(chan result, maxAttempts)}
 }
 
-// direct sends the call directly.
-func (r *race) direct() {
-	r.tried = true
+// sendDirect sends the call directly.
+func (r *race) sendDirect() {
+	r.triedDirect = true
 	r.pending++
 	go func() {
-		got := r.make(r.ctx, r.detour.direct, true)
-		if !away(got.err) {
-			r.detour.answered()
+		got := r.run(r.ctx, r.detour.direct, true)
+		if !notReached(got.err) {
+			r.detour.noteAnswer()
 		}
 		r.results <- got
 	}()
 }
 
-// via sends the call by way of another box. It returns false if there is none to ask.
-func (r *race) via() (work.Box, bool) {
-	box, ok := r.detour.choose(r.asked)
+// sendViaProxy sends the call through another box. It returns false if none is left or the call has ended.
+func (r *race) sendViaProxy() (work.Box, bool) {
+	box, ok := r.detour.chooseProxy(r.asked)
 	if !ok || r.ctx.Err() != nil {
 		return work.Box{}, false
 	}
 	r.asked = append(r.asked, box)
 	r.pending++
-	go func() { r.results <- r.detour.via(r.ctx, box, r.make) }()
+	go func() { r.results <- r.detour.via(r.ctx, box, r.run) }()
 	return box, true
 }
 
-// word returns the log's word if one of the ways gets it within limit. Without it, ways are
-// still pending if the time is over, and none is if all have ended.
-func (r *race) word(limit time.Duration) (result, bool) {
+// await returns the first response of the log within limit. If it returns false, either the time is over and
+// attempts are still pending, or all have failed and none is.
+func (r *race) await(limit time.Duration) (result, bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for r.pending > 0 {
 		select {
 		case got := <-r.results:
-			if r.take(got) {
+			if r.accept(got) {
 				return got, true
 			}
 		case <-timer.C:
@@ -76,94 +76,94 @@
 	return result{}, false
 }
 
-// take notes the end of a way and reports whether it got the log's word.
-func (r *race) take(got result) bool {
+// accept records the result of an attempt and reports whether it is a response of the log.
+func (r *race) accept(got result) bool {
 	r.pending--
-	if !away(got.err) {
-		if got.direct() {
-			r.detour.good(got.err)
+	if !notReached(got.err) {
+		if got.isDirect() {
+			r.detour.noteDirectSuccess(got.err)
 		}
 		return true
 	}
-	r.last = got
+	r.lastFailure = got
 	switch {
-	case r.ctx.Err() != nil && !got.direct():
-		r.detour.shun(got.way, false) // it took all the time that the call had
-	case r.ctx.Err() == nil && got.direct():
-		r.detour.failed(got.err)
+	case r.ctx.Err() != nil && !got.isDirect():
+		r.detour.avoid(got.proxy, false) // the box used up the time of the call
+	case r.ctx.Err() == nil && got.isDirect():
+		r.detour.noteDirectFailure(got.err)
 	}
 	return false
 }
 
-// around makes the call by way of other boxes. One that fails or does not answer in time is
-// left for the next, and the direct way is tried beside that unless it was before: the other
-// box's trouble must not keep this box from a log that it may reach by itself again.
-func (r *race) around() (result, bool) {
-	for range tries {
-		box, ok := r.via()
+// tryProxies makes the call through other boxes. If one fails or does not respond in time, the next is tried,
+// and the direct path as well unless it was before, since this box may reach the log again itself.
+func (r *race) tryProxies() (result, bool) {
+	for range maxProxies {
+		box, ok := r.sendViaProxy()
 		if !ok {
 			return result{}, false
 		}
-		got, ok := r.word(r.otherIn)
+		got, ok := r.await(r.proxyDelay)
 		if ok {
 			return got, true
 		}
 		if r.pending > 0 {
-			r.detour.shun(box, false)
+			r.detour.avoid(box, false)
 		}
-		if !r.tried {
-			r.direct()
+		if !r.triedDirect {
+			r.sendDirect()
 		}
 	}
 	return result{}, false
 }
 
-// finish waits for a direct way that takes long. It tries other boxes beside it, another each
-// time that one has not answered, and the direct way once more when another call is answered.
-func (r *race) finish() result {
-	next := time.NewTicker(r.otherIn)
-	defer next.Stop()
-	var again <-chan time.Time
-	if r.again > 0 {
-		ticker := time.NewTicker(r.again)
+// awaitSlowDirect waits for a slow direct call. Meanwhile it tries other boxes, the next after each
+// proxyDelay, and sends the call directly again after resendInterval or when another direct call is
+// answered.
+func (r *race) awaitSlowDirect() result {
+	nextProxy := time.NewTicker(r.proxyDelay)
+	defer nextProxy.Stop()
+	var resend <-chan time.Time
+	if r.resendInterval > 0 {
+		ticker := time.NewTicker(r.resendInterval)
 		defer ticker.Stop()
-		again = ticker.C
+		resend = ticker.C
 	}
-	box, asked := r.via()
-	heard := r.detour.next()
-	for others, anew := 1, 0; r.pending > 0; {
+	box, sent := r.sendViaProxy()
+	answered := r.detour.nextAnswer()
+	for proxiesTried, resends := 1, 0; r.pending > 0; {
 		select {
 		case got := <-r.results:
-			if r.take(got) {
-				return r.late(got)
+			if r.accept(got) {
+				return r.noteSlowDirect(got)
 			}
 			continue
-		case <-next.C:
-			if others < tries+1 {
-				if asked {
-					r.detour.shun(box, false)
+		case <-nextProxy.C:
+			if proxiesTried < maxProxies+1 {
+				if sent {
+					r.detour.avoid(box, false)
 				}
-				others++
-				box, asked = r.via()
+				proxiesTried++
+				box, sent = r.sendViaProxy()
 			}
 			continue
-		case <-heard:
-		case <-again:
+		case <-answered:
+		case <-resend:
 		}
-		anew++
-		heard = r.detour.next()
-		if anew >= maxAnew {
-			heard, again = nil, nil
+		resends++
+		answered = r.detour.nextAnswer()
+		if resends >= maxResends {
+			answered, resend = nil, nil
 		}
-		r.direct()
+		r.sendDirect()
 	}
-	return r.last
+	return r.lastFailure
 }
 
-// late notes that the direct way took too long where another was faster.
-func (r *race) late(got result) result {
-	if !got.direct() {
-		r.detour.failed(fault.Fail(fault.LogUnavailable, "the log does not answer"))
+// noteSlowDirect counts the slow direct path as failed if another box responded first.
+func (r *race) noteSlowDirect(got result) result {
+	if !got.isDirect() {
+		r.detour.noteDirectFailure(fault.Fail(fault.LogUnavailable, "the log does not respond in time"))
 	}
 	return got
 }
