--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -103,7 +103,7 @@
 
 // request is an operation with the delays after which further paths are tried.
 type request struct {
-	run operation
+	make operation
 	// directDelay is how long the direct path may take before another is tried concurrently; proxyDelay is the
 	// same for a path through another box.
 	directDelay, proxyDelay time.Duration
@@ -115,14 +115,14 @@
 // Append implements work.Log. Several paths may deliver the same append; the log applies it once, as it has
 // the same writer and number.
 func (d *Detour) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
-	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
+	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		return result{err: log.Append(ctx, shard, writer, recs)}
 	}}).err
 }
 
 // Join implements work.Log. A heartbeat has little time, so another box gets no longer than the direct path.
 func (d *Detour) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
-	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: hedgeDelay, resendInterval: heartbeatResend, run: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: hedgeDelay, resendInterval: heartbeatResend, make: func(ctx context.Context, log work.Log, _ bool) result {
 		generation, err := log.Join(ctx, member, generation, ttl)
 		return result{generation: generation, err: err}
 	}})
@@ -131,14 +131,14 @@
 
 // Leave implements work.Log.
 func (d *Detour) Leave(ctx context.Context, member string) error {
-	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
+	return d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		return result{err: log.Leave(ctx, member)}
 	}}).err
 }
 
 // Members implements work.Log.
 func (d *Detour) Members(ctx context.Context) ([]string, error) {
-	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		members, err := log.Members(ctx)
 		return result{members: members, err: err}
 	}})
@@ -148,7 +148,7 @@
 // Newest implements work.Log. Since each call reads only one batch of a shard, even a box with a slow link
 // gets a batch before the hedge delay ends, and does not read it twice concurrently.
 func (d *Detour) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
-	got := d.do(ctx, request{directDelay: 2 * hedgeDelay, proxyDelay: proxyHedgeDelay, run: func(ctx context.Context, log work.Log, _ bool) result {
+	got := d.do(ctx, request{directDelay: 2 * hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		batch, err := log.Newest(ctx, shard, after)
 		return result{batch: batch, err: err}
 	}})
@@ -161,7 +161,7 @@
 	if d.directDoubtful() {
 		directWait = proxyWait
 	}
-	got := d.do(ctx, request{directDelay: directWait + hedgeDelay, proxyDelay: proxyWait + hedgeDelay, run: func(ctx context.Context, log work.Log, direct bool) result {
+	got := d.do(ctx, request{directDelay: directWait + hedgeDelay, proxyDelay: proxyWait + hedgeDelay, make: func(ctx context.Context, log work.Log, direct bool) result {
 		newsWait := proxyWait
 		if direct {
 			newsWait = directWait
@@ -228,8 +228,8 @@
 }
 
 // via makes the call through the box and records whether the box reaches the log.
-func (d *Detour) via(ctx context.Context, box work.Box, run operation) result {
-	got := run(ctx, d.proxies.Via(box), false)
+func (d *Detour) via(ctx context.Context, box work.Box, make operation) result {
+	got := make(ctx, d.proxies.Via(box), false)
 	got.proxy = box
 	switch {
 	case !notReached(got.err):
--- a/gate/detour/race.go
+++ b/gate/detour/race.go
@@ -38,7 +38,7 @@
 	r.triedDirect = true
 	r.pending++
 	go func() {
-		got := r.run(r.ctx, r.detour.direct, true)
+		got := r.make(r.ctx, r.detour.direct, true)
 		if !notReached(got.err) {
 			r.detour.noteAnswer()
 		}
@@ -54,7 +54,7 @@
 	}
 	r.asked = append(r.asked, box)
 	r.pending++
-	go func() { r.results <- r.detour.via(r.ctx, box, r.run) }()
+	go func() { r.results <- r.detour.via(r.ctx, box, r.make) }()
 	return box, true
 }
 
