--- a/gate/lines/doc.go
+++ b/gate/lines/doc.go
@@ -1,3 +1,3 @@
-// Package lines writes log lines without ever making the writer of one wait: lines that
-// repeat too often are summed, and lines that standard output does not take are counted.
+// Package lines writes log lines without blocking the caller. Lines that repeat too often are suppressed, and
+// lines that the output does not accept in time are dropped; both are counted.
 package lines
--- a/gate/lines/handler.go
+++ b/gate/lines/handler.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// window is the time over which lines of one message are counted.
+	// window is the time over which lines with the same message are counted.
 	window = time.Second
-	// maxPerWindow is the number of lines of one message that are written in full in a
-	// window: above what a box decides in a second on a busy day.
+	// maxPerWindow is the number of lines with the same message that are written in a window. It exceeds the
+	// number of decisions that a busy box logs in that time.
 	maxPerWindow = 200
 )
 
-// count is what was seen of one message in the window under way.
-type count struct {
-	since   time.Time
-	written int
-	summed  int
+// messageCount counts the lines with one message in the current window, which begins with the first of them.
+type messageCount struct {
+	windowStart time.Time
+	written     int
+	suppressed  int
 }
 
-// Handler sums lines that repeat too often: those beyond the first in a window are counted
-// and told with the first of the next.
+// Handler limits lines that repeat too often. Of the lines with the same message those beyond the first
+// maxPerWindow in a window are suppressed; the first line of the next window has their number as "summed".
 type Handler struct {
-	next slog.Handler
-	sums *sums
+	next    slog.Handler
+	limiter *limiter
 }
 
-type sums struct {
+// limiter holds the counts by message. Handlers derived from one another share it.
+type limiter struct {
 	mu     sync.Mutex
-	counts map[string]*count
+	counts map[string]*messageCount
 }
 
-// Sum wraps a handler.
+// Sum returns a Handler that passes lines on to next.
 func Sum(next slog.Handler) *Handler {
-	return &Handler{next: next, sums: &sums{counts: map[string]*count{}}}
+	return &Handler{next: next, limiter: &limiter{counts: map[string]*messageCount{}}}
 }
 
 // Enabled implements slog.Handler.
@@ -46,43 +47,45 @@
 
 // WithAttrs implements slog.Handler.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{next: h.next.WithAttrs(attrs), sums: h.sums}
+	return &Handler{next: h.next.WithAttrs(attrs), limiter: h.limiter}
 }
 
 // WithGroup implements slog.Handler.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{next: h.next.WithGroup(name), sums: h.sums}
+	return &Handler{next: h.next.WithGroup(name), limiter: h.limiter}
 }
 
 // Handle implements slog.Handler.
 func (h *Handler) Handle(ctx context.Context, rec slog.Record) error {
-	summed, write := h.sums.take(rec.Message, rec.Time)
+	suppressed, write := h.limiter.allow(rec.Message, rec.Time)
 	if !write {
 		return nil
 	}
-	if summed > 0 {
+	if suppressed > 0 {
 		rec = rec.Clone()
-		rec.AddAttrs(slog.Int("summed", summed))
+		rec.AddAttrs(slog.Int("summed", suppressed))
 	}
 	return h.next.Handle(ctx, rec)
 }
 
-func (s *sums) take(message string, now time.Time) (summed int, write bool) {
+// allow counts a line and reports whether to write it. suppressed is the number of lines that were not written
+// in the message's previous window, and is only set for the first line of a window.
+func (s *limiter) allow(message string, now time.Time) (suppressed int, write bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := s.counts[message]
 	if !ok {
-		c = &count{since: now}
+		c = &messageCount{windowStart: now}
 		s.counts[message] = c
 	}
-	if now.Sub(c.since) >= window {
-		summed = c.summed
-		*c = count{since: now}
+	if now.Sub(c.windowStart) >= window {
+		suppressed = c.suppressed
+		*c = messageCount{windowStart: now}
 	}
 	if c.written >= maxPerWindow {
-		c.summed++
+		c.suppressed++
 		return 0, false
 	}
 	c.written++
-	return summed, true
+	return suppressed, true
 }
--- a/gate/lines/lines_test.go
+++ b/gate/lines/lines_test.go
@@ -14,17 +14,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ free chan struct{} }
+// blockedOutput is an output that blocks until free is closed.
+type blockedOutput struct{ free chan struct{} }
 
-func (s stuck) Write(raw []byte) (int, error) {
+func (s blockedOutput) Write(raw []byte) (int, error) {
 	<-s.free
 	return len(raw), nil
 }
 
-// TestOutputThatNobodyReads checks that a line never waits and that lost lines are counted.
-func TestOutputThatNobodyReads(t *testing.T) {
-	out := stuck{free: make(chan struct{})}
+// TestWriteDoesNotBlock checks that writes don't block while the output does, and that dropped lines are
+// counted.
+func TestWriteDoesNotBlock(t *testing.T) {
+	out := blockedOutput{free: make(chan struct{})}
 	w := New(out)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	start := time.Now()
@@ -37,27 +38,27 @@
 	if took := time.Since(start); took > time.Second {
 		t.Errorf("%d lines took %v", n, took)
 	}
-	if lost := w.Dropped(); lost == 0 || lost >= n {
-		t.Errorf("%d of %d lines lost", lost, n)
+	if dropped := w.Dropped(); dropped == 0 || dropped >= n {
+		t.Errorf("%d of %d lines dropped, want some but not all", dropped, n)
 	}
 	close(out.free)
 	w.Close()
 }
 
-// safe is a buffer for several goroutines.
-type safe struct {
+// syncBuffer is a buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *safe) Write(raw []byte) (int, error) {
+func (s *syncBuffer) Write(raw []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(raw)
 }
 
 func TestLinesKeepTheirOrder(t *testing.T) {
-	out := &safe{}
+	out := &syncBuffer{}
 	w := New(out)
 	var want strings.Builder
 	for n := range 500 {
@@ -73,8 +74,9 @@
 	}
 }
 
-// TestRepeatedLinesAreSummed checks that the sum is told and other messages are not touched.
-func TestRepeatedLinesAreSummed(t *testing.T) {
+// TestRepeatedLinesAreLimited checks that the number of suppressed lines is logged, and that lines with other
+// messages are written.
+func TestRepeatedLinesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log := slog.New(Sum(slog.NewTextHandler(&out, nil))).With("box", "b")
@@ -88,12 +90,12 @@
 			t.Errorf("lines (-want +got):\n%s", diff)
 		}
 		if !strings.Contains(out.String(), "summed=37") {
-			t.Error("the sum is not told")
+			t.Error("the number of suppressed lines is not logged")
 		}
 	})
 }
 
-// BenchmarkLine is the cost of one line of a decision.
+// BenchmarkLine measures the cost of logging one line with the attributes of an answered turn.
 func BenchmarkLine(b *testing.B) {
 	w := New(io.Discard)
 	defer w.Close()
--- a/gate/lines/writer.go
+++ b/gate/lines/writer.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxQueued bounds the bytes that wait for the output: a second of a busy box's lines.
+	// maxQueued bounds the bytes that wait for the output, about one second of a busy box's lines.
 	maxQueued = 256 << 10
-	// tellEvery is the time between two lines that tell of dropped ones.
-	tellEvery = time.Second
+	// dropReportInterval is the least time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Writer is an output that never blocks. What it can't take is dropped and counted.
+// Writer is an io.Writer that never blocks. Lines that don't fit into its queue are dropped and counted.
 type Writer struct {
 	out     io.Writer
 	dropped atomic.Int64
@@ -27,14 +27,14 @@
 	closed bool
 }
 
-// New makes a writer over out.
+// New returns a writer that writes to out in the background until Close.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line.
+// Write queues one line or drops it. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.closed || len(w.queued)+len(line) > maxQueued {
@@ -44,28 +44,29 @@
 	}
 	w.queued = append(w.queued, line...)
 	w.mu.Unlock()
-	w.nudge()
+	w.signal()
 	return len(line), nil
 }
 
-func (w *Writer) nudge() {
+func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Dropped counts the lines that were lost so far.
+// Dropped returns the number of lines dropped so far. Lines lost in one failed write to the output count as
+// one.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Close writes what waits, but no longer than a second, and takes no more.
+// Close waits up to one second for the queued lines to be written. Later lines are dropped.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
-	w.nudge()
+	w.signal()
 	select {
 	case <-w.done:
 	case <-time.After(time.Second):
@@ -74,8 +75,8 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	var told int64
-	var toldAt time.Time
+	var reported int64
+	var reportedAt time.Time
 	for range w.wake {
 		w.mu.Lock()
 		batch, closed := w.queued, w.closed
@@ -83,13 +84,13 @@
 		w.mu.Unlock()
 		if len(batch) > 0 {
 			if _, err := w.out.Write(batch); err != nil {
-				w.dropped.Add(1) // nobody is left to tell
+				w.dropped.Add(1) // the error can't be logged
 			}
 		}
-		if lost := w.dropped.Load(); lost > told && time.Since(toldAt) > tellEvery {
-			toldAt = time.Now()
-			_, _ = fmt.Fprintf(w.out, `{"level":"WARN","msg":"log: lines dropped","lines":%d}`+"\n", lost-told) // as above
-			told = lost
+		if dropped := w.dropped.Load(); dropped > reported && time.Since(reportedAt) > dropReportInterval {
+			reportedAt = time.Now()
+			_, _ = fmt.Fprintf(w.out, `{"level":"WARN","msg":"log: lines dropped","lines":%d}`+"\n", dropped-reported) // the error can't be logged
+			reported = dropped
 		}
 		if closed {
 			return
