--- a/gate/meter/doc.go
+++ b/gate/meter/doc.go
@@ -1,2 +1,3 @@
-// Package meter counts and times what a box does, with histograms per workspace and class.
+// Package meter collects the metrics of a box: counters, gauges, and histograms of durations, which may be
+// divided by workspace and class.
 package meter
--- a/gate/meter/meter.go
+++ b/gate/meter/meter.go
@@ -11,50 +11,52 @@
 )
 
 const (
+	// sampleSize is the number of values that a histogram samples for its percentiles.
 	sampleSize = 1028
-	// maxNames bounds the figures, whatever workspaces and classes callers name.
-	maxNames = 4096
+	// maxMetrics bounds the number of metrics, since workspaces and classes are part of their names. Further
+	// metrics are not recorded.
+	maxMetrics = 4096
 )
 
-// Meter is the service.
+// Meter is the service that holds the metrics of a box.
 type Meter struct {
-	reg   metrics.Registry
-	names atomic.Int64
+	registry    metrics.Registry
+	metricCount atomic.Int64
 }
 
-// New makes a meter without figures.
+// New returns a meter without metrics.
 func New() *Meter {
-	return &Meter{reg: metrics.NewRegistry()}
+	return &Meter{registry: metrics.NewRegistry()}
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (m *Meter) Start(context.Context) error {
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (m *Meter) Stop(context.Context) error {
 	return nil
 }
 
 // Count adds n to a counter.
 func (m *Meter) Count(name string, n int64) {
-	if c, ok := m.get(name, func() any { return metrics.NewCounter() }).(metrics.Counter); ok {
+	if c, ok := m.getOrCreate(name, func() any { return metrics.NewCounter() }).(metrics.Counter); ok {
 		c.Inc(n)
 	}
 }
 
-// Gauge sets a value.
+// Gauge sets a gauge.
 func (m *Meter) Gauge(name string, v int64) {
-	if g, ok := m.get(name, func() any { return metrics.NewGauge() }).(metrics.Gauge); ok {
+	if g, ok := m.getOrCreate(name, func() any { return metrics.NewGauge() }).(metrics.Gauge); ok {
 		g.Update(v)
 	}
 }
 
 // Time adds a duration to a histogram, in microseconds.
 func (m *Meter) Time(name string, d time.Duration) {
-	made := func() any { return metrics.NewHistogram(metrics.NewUniformSample(sampleSize)) }
-	if h, ok := m.get(name, made).(metrics.Histogram); ok {
+	newHistogram := func() any { return metrics.NewHistogram(metrics.NewUniformSample(sampleSize)) }
+	if h, ok := m.getOrCreate(name, newHistogram).(metrics.Histogram); ok {
 		h.Update(d.Microseconds())
 	}
 }
@@ -64,20 +66,21 @@
 	m.Time(name+"{workspace="+workspace+",class="+class+"}", d)
 }
 
-func (m *Meter) get(name string, make func() any) any {
-	if have := m.reg.Get(name); have != nil {
-		return have
+// getOrCreate returns the metric with the name, creating it if needed, or nil if there are too many metrics.
+func (m *Meter) getOrCreate(name string, make func() any) any {
+	if existing := m.registry.Get(name); existing != nil {
+		return existing
 	}
-	if m.names.Add(1) > maxNames {
+	if m.metricCount.Add(1) > maxMetrics {
 		return nil
 	}
-	return m.reg.GetOrRegister(name, make())
+	return m.registry.GetOrRegister(name, make())
 }
 
-// Report reads all figures.
+// Report returns the current values of all metrics.
 func (m *Meter) Report() types.Figures {
 	out := types.Figures{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]types.Histogram{}}
-	m.reg.Each(func(name string, v any) {
+	m.registry.Each(func(name string, v any) {
 		switch v := v.(type) {
 		case metrics.Counter:
 			out.Counters[name] = v.Count()
--- a/gate/meter/text.go
+++ b/gate/meter/text.go
@@ -11,11 +11,10 @@
 	"mulleingate.dev/base/types"
 )
 
-// prefix begins the name of every figure in the exposition format.
+// prefix is prepended to the name of every metric in the exposition format.
 const prefix = "mulleingate_"
 
-// WriteText writes all figures in the usual text exposition format. Times are in
-// microseconds.
+// WriteText writes all metrics in the Prometheus text exposition format. Durations are in microseconds.
 func (m *Meter) WriteText(out io.Writer) error {
 	w := bufio.NewWriter(out)
 	report := m.Report()
@@ -26,51 +25,52 @@
 }
 
 func writeNumbers(w *bufio.Writer, kind, suffix string, values map[string]int64) {
-	typed := ""
+	lastTyped := ""
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		base, labels := split(name)
-		if base != typed {
-			_, _ = fmt.Fprintf(w, "# TYPE %s%s %s\n", base, suffix, kind) // Flush tells of a failure
-			typed = base
+		base, labels := splitName(name)
+		if base != lastTyped {
+			_, _ = fmt.Fprintf(w, "# TYPE %s%s %s\n", base, suffix, kind) // Flush returns the error
+			lastTyped = base
 		}
-		_, _ = fmt.Fprintf(w, "%s%s%s %d\n", base, suffix, braces(labels), values[name])
+		_, _ = fmt.Fprintf(w, "%s%s%s %d\n", base, suffix, wrapLabels(labels), values[name])
 	}
 }
 
 func writeHistograms(w *bufio.Writer, values map[string]types.Histogram) {
-	typed := ""
+	lastTyped := ""
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		base, labels := split(name)
-		if base != typed {
-			_, _ = fmt.Fprintf(w, "# TYPE %s_us summary\n", base) // Flush tells of a failure
-			typed = base
+		base, labels := splitName(name)
+		if base != lastTyped {
+			_, _ = fmt.Fprintf(w, "# TYPE %s_us summary\n", base) // Flush returns the error
+			lastTyped = base
 		}
 		h := values[name]
 		for _, q := range []struct {
-			of    string
-			value float64
+			quantile string
+			value    float64
 		}{{"0.5", h.P50}, {"0.95", h.P95}, {"0.99", h.P99}} {
-			_, _ = fmt.Fprintf(w, "%s_us%s %g\n", base, braces(join(labels, `quantile="`+q.of+`"`)), q.value)
+			_, _ = fmt.Fprintf(w, "%s_us%s %g\n", base, wrapLabels(joinLabels(labels, `quantile="`+q.quantile+`"`)), q.value)
 		}
-		_, _ = fmt.Fprintf(w, "%s_us_sum%s %g\n", base, braces(labels), h.Mean*float64(h.Count))
-		_, _ = fmt.Fprintf(w, "%s_us_count%s %d\n", base, braces(labels), h.Count)
+		_, _ = fmt.Fprintf(w, "%s_us_sum%s %g\n", base, wrapLabels(labels), h.Mean*float64(h.Count))
+		_, _ = fmt.Fprintf(w, "%s_us_count%s %d\n", base, wrapLabels(labels), h.Count)
 	}
 }
 
-// split turns a name such as relay.time{class=look} into a base name and labels.
-func split(name string) (base, labels string) {
+// splitName converts a name such as relay.time{class=look} to a base name and labels in the exposition format.
+func splitName(name string) (base, labels string) {
 	base, rest, _ := strings.Cut(name, "{")
-	base = prefix + strings.Map(plain, base)
+	base = prefix + strings.Map(sanitize, base)
 	for _, pair := range strings.Split(strings.TrimSuffix(rest, "}"), ",") {
 		key, value, ok := strings.Cut(pair, "=")
 		if ok {
-			labels = join(labels, strings.Map(plain, key)+`="`+strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(value)+`"`)
+			labels = joinLabels(labels, strings.Map(sanitize, key)+`="`+strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(value)+`"`)
 		}
 	}
 	return base, labels
 }
 
-func plain(r rune) rune {
+// sanitize replaces a character that is not allowed in names by an underscore.
+func sanitize(r rune) rune {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9', r == '_':
 		return r
@@ -79,14 +79,14 @@
 	}
 }
 
-func join(labels, more string) string {
+func joinLabels(labels, more string) string {
 	if labels == "" {
 		return more
 	}
 	return labels + "," + more
 }
 
-func braces(labels string) string {
+func wrapLabels(labels string) string {
 	if labels == "" {
 		return ""
 	}
--- a/gate/meter/text_test.go
+++ b/gate/meter/text_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestText(t *testing.T) {
+func TestWriteText(t *testing.T) {
 	m := New()
 	m.Count("relay.failed", 2)
 	m.Gauge("node.slots", 3)
