--- a/gate/pool/doc.go
+++ b/gate/pool/doc.go
@@ -1,4 +1,4 @@
-// Package pool keeps enough replicas of each model warm and brings them to the wanted
-// version. Orders of a pool come from the owner of its slot, with the epoch as fencing
-// number; what engines really serve is read back before every order.
+// Package pool keeps enough replicas of each model loaded and updates them to the configured version. The
+// orders for a model come from the box that owns the model's slot, with the slot's epoch as fencing token.
+// Before every order the engines are asked what they serve.
 package pool
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -11,14 +11,16 @@
 	"mulleingate.dev/base/types"
 )
 
-// Owners tells which slots this box holds.
+// Owners reports which slots this box owns.
 type Owners interface {
+	// Held returns the epochs of the owned slots.
 	Held() map[ident.Slot]int64
 }
 
-// Engines reads and orders engines.
+// Engines queries engines and sends them orders.
 type Engines interface {
 	Targets() []types.Target
+	// Models returns the versions of the loaded models by name.
 	Models(ctx context.Context, target types.Target) (map[string]string, error)
 	Order(ctx context.Context, target types.Target, order types.EngineOrder) error
 }
@@ -29,24 +31,24 @@
 	Models() []types.Model
 }
 
-// Leavers tells which engines leave.
+// Leavers reports which engines are known to leave, by name.
 type Leavers interface {
 	Leaving() []string
 }
 
-// Counts receives figures.
+// Counts records metrics.
 type Counts interface {
 	Count(name string, n int64)
 }
 
 const (
-	loadOrder = "load"
-	tick      = 2 * time.Second
-	// busyPause is the wait after the weight store has refused.
-	busyPause = 10 * time.Second
+	loadOrder     = "load"
+	checkInterval = 2 * time.Second
+	// pauseAfterFailure is how long a model gets no orders after one has failed.
+	pauseAfterFailure = 10 * time.Second
 )
 
-// Pool is the service.
+// Pool is the service that sends the orders for the models whose slots this box owns.
 type Pool struct {
 	owners   Owners
 	engines  Engines
@@ -55,68 +57,69 @@
 	counts   Counts
 	logger   *slog.Logger
 
-	// quiet is until when a model gets no orders, by model.
-	quiet map[string]time.Time
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	// pausedUntil holds by model until when it gets no orders. Only the goroutine of Start uses it.
+	pausedUntil map[string]time.Time
+	ctx         context.Context
+	stop        context.CancelFunc
+	done        sync.WaitGroup
 }
 
-// New makes the service.
+// New returns the service, not yet started.
 func New(owners Owners, engines Engines, policies Policies, leavers Leavers, counts Counts, logger *slog.Logger) *Pool {
 	p := &Pool{
 		owners: owners, engines: engines, policies: policies, leavers: leavers, counts: counts, logger: logger,
-		quiet: map[string]time.Time{},
+		pausedUntil: map[string]time.Time{},
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
 }
 
-// Start begins to look after the pools whose slot this box holds.
+// Start implements kernel.Service.
 func (p *Pool) Start(context.Context) error {
 	p.done.Go(func() {
 		for {
 			select {
 			case <-p.ctx.Done():
 				return
-			case <-time.After(tick):
-				p.look()
+			case <-time.After(checkInterval):
+				p.check()
 			}
 		}
 	})
 	return nil
 }
 
-// Stop ends the service.
+// Stop implements kernel.Service.
 func (p *Pool) Stop(context.Context) error {
 	p.stop()
 	p.done.Wait()
 	return nil
 }
 
-// Slot is the slot whose owner gives a pool's orders.
+// Slot returns the slot whose owner sends the orders for the model.
 func Slot(model string, slots []ident.Slot) ident.Slot {
 	return ident.KeySlot("pool", model, slots)
 }
 
-func (p *Pool) look() {
+// check sends orders for the models whose slots this box owns.
+func (p *Pool) check() {
 	slots := p.policies.Slots()
 	if len(slots) == 0 {
 		return
 	}
 	held := p.owners.Held()
 	for _, model := range p.policies.Models() {
-		epoch, mine := held[Slot(model.Name, slots)]
-		if !mine || model.MinWarm == 0 || time.Now().Before(p.quiet[model.Name]) {
+		epoch, owned := held[Slot(model.Name, slots)]
+		if !owned || model.MinWarm == 0 || time.Now().Before(p.pausedUntil[model.Name]) {
 			continue
 		}
-		p.tend(model, epoch)
+		p.sendOrder(model, epoch)
 	}
 }
 
-// tend gives at most one order for the model: the weight store is shared.
-func (p *Pool) tend(model types.Model, epoch int64) {
-	target, ok := Choose(model, p.read())
+// sendOrder sends at most one order for the model, since all engines load from the same weight store.
+func (p *Pool) sendOrder(model types.Model, epoch int64) {
+	target, ok := Choose(model, p.readReplicas())
 	if !ok {
 		return
 	}
@@ -128,19 +131,19 @@
 		return
 	}
 	p.counts.Count("pool.order_failures", 1)
-	p.quiet[model.Name] = time.Now().Add(busyPause)
+	p.pausedUntil[model.Name] = time.Now().Add(pauseAfterFailure)
 	p.logger.Warn("pool: order failed", "target", target.Name, "model", model.Name, "kind", string(fault.From(err).Kind))
 }
 
-// Replica is what an engine serves, as read back from it.
+// Replica is an engine with the models that it reports as loaded.
 type Replica struct {
 	Target types.Target
-	// Models maps what is loaded to its version.
+	// Models holds the versions of the loaded models by name.
 	Models map[string]string
 }
 
-// read asks all engines in service what they serve; silent ones are left out.
-func (p *Pool) read() []Replica {
+// readReplicas asks all engines that don't leave which models they serve. It omits those that don't respond.
+func (p *Pool) readReplicas() []Replica {
 	leaving := map[string]bool{}
 	for _, name := range p.leavers.Leaving() {
 		leaving[name] = true
@@ -158,27 +161,26 @@
 	return out
 }
 
-// Choose picks the engine that should load the model next, if any. An engine that serves
-// another version is only changed while a second one serves the model, so that an order
-// never takes the last warm replica away.
+// Choose returns the engine that should load the model next, if any. An engine with another version is only
+// updated while a second one serves the model in some version, so that the model stays available.
 func Choose(model types.Model, replicas []Replica) (types.Target, bool) {
-	var warm, stale, cold []types.Target
+	var current, outdated, unloaded []types.Target
 	for _, r := range replicas {
 		version, loaded := r.Models[model.Name]
 		switch {
 		case loaded && version == model.Version:
-			warm = append(warm, r.Target)
+			current = append(current, r.Target)
 		case loaded:
-			stale = append(stale, r.Target)
+			outdated = append(outdated, r.Target)
 		default:
-			cold = append(cold, r.Target)
+			unloaded = append(unloaded, r.Target)
 		}
 	}
-	if len(stale) > 0 && len(warm)+len(stale) > 1 {
-		return stale[0], true
+	if len(outdated) > 0 && len(current)+len(outdated) > 1 {
+		return outdated[0], true
 	}
-	if len(warm) < model.MinWarm && len(cold) > 0 {
-		return cold[0], true
+	if len(current) < model.MinWarm && len(unloaded) > 0 {
+		return unloaded[0], true
 	}
 	return types.Target{}, false
 }
