--- a/gate/peer/doc.go
+++ b/gate/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries what boxes say to one another: heartbeats and revisions by twirp,
-// and callers' requests forwarded to the owner of their slot.
+// Package peer implements the requests between boxes: heartbeats and configuration revisions over twirp, and
+// callers' requests that are forwarded to the owner of their slot.
 package peer
--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -14,25 +14,25 @@
 	"mulleingate.dev/base/wire"
 )
 
-// HopHeader counts how often a request was forwarded; WorkspaceHeader names the workspace that
-// the first box has authenticated. Only the listener for boxes honours them.
+// HopHeader counts how often a request was forwarded, and RequestHeader holds its identifier. Both are only
+// read from requests that arrive on the listener for boxes.
 const (
 	HopHeader     = "X-Mulleingate-Hop"
 	RequestHeader = "X-Request-Id"
 	EntryHeader   = "X-Mulleingate-Entry"
 )
 
-// Dialer calls other boxes.
+// Dialer sends requests to other boxes. It is safe for concurrent use.
 type Dialer struct {
-	scheme string
-	http   *http.Client
-	stream *client.Client
+	scheme    string
+	http      *http.Client
+	forwarder *client.Client
 
-	mu    sync.Mutex
-	peers map[netip.AddrPort]wire.Peers
+	mu      sync.Mutex
+	clients map[netip.AddrPort]wire.Peers
 }
 
-// New makes a dialer; tlsConf is nil on loopback without TLS.
+// New returns a dialer. Without TLS, which is only meant for loopback addresses, tlsConf is nil.
 func New(tlsConf *tls.Config) *Dialer {
 	transport := client.Transport()
 	scheme := "http"
@@ -42,24 +42,24 @@
 	}
 	return &Dialer{
 		scheme: scheme, http: &http.Client{Transport: transport},
-		stream: client.New("peer", transport), peers: map[netip.AddrPort]wire.Peers{},
+		forwarder: client.New("peer", transport), clients: map[netip.AddrPort]wire.Peers{},
 	}
 }
 
-func (d *Dialer) peer(addr netip.AddrPort) wire.Peers {
+func (d *Dialer) peerClient(addr netip.AddrPort) wire.Peers {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p, ok := d.peers[addr]
+	p, ok := d.clients[addr]
 	if !ok {
 		p = wire.NewPeersProtobufClient(d.scheme+"://"+addr.String(), d.http)
-		d.peers[addr] = p
+		d.clients[addr] = p
 	}
 	return p
 }
 
 // Beat sends a heartbeat.
 func (d *Dialer) Beat(ctx context.Context, addr netip.AddrPort, beat *wire.BeatRequest) (*wire.BeatReply, error) {
-	reply, err := d.peer(addr).Beat(ctx, beat)
+	reply, err := d.peerClient(addr).Beat(ctx, beat)
 	if err != nil {
 		return nil, fault.Fail(fault.TargetFailed, "heartbeat failed").Because(err)
 	}
@@ -68,45 +68,46 @@
 
 // Revision fetches a configuration revision newer than have; empty if there is none.
 func (d *Dialer) Revision(ctx context.Context, addr netip.AddrPort, have int64) ([]byte, error) {
-	reply, err := d.peer(addr).Revision(ctx, &wire.RevisionRequest{Have: have})
+	reply, err := d.peerClient(addr).Revision(ctx, &wire.RevisionRequest{Have: have})
 	if err != nil {
 		return nil, fault.Fail(fault.TargetFailed, "revision fetch failed").Because(err)
 	}
 	return reply.GetRevision(), nil
 }
 
-// URL is the address of a path on a box.
+// URL returns the URL of a path on the box.
 func (d *Dialer) URL(addr netip.AddrPort, path string) string {
 	return d.scheme + "://" + addr.String() + path
 }
 
 // Do sends a forwarded request.
 func (d *Dialer) Do(req *http.Request) (*http.Response, error) {
-	return d.stream.Do(req)
+	return d.forwarder.Do(req)
 }
 
-// Views answers heartbeats.
+// Views handles heartbeats from other boxes.
 type Views interface {
 	Beat(ctx context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error)
 }
 
-// Revisions hands out the newest configuration.
+// Revisions provides the newest configuration revision.
 type Revisions interface {
+	// Newer returns the encoded revision if it is newer than have, and nil otherwise.
 	Newer(have int64) []byte
 }
 
-// Server answers other boxes.
+// Server implements wire.Peers.
 type Server struct {
-	views Views
-	revs  Revisions
+	views     Views
+	revisions Revisions
 }
 
-// NewServer makes the twirp handler for the boxes' listener.
-func NewServer(views Views, revs Revisions) http.Handler {
-	return wire.NewPeersServer(&Server{views: views, revs: revs})
+// NewServer returns the twirp handler for the listener for boxes.
+func NewServer(views Views, revisions Revisions) http.Handler {
+	return wire.NewPeersServer(&Server{views: views, revisions: revisions})
 }
 
-// Prefix is the path under which the handler is mounted.
+// Prefix is the path prefix of the handler.
 const Prefix = wire.PeersPathPrefix
 
 // Beat implements wire.Peers.
@@ -119,5 +120,5 @@
 
 // Revision implements wire.Peers.
 func (s *Server) Revision(_ context.Context, in *wire.RevisionRequest) (*wire.RevisionReply, error) {
-	return &wire.RevisionReply{Revision: s.revs.Newer(in.GetHave())}, nil
+	return &wire.RevisionReply{Revision: s.revisions.Newer(in.GetHave())}, nil
 }
