--- a/gate/trail/doc.go
+++ b/gate/trail/doc.go
@@ -1,3 +1,3 @@
-// Package trail keeps a bounded record of decisions, so that operators can ask why. It
-// holds no content and survives nothing.
+// Package trail keeps the latest decisions of a box in memory, so that operators can look up why something
+// happened. It stores no content of calls, and is lost when the process ends.
 package trail
--- a/gate/trail/trail.go
+++ b/gate/trail/trail.go
@@ -8,35 +8,37 @@
 	"mulleingate.dev/base/types"
 )
 
-// Trail is the service.
+// Trail is the service that stores decisions. It is safe for concurrent use.
 type Trail struct {
-	mu    sync.Mutex
-	steps []types.Step
-	next  int
+	mu sync.Mutex
+	// ring is a circular buffer; unused entries are zero.
+	ring []types.Step
+	// next is the index of the next entry to overwrite.
+	next int
 }
 
-// New makes a trail that keeps the last size steps.
+// New returns a trail that stores the last size steps. size must be positive.
 func New(size int) *Trail {
-	return &Trail{steps: make([]types.Step, size)}
+	return &Trail{ring: make([]types.Step, size)}
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (t *Trail) Start(context.Context) error {
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (t *Trail) Stop(context.Context) error {
 	return nil
 }
 
-// Note keeps a step.
+// Note stores a step with the current time, in place of the oldest one.
 func (t *Trail) Note(step types.Step) {
 	step.At = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.steps[t.next] = step
-	t.next = (t.next + 1) % len(t.steps)
+	t.ring[t.next] = step
+	t.next = (t.next + 1) % len(t.ring)
 }
 
 // Find returns the steps of a program or request, oldest first.
@@ -44,8 +46,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []types.Step
-	for i := range t.steps {
-		step := t.steps[(t.next+i)%len(t.steps)]
+	for i := range t.ring {
+		step := t.ring[(t.next+i)%len(t.ring)]
 		if !step.At.IsZero() && (step.Program == id || step.Request == id) {
 			out = append(out, step)
 		}
