--- a/gate/remote/mirror.go
+++ b/gate/remote/mirror.go
@@ -18,8 +18,8 @@
 }
 
 // Copy implements mirror.Peers.
-func (c *Client) Copy(ctx context.Context, box work.Box, ask mirror.CopyRequest) (mirror.CopyResponse, error) {
-	out, err := c.askSource(ctx, box, copyPath, ask)
+func (c *Client) Copy(ctx context.Context, box work.Box, req mirror.CopyRequest) (mirror.CopyResponse, error) {
+	out, err := c.askSource(ctx, box, copyPath, req)
 	if err != nil {
 		return mirror.CopyResponse{}, err
 	}
@@ -30,8 +30,8 @@
 }
 
 // Roster implements mirror.Peers.
-func (c *Client) Roster(ctx context.Context, box work.Box, ask mirror.RosterRequest) (mirror.RosterResponse, error) {
-	out, err := c.askSource(ctx, box, rosterPath, ask)
+func (c *Client) Roster(ctx context.Context, box work.Box, req mirror.RosterRequest) (mirror.RosterResponse, error) {
+	out, err := c.askSource(ctx, box, rosterPath, req)
 	if err != nil {
 		return mirror.RosterResponse{}, err
 	}
@@ -41,9 +41,9 @@
 	return *out.Roster, nil
 }
 
-func (c *Client) askSource(ctx context.Context, box work.Box, path string, ask any) (sourceResponse, error) {
+func (c *Client) askSource(ctx context.Context, box work.Box, path string, req any) (sourceResponse, error) {
 	var out sourceResponse
-	if err := c.exchangeJSON(ctx, box, path, ask, &out); err != nil {
+	if err := c.exchangeJSON(ctx, box, path, req, &out); err != nil {
 		return sourceResponse{}, err
 	}
 	if out.Problem != nil {
@@ -53,20 +53,20 @@
 }
 
 func (s *Server) copy(w http.ResponseWriter, r *http.Request) {
-	var ask mirror.CopyRequest
-	if !decode(w, r, &ask) {
+	var req mirror.CopyRequest
+	if !decode(w, r, &req) {
 		return
 	}
-	answer, err := s.sources.Copy(r.Context(), ask)
+	answer, err := s.sources.Copy(r.Context(), req)
 	s.sendSourceResponse(w, sourceResponse{Copy: &answer}, err)
 }
 
 func (s *Server) roster(w http.ResponseWriter, r *http.Request) {
-	var ask mirror.RosterRequest
-	if !decode(w, r, &ask) {
+	var req mirror.RosterRequest
+	if !decode(w, r, &req) {
 		return
 	}
-	answer, err := s.sources.Roster(r.Context(), ask)
+	answer, err := s.sources.Roster(r.Context(), req)
 	s.sendSourceResponse(w, sourceResponse{Roster: &answer}, err)
 }
 
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -42,13 +42,13 @@
 
 // Quotas grants calls from the quotas that are counted on this box.
 type Quotas interface {
-	Grant(now time.Time, ask quota.GrantRequest) quota.GrantReply
+	Grant(now time.Time, req quota.GrantRequest) quota.GrantReply
 }
 
 // Sources answers requests to this box as a source of the shared topics and the members.
 type Sources interface {
-	Copy(ctx context.Context, ask mirror.CopyRequest) (mirror.CopyResponse, error)
-	Roster(ctx context.Context, ask mirror.RosterRequest) (mirror.RosterResponse, error)
+	Copy(ctx context.Context, req mirror.CopyRequest) (mirror.CopyResponse, error)
+	Roster(ctx context.Context, req mirror.RosterRequest) (mirror.RosterResponse, error)
 }
 
 // Boxes is notified of boxes that announce that they leave.
@@ -151,8 +151,8 @@
 }
 
 // decode reads a short JSON request. It responds with status 400 and returns false if that fails.
-func decode(w http.ResponseWriter, r *http.Request, ask any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHeader)).Decode(ask); err != nil {
+func decode(w http.ResponseWriter, r *http.Request, req any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHeader)).Decode(req); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return false
 	}
