--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// fleetView is the part of view.View that places uses.
+// fleetView is the part of view.View that callSenders uses.
 type fleetView interface {
 	Live() []work.Box
 	Owner(slot string) (work.Box, bool)
@@ -68,8 +68,8 @@
 	p.zoneBoxes, p.zonePlacers, p.otherZonePlacers = zoneBoxes, zonePlacers, otherZonePlacers
 }
 
-// Placers returns the effective number of boxes that place turns on the same replicas as this one; boxes
-// without slots don't count.
+// Placers returns how many boxes count as placing turns on the same replicas as this one. Boxes
+// without slots do not count; see sched.EffectivePlacers.
 func (p *callSenders) Placers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
