--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -56,8 +56,8 @@
 	logger  *slog.Logger
 
 	mu sync.Mutex
-	// backoffUntil is until when calls try other boxes first; zero if the last direct call worked. backoff is
-	// the length of the current or last backoff.
+	// backoffUntil is until when calls try other boxes first; zero while direct calls work. backoff is the
+	// length of the current or last backoff.
 	backoffUntil time.Time
 	backoff      time.Duration
 	// failedProxies holds by name the boxes through which a call failed recently.
@@ -146,7 +146,7 @@
 }
 
 // Newest implements work.Log. Since each call reads only one batch of a shard, even a box with a slow link
-// gets a batch before the hedge delay ends, and does not read it twice concurrently.
+// usually gets a batch before directDelay ends, rather than reading it twice concurrently.
 func (d *Detour) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
 	got := d.do(ctx, request{directDelay: 2 * hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		batch, err := log.Newest(ctx, shard, after)
@@ -294,7 +294,7 @@
 	}
 }
 
-// noteDirectFailure starts or extends the backoff after a direct call did not reach the log.
+// noteDirectFailure starts a backoff after a direct call did not reach the log, unless one is in progress.
 func (d *Detour) noteDirectFailure(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
