--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -264,7 +264,7 @@
 	if err == nil {
 		return false
 	}
-	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.Protocol)
+	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerUnreachable) || fault.Is(err, fault.Protocol)
 }
 
 // inBackoff reports whether direct calls failed recently, so that other boxes are tried first.
--- a/gate/meter/meter.go
+++ b/gate/meter/meter.go
@@ -78,8 +78,8 @@
 }
 
 // Report returns the current values of all metrics.
-func (m *Meter) Report() types.Figures {
-	out := types.Figures{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]types.Histogram{}}
+func (m *Meter) Report() types.Metrics {
+	out := types.Metrics{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]types.Histogram{}}
 	m.registry.Each(func(name string, v any) {
 		switch v := v.(type) {
 		case metrics.Counter:
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -292,7 +292,7 @@
 // Handle serves one call; see entry.Entry.Handle.
 func (n *Node) Handle(ctx context.Context, call *work.Call, left time.Duration, out work.Answer) error {
 	if n.feed.Config() != nil && !n.feed.Ready() {
-		return fault.Refuse(fault.NoConfig, "the list of replicas is not known yet").After(time.Second)
+		return fault.Refuse(fault.NoConfig, "the list of replicas is not known yet").WithRetryAfter(time.Second)
 	}
 	return n.entry.Handle(ctx, call, left, out)
 }
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -90,7 +90,7 @@
 	}
 	knows := func(name string) bool { return p.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
 	candidates = slices.DeleteFunc(slices.Clone(candidates), func(name string) bool { return !knows(name) })
-	return ident.Winner(rep.ID, candidates) == p.self.Name
+	return ident.Rendezvous(rep.ID, candidates) == p.self.Name
 }
 
 func boxNames(boxes []work.Box) []string {
--- a/gate/node/reach.go
+++ b/gate/node/reach.go
@@ -143,7 +143,7 @@
 	var ranked []rankedBox
 	for _, boxes := range zones {
 		name := func(i int) string { return boxes[i].Name }
-		for rank, i := range ident.Closest(r.self, len(boxes), name, maxPings) {
+		for rank, i := range ident.RendezvousTop(r.self, len(boxes), name, maxPings) {
 			ranked = append(ranked, rankedBox{box: boxes[i], rank: (float64(rank) + 0.5) / float64(len(boxes))})
 		}
 	}
--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -61,7 +61,7 @@
 func (d *Dialer) Beat(ctx context.Context, addr netip.AddrPort, beat *wire.BeatRequest) (*wire.BeatReply, error) {
 	reply, err := d.peerClient(addr).Beat(ctx, beat)
 	if err != nil {
-		return nil, fault.Fail(fault.TargetFailed, "heartbeat failed").Because(err)
+		return nil, fault.Fail(fault.TargetFailed, "heartbeat failed").WithCause(err)
 	}
 	return reply, nil
 }
@@ -70,7 +70,7 @@
 func (d *Dialer) Revision(ctx context.Context, addr netip.AddrPort, have int64) ([]byte, error) {
 	reply, err := d.peerClient(addr).Revision(ctx, &wire.RevisionRequest{Have: have})
 	if err != nil {
-		return nil, fault.Fail(fault.TargetFailed, "revision fetch failed").Because(err)
+		return nil, fault.Fail(fault.TargetFailed, "revision fetch failed").WithCause(err)
 	}
 	return reply.GetRevision(), nil
 }
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -13,8 +13,8 @@
 
 // Owners reports which slots this box owns.
 type Owners interface {
-	// Held returns the epochs of the owned slots.
-	Held() map[ident.Slot]int64
+	// Owned returns the epochs of the owned slots.
+	Owned() map[ident.Slot]int64
 }
 
 // Engines queries engines and sends them orders.
@@ -22,7 +22,7 @@
 	Targets() []types.Target
 	// Models returns the versions of the loaded models by name.
 	Models(ctx context.Context, target types.Target) (map[string]string, error)
-	Order(ctx context.Context, target types.Target, order types.EngineOrder) error
+	SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error
 }
 
 // Policies is the configuration in force.
@@ -107,7 +107,7 @@
 	if len(slots) == 0 {
 		return
 	}
-	held := p.owners.Held()
+	held := p.owners.Owned()
 	for _, model := range p.policies.Models() {
 		epoch, owned := held[Slot(model.Name, slots)]
 		if !owned || model.MinWarm == 0 || time.Now().Before(p.pausedUntil[model.Name]) {
@@ -124,7 +124,7 @@
 		return
 	}
 	order := types.EngineOrder{Kind: loadOrder, Model: model.Name, Version: model.Version, Fence: epoch}
-	err := p.engines.Order(p.ctx, target, order)
+	err := p.engines.SendModelOrder(p.ctx, target, order)
 	if err == nil {
 		p.counts.Count("pool.orders", 1)
 		p.logger.Info("pool: engine ordered to load", "target", target.Name, "model", model.Name, "version", model.Version, "fence", epoch)
--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -118,20 +118,20 @@
 	if err := out.Begin(*head.Head); err != nil {
 		return err
 	}
-	return work.CopyBody(resp, out, fault.PeerLost)
+	return work.CopyBody(resp, out, fault.PeerUnreachable)
 }
 
 // peerLost converts a transport fault into PeerLost, which distinguishes a box's failure from a target's.
 func peerLost(err error) error {
 	f := fault.From(err)
-	return &fault.Fault{Kind: fault.PeerLost, Detail: "cannot reach another box: " + f.Error(), NotRun: f.NotRun}
+	return &fault.Fault{Kind: fault.PeerUnreachable, Detail: "cannot reach another box: " + f.Error(), NotRun: f.NotRun}
 }
 
 // turnFault returns the fault of a turn that got no response. If no connection was free, the other box works
 // and must not be marked unreachable; the caller may try another box that may hold the slot.
 func turnFault(err error) error {
 	if fault.Is(err, fault.Overloaded) {
-		return fault.Refuse(fault.OwnerUnknown, "no connection to the owner of the slot is free").After(fullPoolRetryDelay).Because(err)
+		return fault.Refuse(fault.OwnerUnavailable, "no connection to the owner of the slot is free").WithRetryAfter(fullPoolRetryDelay).WithCause(err)
 	}
 	return peerLost(err)
 }
@@ -147,7 +147,7 @@
 	defer resp.Close()
 	raw, err = io.ReadAll(io.LimitReader(resp, maxBody))
 	if err != nil {
-		return 0, nil, fault.Fail(fault.PeerLost, "another box's response is truncated").Because(err)
+		return 0, nil, fault.Fail(fault.PeerUnreachable, "another box's response is truncated").WithCause(err)
 	}
 	return resp.Status, raw, nil
 }
@@ -159,7 +159,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fault.Fail(fault.PeerLost, "another box rejected the request: status "+strconv.Itoa(status))
+		return fault.Fail(fault.PeerUnreachable, "another box rejected the request: status "+strconv.Itoa(status))
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 	}
 	var out findResponse
 	if err := json.Unmarshal(raw, &out); err != nil {
-		return nil, nil, fault.Fail(fault.Protocol, "cannot decode another box's response").Because(err)
+		return nil, nil, fault.Fail(fault.Protocol, "cannot decode another box's response").WithCause(err)
 	}
 	return out.Text, out.Slots, nil
 }
@@ -187,7 +187,7 @@
 func (c *Client) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
 	raw, err := json.Marshal(recs)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "cannot encode records").Because(err)
+		return fault.Refuse(fault.Internal, "cannot encode records").WithCause(err)
 	}
 	return c.command(ctx, box, deliverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, raw)
 }
@@ -210,7 +210,7 @@
 func (c *Client) exchangeJSON(ctx context.Context, box work.Box, path string, msg, out any) error {
 	body, err := json.Marshal(msg)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "cannot encode a request to another box").Because(err)
+		return fault.Refuse(fault.Internal, "cannot encode a request to another box").WithCause(err)
 	}
 	status, raw, err := c.send(ctx, box, http.MethodPost, path, nil, body)
 	if err != nil {
@@ -220,7 +220,7 @@
 		return fault.Fail(fault.Protocol, "another box refused the request: status "+strconv.Itoa(status))
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fault.Fail(fault.Protocol, "cannot decode another box's response").Because(err)
+		return fault.Fail(fault.Protocol, "cannot decode another box's response").WithCause(err)
 	}
 	return nil
 }
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -68,7 +68,7 @@
 	logger    *slog.Logger
 	http      *http.Server
 	// running is nil before Start.
-	running *serve.Running
+	running *serve.Server
 }
 
 // NewServer returns a server that does not listen yet. It performs operations on direct, the log, for boxes
@@ -204,7 +204,7 @@
 	call.Arrived = now.Add(-time.Duration(msg.WaitedMillis) * time.Millisecond)
 	var err error
 	if call.Body, err = io.ReadAll(body); err != nil {
-		return msg, fault.Refuse(fault.BadRequest, "forwarded turn is truncated").Because(err)
+		return msg, fault.Refuse(fault.BadRequest, "forwarded turn is truncated").WithCause(err)
 	}
 	return msg, nil
 }
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -185,7 +185,7 @@
 		slot, _ = s.lookup(number)
 	}
 	if slot == nil {
-		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").After(retryAfter)
+		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").WithRetryAfter(retryAfter)
 	}
 	return slot, nil
 }
--- a/gate/trail/trail.go
+++ b/gate/trail/trail.go
@@ -12,14 +12,14 @@
 type Trail struct {
 	mu sync.Mutex
 	// ring is a circular buffer; unused entries are zero.
-	ring []types.Step
+	ring []types.TraceEvent
 	// next is the index of the next entry to overwrite.
 	next int
 }
 
 // New returns a trail that stores the last size steps. size must be positive.
 func New(size int) *Trail {
-	return &Trail{ring: make([]types.Step, size)}
+	return &Trail{ring: make([]types.TraceEvent, size)}
 }
 
 // Start implements kernel.Service.
@@ -33,7 +33,7 @@
 }
 
 // Note stores a step with the current time, in place of the oldest one.
-func (t *Trail) Note(step types.Step) {
+func (t *Trail) Note(step types.TraceEvent) {
 	step.At = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,10 +42,10 @@
 }
 
 // Find returns the steps of a program or request, oldest first.
-func (t *Trail) Find(id string) []types.Step {
+func (t *Trail) Find(id string) []types.TraceEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []types.Step
+	var out []types.TraceEvent
 	for i := range t.ring {
 		step := t.ring[(t.next+i)%len(t.ring)]
 		if !step.At.IsZero() && (step.Program == id || step.Request == id) {
