--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -41,18 +41,18 @@
 	maxResends = 4
 )
 
-// Others provides the boxes through which the log may be called.
-type Others interface {
-	// Others returns the live boxes that may be used, without this one.
-	Others() []work.Box
-	// Via returns the log as reached through the box.
-	Via(box work.Box) work.Log
+// Proxies provides the boxes through which the log may be called.
+type Proxies interface {
+	// Boxes returns the live boxes that may be used, without this one.
+	Boxes() []work.Box
+	// LogVia returns the log as reached through the box.
+	LogVia(box work.Box) work.Log
 }
 
 // Detour is a work.Log that is reached directly or through other boxes.
 type Detour struct {
 	direct  work.Log
-	proxies Others
+	proxies Proxies
 	logger  *slog.Logger
 
 	mu sync.Mutex
@@ -79,7 +79,7 @@
 }
 
 // New returns a detour that calls the log directly until that fails.
-func New(direct work.Log, others Others, logger *slog.Logger) *Detour {
+func New(direct work.Log, others Proxies, logger *slog.Logger) *Detour {
 	return &Detour{direct: direct, proxies: others, logger: logger, failedProxies: map[string]failedProxy{}}
 }
 
@@ -229,7 +229,7 @@
 
 // via makes the call through the box and records whether the box reaches the log.
 func (d *Detour) via(ctx context.Context, box work.Box, make operation) result {
-	got := make(ctx, d.proxies.Via(box), false)
+	got := make(ctx, d.proxies.LogVia(box), false)
 	got.proxy = box
 	switch {
 	case !notReached(got.err):
@@ -312,7 +312,7 @@
 // chooseProxy returns the preferred box or else a random one, a slow one only if no other is left. It skips
 // boxes that were asked before or can't reach the log, and returns false if none is left or during an outage.
 func (d *Detour) chooseProxy(asked []work.Box) (work.Box, bool) {
-	boxes := d.proxies.Others()
+	boxes := d.proxies.Boxes()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.logOutage(time.Now()) {
--- a/gate/detour/detour_test.go
+++ b/gate/detour/detour_test.go
@@ -85,7 +85,7 @@
 // fakeProxies maps the names of the other boxes to the log as reached through them.
 type fakeProxies map[string]*fakeLog
 
-func (p fakeProxies) Others() []work.Box {
+func (p fakeProxies) Boxes() []work.Box {
 	var boxes []work.Box
 	for name := range p {
 		boxes = append(boxes, work.Box{Name: name})
@@ -93,7 +93,7 @@
 	return boxes
 }
 
-func (p fakeProxies) Via(box work.Box) work.Log {
+func (p fakeProxies) LogVia(box work.Box) work.Log {
 	return p[box.Name]
 }
 
--- a/gate/lines/handler.go
+++ b/gate/lines/handler.go
@@ -35,8 +35,8 @@
 	counts map[string]*messageCount
 }
 
-// Sum returns a Handler that passes lines on to next.
-func Sum(next slog.Handler) *Handler {
+// LimitRepeats returns a Handler that passes lines on to next.
+func LimitRepeats(next slog.Handler) *Handler {
 	return &Handler{next: next, limiter: &limiter{counts: map[string]*messageCount{}}}
 }
 
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -104,11 +104,11 @@
 	n.feed = feed.New(n.mirror, deps.Decoder, n.targets, log)
 	n.view = view.New(deps.Self, n.mirror, deps.Timing, log)
 	n.targets.SetBounds(target.Bounds{Regions: deps.Regions, Cold: deps.Cold})
-	n.targets.SetWarmingCheck(n.senders.Warms)
+	n.targets.SetWarmingCheck(n.senders.MayWarm)
 	n.shards = shard.New(deps.Self, layout, detourLog, n.view, n.peers, deps.Meter, log)
 	n.senders = newCallSenders(deps.Self, n.view, layout.Names())
 	n.mirror.OnLevels(func(levels subset.Levels) {
-		n.senders.Draw(levels)
+		n.senders.SetLevels(levels)
 		n.targets.SetLevels(levels)
 	})
 	n.watch = load.New(deps.Self, deps.Replicas, n.targets, n.senders, log)
@@ -137,9 +137,9 @@
 // logProxies provides the boxes through which the log may be called.
 type logProxies struct{ node *Node }
 
-// Others implements detour.Others. It returns only boxes of this box's region, since records may have to stay
+// Boxes implements detour.Others. It returns only boxes of this box's region, since records may have to stay
 // there and other regions are slow to reach.
-func (o logProxies) Others() []work.Box {
+func (o logProxies) Boxes() []work.Box {
 	regions, self := o.node.deps.Regions, o.node.deps.Self
 	var boxes []work.Box
 	for _, box := range o.node.view.Live() {
@@ -150,17 +150,17 @@
 	return boxes
 }
 
-// Via implements detour.Others.
-func (o logProxies) Via(box work.Box) work.Log {
-	return o.node.peers.Via(box)
+// LogVia implements detour.Others.
+func (o logProxies) LogVia(box work.Box) work.Log {
+	return o.node.peers.LogVia(box)
 }
 
 func (n *Node) onBoxesChanged() {
 	live := n.view.Live()
 	n.targets.SetBoxCount(len(live))
-	n.senders.Renew()
-	n.targets.SetPlacerCount(n.senders.Placers())
-	n.peers.Keep(live)
+	n.senders.Update()
+	n.targets.SetPlacerCount(n.senders.EffectivePlacers())
+	n.peers.CloseAllExcept(live)
 	n.counter.Update(time.Now(), n.feed.Config())
 	n.shards.Rebalance()
 }
@@ -228,7 +228,7 @@
 			continue
 		}
 		all.Go(func() {
-			if err := n.peers.Leaving(ctx, box, n.deps.Self.Member()); err != nil {
+			if err := n.peers.AnnounceLeave(ctx, box, n.deps.Self.Member()); err != nil {
 				n.deps.Logger.Info("node: cannot announce leave to another box", "to", box.Name, "cause", err)
 			}
 		})
@@ -241,8 +241,8 @@
 	return !n.leaving.Load() && n.feed.Ready() && n.view.HasSettled() && !n.detector.CutOff()
 }
 
-// Figures writes the metrics of the box in the Prometheus text exposition format.
-func (n *Node) Figures(out io.Writer) error {
+// WriteMetrics writes the metrics of the box in the Prometheus text exposition format.
+func (n *Node) WriteMetrics(out io.Writer) error {
 	gauges := n.deps.Meter
 	gauges.Gauge("node.slots", int64(n.shards.HeldCount()))
 	gauges.Gauge("node.boxes", int64(len(n.view.Live())))
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -40,8 +40,8 @@
 	return &callSenders{self: self, fleet: fleet, slots: slots}
 }
 
-// Renew recomputes the senders after the live boxes have changed.
-func (p *callSenders) Renew() {
+// Update recomputes the senders after the live boxes have changed.
+func (p *callSenders) Update() {
 	var zoneBoxes []string
 	for _, box := range p.fleet.Live() {
 		if box.Zone == p.self.Zone {
@@ -68,17 +68,17 @@
 	p.zoneBoxes, p.zonePlacers, p.otherZonePlacers = zoneBoxes, zonePlacers, otherZonePlacers
 }
 
-// Placers returns how many boxes count as placing turns on the same replicas as this one. Boxes
+// EffectivePlacers returns how many boxes count as placing turns on the same replicas as this one. Boxes
 // without slots do not count; see sched.EffectivePlacers.
-func (p *callSenders) Placers() int {
+func (p *callSenders) EffectivePlacers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return sched.EffectivePlacers(len(p.zonePlacers), p.otherZonePlacers)
 }
 
-// Warms reports whether this box is the one in its availability zone that sends calls to a cold replica. If
+// MayWarm reports whether this box is the one in its availability zone that sends calls to a cold replica. If
 // model is set, only owners of slots are considered. It returns false while the view is not settled.
-func (p *callSenders) Warms(rep work.Replica, model bool) bool {
+func (p *callSenders) MayWarm(rep work.Replica, model bool) bool {
 	if !p.fleet.Settled() {
 		return false
 	}
@@ -127,8 +127,8 @@
 	return p.levels[subset.Group(rep.Service, rep.Zone)] == 0
 }
 
-// Draw sets the levels that determine which part of the replicas each box knows.
-func (p *callSenders) Draw(levels subset.Levels) {
+// SetLevels sets the levels that determine which part of the replicas each box knows.
+func (p *callSenders) SetLevels(levels subset.Levels) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.levels = levels
--- a/gate/node/place_test.go
+++ b/gate/node/place_test.go
@@ -39,8 +39,8 @@
 			senders := map[string]int{}
 			for i, box := range h.live {
 				p := newCallSenders(box, h, slots)
-				p.Renew()
-				if !p.Warms(rep, model) {
+				p.Update()
+				if !p.MayWarm(rep, model) {
 					continue
 				}
 				senders[box.Zone]++
@@ -56,8 +56,8 @@
 	h.settled = false
 	for _, box := range h.live {
 		p := newCallSenders(box, h, slots)
-		p.Renew()
-		if p.Warms(work.Replica{ID: "r0"}, false) {
+		p.Update()
+		if p.MayWarm(work.Replica{ID: "r0"}, false) {
 			t.Errorf("%s sends calls to a cold replica while its view is not settled", box.Name)
 		}
 	}
--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -85,8 +85,8 @@
 	return d.forwarder.Do(req)
 }
 
-// Views handles heartbeats from other boxes.
-type Views interface {
+// HeartbeatHandler handles heartbeats from other boxes.
+type HeartbeatHandler interface {
 	Beat(ctx context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error)
 }
 
@@ -98,12 +98,12 @@
 
 // Server implements wire.Peers.
 type Server struct {
-	views     Views
+	views     HeartbeatHandler
 	revisions Revisions
 }
 
 // NewServer returns the twirp handler for the listener for boxes.
-func NewServer(views Views, revisions Revisions) http.Handler {
+func NewServer(views HeartbeatHandler, revisions Revisions) http.Handler {
 	return wire.NewPeersServer(&Server{views: views, revisions: revisions})
 }
 
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -31,8 +31,8 @@
 	Models() []types.Model
 }
 
-// Leavers reports which engines are known to leave, by name.
-type Leavers interface {
+// LeavingEngines reports which engines are known to leave, by name.
+type LeavingEngines interface {
 	Leaving() []string
 }
 
@@ -53,7 +53,7 @@
 	owners   Owners
 	engines  Engines
 	policies Policies
-	leavers  Leavers
+	leavers  LeavingEngines
 	counts   Counts
 	logger   *slog.Logger
 
@@ -65,7 +65,7 @@
 }
 
 // New returns the service, not yet started.
-func New(owners Owners, engines Engines, policies Policies, leavers Leavers, counts Counts, logger *slog.Logger) *Pool {
+func New(owners Owners, engines Engines, policies Policies, leavers LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
 	p := &Pool{
 		owners: owners, engines: engines, policies: policies, leavers: leavers, counts: counts, logger: logger,
 		pausedUntil: map[string]time.Time{},
@@ -119,7 +119,7 @@
 
 // sendOrder sends at most one order for the model, since all engines load from the same weight store.
 func (p *Pool) sendOrder(model types.Model, epoch int64) {
-	target, ok := Choose(model, p.readReplicas())
+	target, ok := ChooseEngine(model, p.readReplicas())
 	if !ok {
 		return
 	}
@@ -161,9 +161,9 @@
 	return out
 }
 
-// Choose returns the engine that should load the model next, if any. An engine with another version is only
+// ChooseEngine returns the engine that should load the model next, if any. An engine with another version is only
 // updated while a second one serves the model in some version, so that the model stays available.
-func Choose(model types.Model, replicas []Replica) (types.Target, bool) {
+func ChooseEngine(model types.Model, replicas []Replica) (types.Target, bool) {
 	var current, outdated, unloaded []types.Target
 	for _, r := range replicas {
 		version, loaded := r.Models[model.Name]
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -84,7 +84,7 @@
 			mayHaveRun = true
 			try.charge = turnRun.Reserved
 		}
-		p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
+		p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
 		if target == "" || n == maxAttempts || ctx.Err() != nil {
 			return end, try, clearNotRun(f, mayHaveRun)
 		}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return types.EngineEvent{}, "", err
 	}
-	p.notes.Note(types.TraceEvent{
+	p.notes.Record(types.TraceEvent{
 		Request: j.ask.Request, Program: j.ask.Program, Event: "target chosen", Target: reservation.Target.Name, Candidates: reservation.Candidates,
 	})
 	call := types.EngineCall{
@@ -214,7 +214,7 @@
 		p.logger.Debug("prog: cannot settle failed turn", "program", j.ask.Program, "error", doErr)
 	}
 	p.counts.Count("prog.failed_turns", 1)
-	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
 	run.finish(types.TurnAnswer{}, err)
 }
 
@@ -245,7 +245,7 @@
 	}
 	p.counts.Count("prog.turns", 1)
 	p.counts.Latency("prog.turn", j.begin.Workspace, j.begin.DataClass, time.Since(j.started))
-	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn answered"})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn answered"})
 	run.finish(turnAnswer(j, content, token), nil)
 }
 
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -50,7 +50,7 @@
 
 // StepRecorder records scheduling decisions for operators.
 type StepRecorder interface {
-	Note(step types.TraceEvent)
+	Record(step types.TraceEvent)
 }
 
 // Counts receives metrics.
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -168,7 +168,7 @@
 		ticket = nil
 	}
 	j.maxTokens = int(decision.MaxTokens)
-	p.notes.Note(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn started"})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn started"})
 	p.runs.Go(func() { p.execute(j, run, decision.Run, cont, ticket) })
 	return run, nil
 }
--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -67,8 +67,8 @@
 	return p
 }
 
-// Keep closes the connections to all boxes that are not in live.
-func (c *Client) Keep(live []work.Box) {
+// CloseAllExcept closes the connections to all boxes that are not in live.
+func (c *Client) CloseAllExcept(live []work.Box) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	keep := map[netip.AddrPort]bool{}
@@ -192,8 +192,8 @@
 	return c.command(ctx, box, deliverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, raw)
 }
 
-// Leaving tells a box that the given member leaves the fleet.
-func (c *Client) Leaving(ctx context.Context, box work.Box, member string) error {
+// AnnounceLeave tells a box that the given member leaves the fleet.
+func (c *Client) AnnounceLeave(ctx context.Context, box work.Box, member string) error {
 	return c.command(ctx, box, leavingPath, url.Values{memberParam: {member}}, nil)
 }
 
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -34,8 +34,8 @@
 
 // Slots releases slots and writes records to them.
 type Slots interface {
-	// Yield releases the slot to another box.
-	Yield(ctx context.Context, slot int) error
+	// Handover releases the slot to another box.
+	Handover(ctx context.Context, slot int) error
 	// Deliver writes records of turns that began at a previous owner.
 	Deliver(ctx context.Context, slot int, recs []work.Record) error
 }
@@ -53,7 +53,7 @@
 
 // Boxes is notified of boxes that announce that they leave.
 type Boxes interface {
-	Left(box work.Box)
+	MarkLeaving(box work.Box)
 }
 
 // Server serves the requests of other boxes.
@@ -108,7 +108,7 @@
 func (s *Server) handover(w http.ResponseWriter, r *http.Request) {
 	slot, err := strconv.Atoi(r.URL.Query().Get(slotParam))
 	if err == nil {
-		err = s.slots.Yield(r.Context(), slot)
+		err = s.slots.Handover(r.Context(), slot)
 	}
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -137,7 +137,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.boxes.Left(box)
+	s.boxes.MarkLeaving(box)
 }
 
 func (s *Server) quota(w http.ResponseWriter, r *http.Request) {
--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	return to.Yield(ctx, slot)
+	return to.Handover(ctx, slot)
 }
 
 func (e boxView) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -242,8 +242,8 @@
 	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.ProgramCount(), "took", time.Since(start))
 }
 
-// Yield releases the slot to a box that asks for it.
-func (s *Manager) Yield(ctx context.Context, number int) error {
+// Handover releases the slot to a box that asks for it.
+func (s *Manager) Handover(ctx context.Context, number int) error {
 	if number < 0 || number >= len(s.slots) {
 		return fault.Refuse(fault.BadRequest, "no such slot")
 	}
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -515,7 +515,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := f.shards["c"].Yield(ctx, 0); err != nil {
+	if err := f.shards["c"].Handover(ctx, 0); err != nil {
 		return []string{err.Error()}
 	}
 	time.Sleep(2 * reclaimDelay)
--- a/gate/trail/trail.go
+++ b/gate/trail/trail.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// Note stores a step with the current time, in place of the oldest one.
-func (t *Trail) Note(step types.TraceEvent) {
+// Record stores a step with the current time, in place of the oldest one.
+func (t *Trail) Record(step types.TraceEvent) {
 	step.At = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
