--- a/base/client/stream.go
+++ b/base/client/stream.go
@@ -32,7 +32,7 @@
 }
 
 // Next returns the data of the next event, which is valid until the next call, or io.EOF at the
-// event Done. A stream that ends without that event is a fault.
+// event FinalEvent. A stream that ends without that event is a fault.
 func (e *EventReader) Next() ([]byte, error) {
 	for e.scan.Scan() {
 		data, ok := bytes.CutPrefix(e.scan.Bytes(), []byte(dataPrefix))
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClosest compares Closest with a full sort by weight, and its first name with Winner.
+// TestClosest compares RendezvousTop with a full sort by weight, and its first name with Rendezvous.
 func TestClosest(t *testing.T) {
 	var names []string
 	for i := range 40 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestShared checks that names get keys in proportion to their shares, that with equal shares Shared
-// agrees with Closest, and that removing a name moves only its own keys.
+// TestShared checks that names get keys in proportion to their shares, that with equal shares WeightedRendezvousTop
+// agrees with RendezvousTop, and that removing a name moves only its own keys.
 func TestShared(t *testing.T) {
 	var names []string
 	for i := range 40 {
--- a/base/revs/fold.go
+++ b/base/revs/fold.go
@@ -37,7 +37,7 @@
 	keys []ed25519.PublicKey
 }
 
-// New returns an empty Fold that accepts revisions signed by one of the keys.
+// New returns an empty StreamState that accepts revisions signed by one of the keys.
 func New(keys []ed25519.PublicKey) *StreamState {
 	return &StreamState{keys: keys}
 }
@@ -56,7 +56,7 @@
 	return rev, verdict
 }
 
-// ApplyRevision applies a revision from the log, or one that another box has accepted, which has Carry
+// ApplyRevision applies a revision from the log, or one that another box has accepted, which has IsCopy
 // set.
 func (f *StreamState) ApplyRevision(rev types.Revision) Verdict {
 	if !f.verify(rev) {
@@ -118,7 +118,7 @@
 	return rev, nil
 }
 
-// signedBytes returns the bytes that the signature covers: all fields but Signature and Carry.
+// signedBytes returns the bytes that the signature covers: all fields but Signature and IsCopy.
 func signedBytes(rev types.Revision) ([]byte, error) {
 	rev.Signature = nil
 	rev.IsCopy = false
--- a/base/revs/publish.go
+++ b/base/revs/publish.go
@@ -61,7 +61,7 @@
 
 // Publish signs and appends the draft, reads the stream back for the verdict and returns the
 // accepted revision. If several operators publish on the same base, exactly one succeeds and the
-// others get a Conflict fault. If ctx ends before the verdict is known, the fault is
+// others get a RevisionConflict fault. If ctx ends before the verdict is known, the fault is
 // OutcomeUnknown. The keys are the public keys of all operators, as in the boxes' settings.
 func Publish(ctx context.Context, log Log, key ed25519.PrivateKey, keys []ed25519.PublicKey, draft Draft) (types.Revision, error) {
 	if err := Check(draft.Config); err != nil {
@@ -101,7 +101,7 @@
 }
 
 // findVerdict returns the verdict on the revision, and whether the stream shows one. A revision
-// that is missing counts as Lost once one with the same or a higher number is in force.
+// that is missing counts as LostRace once one with the same or a higher number is in force.
 func findVerdict(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) (Verdict, bool, error) {
 	fold, all, err := History(ctx, log, keys)
 	if err != nil {
--- a/base/seal/ring.go
+++ b/base/seal/ring.go
@@ -29,7 +29,7 @@
 	aead cipher.AEAD
 }
 
-// NewRootKey returns a Root with a key of KeySize bytes.
+// NewRootKey returns a RootKey with a key of KeySize bytes.
 func NewRootKey(key []byte) (*RootKey, error) {
 	if len(key) != KeySize {
 		return nil, fault.Refuse(fault.BadKey, "root key has the wrong size")
--- a/base/shell/signals.go
+++ b/base/shell/signals.go
@@ -57,7 +57,7 @@
 	pending chan struct{}
 }
 
-// NewReloadRequests returns Changes without a pending reload.
+// NewReloadRequests returns ReloadRequests without a pending reload.
 func NewReloadRequests() ReloadRequests {
 	return ReloadRequests{pending: make(chan struct{}, 1)}
 }
--- a/base/types/platform.go
+++ b/base/types/platform.go
@@ -64,7 +64,7 @@
 	Fence       int64    `json:"fence,omitempty"`
 }
 
-// CacheEvent reports that a program's prefix was added to an engine's cache or, with Gone set,
+// CacheEvent reports that a program's prefix was added to an engine's cache or, with Removed set,
 // removed from it.
 type CacheEvent struct {
 	Seq     int64  `json:"seq"`
--- a/base/types/status.go
+++ b/base/types/status.go
@@ -35,7 +35,7 @@
 	Spent   int64 `json:"spent"`
 }
 
-// PeerStatus is the state of a box as seen by the reporting box. Heard is the time of the last
+// PeerStatus is the state of a box as seen by the reporting box. LastHeartbeat is the time of the last
 // heartbeat.
 type PeerStatus struct {
 	Name          string    `json:"name"`
@@ -45,8 +45,8 @@
 	LastHeartbeat time.Time `json:"heard"`
 }
 
-// EngineStatus is the state of an engine as seen by the reporting box. Mine counts that box's
-// streams in flight, Slow is the engine's slowdown factor.
+// EngineStatus is the state of an engine as seen by the reporting box. InFlight counts that box's
+// streams in flight, Slowdown is the engine's slowdown factor.
 type EngineStatus struct {
 	Name           string        `json:"name"`
 	Zone           string        `json:"zone"`
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// pollInterval returns Poll for engines that run calls of this box and IdlePoll for others, so
+// pollInterval returns PollInterval for engines that run calls of this box and IdlePollInterval for others, so
 // that the cost of polling depends on this box's work and not on the number of engines.
 func (s *Engines) pollInterval(name string) time.Duration {
 	s.mu.Lock()
--- a/gate/lease/lease.go
+++ b/gate/lease/lease.go
@@ -12,7 +12,7 @@
 	Input    types.RuleInput
 	Program  string
 	Progress sched.ProgramProgress
-	// PromptTokens and Expected are the lengths of the prompt and of the expected answer, in tokens.
+	// PromptTokens and ExpectedTokens are the lengths of the prompt and of the expected answer, in tokens.
 	PromptTokens   int
 	ExpectedTokens int
 	// NewProgram marks the first turn of a root program. Rejecting it wastes no work done before.
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -137,7 +137,7 @@
 // logProxies provides the boxes through which the log may be called.
 type logProxies struct{ node *Node }
 
-// Boxes implements detour.Others. It returns only boxes of this box's region, since records may have to stay
+// Boxes implements detour.Proxies. It returns only boxes of this box's region, since records may have to stay
 // there and other regions are slow to reach.
 func (o logProxies) Boxes() []work.Box {
 	regions, self := o.node.deps.Regions, o.node.deps.Self
@@ -150,7 +150,7 @@
 	return boxes
 }
 
-// LogVia implements detour.Others.
+// LogVia implements detour.Proxies.
 func (o logProxies) LogVia(box work.Box) work.Log {
 	return o.node.peers.LogVia(box)
 }
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -242,7 +242,7 @@
 // choice is a replica selected for a call.
 type choice struct {
 	replica *replica
-	// target is a copy from the time of selection, since Take may replace the replica's.
+	// target is a copy from the time of selection, since UpdateTargets may replace the replica's.
 	target types.Target
 }
 
--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -121,7 +121,7 @@
 	return work.CopyBody(resp, out, fault.PeerUnreachable)
 }
 
-// peerLost converts a transport fault into PeerLost, which distinguishes a box's failure from a target's.
+// peerLost converts a transport fault into PeerUnreachable, which distinguishes a box's failure from a target's.
 func peerLost(err error) error {
 	f := fault.From(err)
 	return &fault.Fault{Kind: fault.PeerUnreachable, Detail: "cannot reach another box: " + f.Error(), NotRun: f.NotRun}
--- a/gate/remote/client_test.go
+++ b/gate/remote/client_test.go
@@ -35,8 +35,8 @@
 	return fault.From(err)
 }
 
-// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnknown with a Retry-After delay,
-// and a refused connection PeerLost.
+// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnavailable with a Retry-After delay,
+// and a refused connection PeerUnreachable.
 func TestFullPoolIsNotPeerLost(t *testing.T) {
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -215,7 +215,7 @@
 }
 
 // preferredBox returns the box that rendezvous hashing selects among the live boxes of the
-// slot's zone, or among all live boxes once that zone has been empty for AdoptAfter. Leaving
+// slot's zone, or among all live boxes once that zone has been empty for AdoptionDelay. Leaving
 // boxes are excluded. It returns "" if there is no candidate.
 func (s *Slots) preferredBox(id ident.Slot, live []types.Member) string {
 	var sameZone, all []string
