--- a/gate/desk/adopt.go
+++ b/gate/desk/adopt.go
@@ -8,44 +8,46 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// Adopt takes over from a continuation what the log does not hold: programs begun and
-// turns answered while it was away. It changes nothing if any part does not fit.
+// Adopt restores from a continuation the programs and turns that the log lacks, such as those
+// of an outage. If any part does not fit, it writes nothing and returns an error. A newer
+// epoch in the continuation sets Superseded.
 func (d *Desk) Adopt(cont types.Continuation) ([]types.Record, error) {
 	if cont.Epoch > d.State.Epoch {
 		d.Superseded = true
-		return nil, fault.Refuse(fault.NotOwner, "the continuation shows a newer owner")
+		return nil, fault.Refuse(fault.NotOwner, "the continuation is from a newer owner")
 	}
-	begins, err := d.missing(cont)
+	begins, err := d.missingBegins(cont)
 	if err != nil {
 		return nil, err
 	}
 	prog, ok := d.State.Programs[cont.Program]
 	if !ok {
-		prog = begun(begins, cont.Program)
+		prog = programOf(begins, cont.Program)
 	}
 	if prog == nil || prog.Begin.Workspace != cont.Workspace {
 		return nil, fault.Refuse(fault.NoProgram, "no such program")
 	}
-	turns, err := tail(prog, cont)
+	turns, err := newTurns(prog, cont)
 	if err != nil {
 		return nil, err
 	}
 	if run, ok := d.Turns[cont.Program]; ok && len(turns) > 0 {
 		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").At(run.Turn - 1)
 	}
-	recs := d.takeBegins(begins)
+	recs := d.writeAdopted(begins)
 	for _, turn := range turns {
 		recs = append(recs, d.write(types.Record{Turn: &turn})...)
 	}
 	return recs, nil
 }
 
-// missing lists the programs of the token that the state lacks, roots first.
-func (d *Desk) missing(cont types.Continuation) ([]types.Begin, error) {
+// missingBegins returns the programs of the continuation that the state lacks, in the
+// continuation's order: ancestors first.
+func (d *Desk) missingBegins(cont types.Continuation) ([]types.Begin, error) {
 	var out []types.Begin
 	for _, b := range cont.Begins {
 		if b.Workspace != cont.Workspace {
-			return nil, fault.Refuse(fault.BadContinuation, "continuation mixes workspaces")
+			return nil, fault.Refuse(fault.BadContinuation, "the continuation mixes workspaces")
 		}
 		if _, ok := d.State.Programs[b.ID]; !ok {
 			out = append(out, b)
@@ -54,7 +56,8 @@
 	return out, nil
 }
 
-func begun(begins []types.Begin, id string) *types.Program {
+// programOf returns the program with the given id as its begin record creates it, or nil.
+func programOf(begins []types.Begin, id string) *types.Program {
 	for _, b := range begins {
 		if b.ID == id {
 			return &types.Program{Begin: b, LastAt: b.Created}
@@ -63,29 +66,29 @@
 	return nil
 }
 
-// takeBegins writes the programs. Their first grant counts as spent: the box that gave
-// it may have spent it, and may still do so.
-func (d *Desk) takeBegins(begins []types.Begin) []types.Record {
+// writeAdopted writes the programs. The first grant of a root counts as spent: the box that
+// granted it may have spent it or may still be spending it.
+func (d *Desk) writeAdopted(begins []types.Begin) []types.Record {
 	var recs []types.Record
 	for _, b := range begins {
 		recs = append(recs, d.write(types.Record{Begin: &b})...)
 		if b.ID != b.Root {
 			continue
 		}
-		spent := types.Purse{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
-		recs = append(recs, d.write(types.Record{Purse: &spent})...)
-		d.grant(b.ID, b.Grant)
+		tree := types.Purse{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
+		recs = append(recs, d.write(types.Record{Purse: &tree})...)
+		d.confirmGrant(b.ID, b.Grant)
 	}
 	return recs
 }
 
-// tail returns the turns that the token adds to the program's history, or why it does
-// not fit. Where two owners answered the head turn, the token says from which answer its
-// caller goes on; nothing before the head is ever replaced.
-func tail(prog *types.Program, cont types.Continuation) ([]types.Turn, error) {
+// newTurns returns the turns that the continuation adds to the program's history, or an error
+// if it does not extend it. If two owners answered the last turn, the answer in the
+// continuation replaces the stored one. Earlier turns are never replaced.
+func newTurns(prog *types.Program, cont types.Continuation) ([]types.Turn, error) {
 	head := fold.Head(prog)
 	if cont.Turn < head {
-		return nil, onChain(prog, cont)
+		return nil, checkHistory(prog, cont)
 	}
 	scratch := *prog
 	scratch.Turns = append([]types.Turn{}, prog.Turns...)
@@ -102,30 +105,32 @@
 		case fold.Extends(&scratch, turn):
 			turn.Instead = false
 		default:
-			return nil, fault.Refuse(fault.BadContinuation, "continuation does not extend the history").At(head)
+			return nil, fault.Refuse(fault.BadContinuation, "the continuation does not extend the history").At(head)
 		}
 		scratch.Turns = append(scratch.Turns, turn)
 		out = append(out, turn)
 	}
 	if fold.Head(&scratch) != cont.Turn || !bytes.Equal(fold.Last(&scratch), cont.Digest) {
-		return nil, fault.Refuse(fault.BadContinuation, "history is missing between log and continuation").At(head)
+		return nil, fault.Refuse(fault.BadContinuation, "turns are missing between the log and the continuation").At(head)
 	}
 	return out, nil
 }
 
-// onChain checks that an old or current token lies on the program's history.
-func onChain(prog *types.Program, cont types.Continuation) error {
-	var at []byte
+// checkHistory returns an error if a continuation of an earlier turn does not belong to the
+// program's history.
+func checkHistory(prog *types.Program, cont types.Continuation) error {
+	var digest []byte
 	if cont.Turn > 0 {
-		at = prog.Turns[cont.Turn-1].Digest
+		digest = prog.Turns[cont.Turn-1].Digest
 	}
-	if !bytes.Equal(at, cont.Digest) {
-		return fault.Refuse(fault.BadContinuation, "continuation is of another history").At(fold.Head(prog))
+	if !bytes.Equal(digest, cont.Digest) {
+		return fault.Refuse(fault.BadContinuation, "the continuation belongs to a different history").At(fold.Head(prog))
 	}
 	return nil
 }
 
-// Continuation makes the token content for the program's head, or for an earlier turn.
+// Continuation returns the continuation after the given turn of the program. It carries the
+// begin records and turns that the log has not confirmed.
 func (d *Desk) Continuation(prog *types.Program, turn int) types.Continuation {
 	cont := types.Continuation{
 		Program: prog.Begin.ID, Workspace: prog.Begin.Workspace, Turn: turn,
@@ -144,7 +149,7 @@
 	return cont
 }
 
-// lineage lists the program and its ancestors, root first.
+// lineage returns the begin records of the program and its ancestors, root first.
 func (d *Desk) lineage(prog *types.Program) []types.Begin {
 	var out []types.Begin
 	for prog != nil {
--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -8,45 +8,49 @@
 	"mulleingate.dev/base/types"
 )
 
-// CallAsk asks to run a call that may not be repeated.
+// CallAsk is a request to run a call. Price is in tokens.
 type CallAsk struct {
 	Intent types.Intent
 	Price  int64
-	Chunk  int64
+	// Chunk is the smallest step by which a grant grows, in tokens, unless the budget ends it.
+	Chunk int64
 }
 
-// CallStart is the decision on a call: exactly one of Stored, Join, Unknown and Run is set.
+// CallStart is the decision on a call request. Exactly one of Stored (its outcome is known),
+// Join (it is in flight), Unknown and Run (it is to be run) is set.
 type CallStart struct {
 	Stored *types.Outcome
 	Join   Run
-	// Unknown is an intent whose outcome nobody here knows.
+	// Unknown is the intent of a call that may have run and whose outcome is not known.
 	Unknown *types.Intent
 	Run     *CallRun
 }
 
-// StartCall decides on a call. A key that has an intent never gets a second one.
-func (d *Desk) StartCall(now time.Time, ask CallAsk) (CallStart, []types.Record, error) {
-	start, known, err := d.knownCall(ask.Intent)
+// StartCall decides on a request for a call that must not be repeated. A key that has an
+// intent never gets a second one.
+func (d *Desk) StartCall(now time.Time, req CallAsk) (CallStart, []types.Record, error) {
+	start, known, err := d.existingCall(req.Intent)
 	if err != nil || known {
 		return start, nil, err
 	}
-	root, recs, err := d.pay(now, ask)
+	root, recs, err := d.reservePrice(now, req)
 	if err != nil {
 		return CallStart{}, nil, err
 	}
-	run := &CallRun{Intent: ask.Intent, Reserved: ask.Price, Root: root}
-	d.Calls[ask.Intent.Key] = run
-	recs = append(recs, d.write(types.Record{Intent: &ask.Intent})...)
+	run := &CallRun{Intent: req.Intent, Reserved: req.Price, Root: root}
+	d.Calls[req.Intent.Key] = run
+	recs = append(recs, d.write(types.Record{Intent: &req.Intent})...)
 	return CallStart{Run: run}, recs, nil
 }
 
-func (d *Desk) knownCall(in types.Intent) (CallStart, bool, error) {
+// existingCall returns the decision for a key that has an intent, and reports whether it has.
+func (d *Desk) existingCall(in types.Intent) (CallStart, bool, error) {
 	key, ok := d.State.Keys[in.Key]
 	if !ok {
 		return CallStart{}, false, nil
 	}
 	if key.Intent.Workspace != in.Workspace || key.Intent.Service != in.Service || !bytes.Equal(key.Intent.Ask, in.Ask) {
-		return CallStart{}, false, fault.Refuse(fault.KeyReused, "the key belongs to another request")
+		return CallStart{}, false, fault.Refuse(fault.KeyReused, "the key was used for a different request")
 	}
 	if key.Outcome != nil && !key.Outcome.Unknown {
 		return CallStart{Stored: key.Outcome}, true, nil
@@ -57,29 +61,30 @@
 	return CallStart{Unknown: &key.Intent}, true, nil
 }
 
-// pay reserves the price from the purse of the call's program, if it has one.
-func (d *Desk) pay(now time.Time, ask CallAsk) (string, []types.Record, error) {
-	if ask.Intent.Program == "" {
+// reservePrice reserves the price from the budget of the call's program, if it has one. It
+// returns the root program that pays, or "".
+func (d *Desk) reservePrice(now time.Time, req CallAsk) (string, []types.Record, error) {
+	if req.Intent.Program == "" {
 		return "", nil, nil
 	}
-	prog, err := d.Program(ask.Intent.Program, ask.Intent.Workspace)
+	prog, err := d.Program(req.Intent.Program, req.Intent.Workspace)
 	if err != nil {
 		return "", nil, err
 	}
-	if err := d.open(now, prog); err != nil {
+	if err := d.checkOpen(now, prog); err != nil {
 		return "", nil, err
 	}
-	purse, err := d.purse(prog)
+	tree, err := d.treeBudget(prog)
 	if err != nil {
 		return "", nil, err
 	}
-	if d.left(purse) < ask.Price {
-		return "", nil, d.poor(purse)
+	if d.available(tree) < req.Price {
+		return "", nil, d.budgetError(tree)
 	}
-	return purse.Root, d.reserve(purse, ask.Price, ask.Chunk), nil
+	return tree.Root, d.reserve(tree, req.Price, req.Chunk), nil
 }
 
-// FinishCall ends a run with its outcome. A call that was not run costs nothing.
+// FinishCall ends a run with its outcome. A call that did not run costs nothing.
 func (d *Desk) FinishCall(run *CallRun, out types.Outcome) []types.Record {
 	if d.Calls[run.Intent.Key] != run {
 		return nil
@@ -95,7 +100,7 @@
 	return d.write(types.Record{Outcome: &out})
 }
 
-// SettleCall writes the outcome that a probe found for an unknown intent.
+// SettleCall writes the outcome of a call that was unknown until a probe found it.
 func (d *Desk) SettleCall(out types.Outcome) []types.Record {
 	key, ok := d.State.Keys[out.Key]
 	if !ok || key.Intent.Attempt != out.Attempt {
@@ -107,12 +112,13 @@
 	return d.write(types.Record{Outcome: &out})
 }
 
-// PayCall charges a repeatable call of a program at once.
-func (d *Desk) PayCall(now time.Time, ask CallAsk) ([]types.Record, error) {
-	root, recs, err := d.pay(now, ask)
+// PayCall charges the price of a repeatable call to its program, if it has one, when the
+// call starts.
+func (d *Desk) PayCall(now time.Time, req CallAsk) ([]types.Record, error) {
+	root, recs, err := d.reservePrice(now, req)
 	if err != nil || root == "" {
 		return recs, err
 	}
-	d.settle(root, ask.Price, ask.Price)
+	d.settle(root, req.Price, req.Price)
 	return recs, nil
 }
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -8,110 +8,117 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// Run is work under way that later callers may join. Its type belongs to the service
-// that runs it.
+// Run is work in flight that later callers may join. The service that runs the work
+// implements it.
 type Run interface {
 	// Attempt identifies the run.
 	Attempt() string
 }
 
-// TurnRun is a model call under way.
+// TurnRun is a model call in flight.
 type TurnRun struct {
 	Run  Run
 	Turn int
-	Ask  []byte
-	// Reserved is in tokens and counts against the purse until the run is finished.
+	// Ask is the digest of the caller's request.
+	Ask []byte
+	// Reserved is in tokens and counts against the tree's budget until the run finishes.
 	Reserved int64
 }
 
-// CallRun is a call that may not be repeated, under way.
+// CallRun is a call in flight that must not be repeated.
 type CallRun struct {
 	Run      Run
 	Intent   types.Intent
-	Reserved int64
-	Root     string
+	Reserved int64 // in tokens
+	// Root is the root program whose budget pays, or empty if the call has no program.
+	Root string
 }
 
-// Desk is an owner's memory. The state in it runs ahead of the log by what was handed
-// to the writer and is not confirmed yet.
+// Desk is the in-memory state of a slot's owner. State includes the records that were
+// handed to the writer and that the log has not confirmed yet.
 type Desk struct {
 	State *fold.State
-	// Incarnation is the owner's.
+	// Incarnation identifies this run of the owner's process.
 	Incarnation string
-	// Turns holds the running turn of a program: one at most.
+	// Turns holds the turn in flight of each program, by program id. There is at most one.
 	Turns map[string]*TurnRun
-	// Calls holds the running call of a key: one at most.
+	// Calls holds the call in flight of each idempotency key. There is at most one.
 	Calls map[string]*CallRun
-	// LogUp is false while the last append has failed.
+	// LogUp is false from a failed append until the next one succeeds.
 	LogUp bool
-	// Superseded is set once a continuation shows a newer claim; the slot is then given up.
+	// Superseded is set once a continuation carries a newer epoch. The owner then gives the slot up.
 	Superseded bool
 
+	// reserved is the number of tokens reserved for work in flight, by root program.
 	reserved map[string]int64
-	// confirmed is what the log is known to grant. Nothing beyond it is ever reserved.
+	// confirmed is the confirmed grant in tokens, by root program. Work is dispatched only
+	// while it covers all that is spent and reserved; see Covered.
 	confirmed map[string]int64
-	// logged is the number of turns that the log is known to hold; absent if it is not
-	// known to hold the program.
+	// logged is the number of confirmed turns by program. Programs that the log has not
+	// confirmed are absent.
 	logged map[string]int
-	// written is when an item was last appended, for snapshots.
-	written map[string]time.Time
+	// lastAppended is the time of the last append of each program and key. Snapshot uses it.
+	lastAppended map[string]time.Time
 }
 
-// New makes the memory of an owner that has just claimed the slot.
+// New returns the state of an owner that has just claimed the slot.
 func New(state *fold.State, incarnation string) *Desk {
 	d := &Desk{
 		State: state, Incarnation: incarnation, LogUp: true,
 		Turns: map[string]*TurnRun{}, Calls: map[string]*CallRun{},
 		reserved: map[string]int64{}, confirmed: map[string]int64{},
-		logged: map[string]int{}, written: map[string]time.Time{},
+		logged: map[string]int{}, lastAppended: map[string]time.Time{},
 	}
 	for id, prog := range state.Programs {
 		d.logged[id] = fold.Head(prog)
 	}
-	for root, purse := range state.Purses {
-		d.confirmed[root] = purse.Granted
+	for root, tree := range state.Purses {
+		d.confirmed[root] = tree.Granted
 	}
 	return d
 }
 
-// Confirm tells that the log holds the records.
+// Confirm marks the records as confirmed by the log.
 func (d *Desk) Confirm(now time.Time, recs []types.Record) {
 	for _, rec := range recs {
 		switch {
 		case rec.Begin != nil:
 			d.logged[rec.Begin.ID] = max(d.logged[rec.Begin.ID], 0)
-			d.grant(rec.Begin.Root, rec.Begin.Grant)
-			d.written[rec.Begin.ID] = now
+			d.confirmGrant(rec.Begin.Root, rec.Begin.Grant)
+			d.lastAppended[rec.Begin.ID] = now
 		case rec.Turn != nil:
 			d.logged[rec.Turn.Program] = max(d.logged[rec.Turn.Program], rec.Turn.Number)
 		case rec.Grant != nil:
-			d.grant(rec.Grant.Root, rec.Grant.Total)
+			d.confirmGrant(rec.Grant.Root, rec.Grant.Total)
 		case rec.Program != nil:
-			d.written[rec.Program.Begin.ID] = now
+			d.lastAppended[rec.Program.Begin.ID] = now
 		case rec.Intent != nil:
-			d.written[keyItem(rec.Intent.Key)] = now
+			d.lastAppended[keyItemID(rec.Intent.Key)] = now
 		case rec.KeyState != nil:
-			d.written[keyItem(rec.KeyState.Intent.Key)] = now
+			d.lastAppended[keyItemID(rec.KeyState.Intent.Key)] = now
 		}
 	}
 }
 
-func (d *Desk) grant(root string, total int64) {
+// confirmGrant raises the confirmed grant of a root program to total tokens; it never lowers it.
+func (d *Desk) confirmGrant(root string, total int64) {
 	d.confirmed[root] = max(d.confirmed[root], total)
 }
 
-func keyItem(key string) string {
+// keyItemID returns the lastAppended key of an idempotency key.
+func keyItemID(key string) string {
 	return "key " + key
 }
 
-// Logged returns how many turns of the program the log holds, and whether it holds the
-// program at all.
+// Logged returns the number of the program's confirmed turns, and whether the program
+// itself is confirmed.
 func (d *Desk) Logged(program string) (int, bool) {
 	n, ok := d.logged[program]
 	return n, ok
 }
 
-// Program finds a workspace's program. Another workspace's looks absent.
+// Program returns a program of the workspace. A program of another workspace is reported
+// as not found, so that its existence is not disclosed.
 func (d *Desk) Program(id, workspace string) (*types.Program, error) {
 	prog, ok := d.State.Programs[id]
 	if !ok || prog.Begin.Workspace != workspace {
--- a/gate/desk/doc.go
+++ b/gate/desk/doc.go
@@ -1,4 +1,5 @@
-// Package desk holds an owner's memory of one slot under one epoch, and its decisions:
-// which turn may run, which call may be dispatched, and what may be spent. It does no
-// input or output and reads no clock; the slot's event loop is its only user.
+// Package desk holds an owner's in-memory state of one slot during one epoch, and decides
+// which turn may run, which call may be dispatched and how many tokens may be spent. It does
+// no I/O and reads no clock. It is not safe for concurrent use: only the slot's event loop
+// may use it.
 package desk
--- a/gate/desk/op.go
+++ b/gate/desk/op.go
@@ -6,22 +6,24 @@
 	"mulleingate.dev/base/types"
 )
 
-// Op is a decision on a slot's memory. It runs alone, in the slot's event loop, and
-// returns the records that it has applied. It must not block.
+// Op reads and updates the state of a slot and returns the records that it applied. It
+// runs alone, in the slot's event loop, and must not block.
 type Op func(now time.Time, d *Desk) ([]types.Record, error)
 
-// Mode says what an operation needs of the log.
+// Mode says when the records of an operation are appended, and whether the operation is
+// accepted while the log is unavailable or the slot is being released.
 type Mode int
 
 // The modes.
 const (
-	// Lazy records wait a little for company.
+	// Lazy records are delayed shortly to be appended in a batch.
 	Lazy Mode = iota
-	// Durable records are written at once; the operation is refused while the log is away.
+	// Durable records are appended at once. The operation is refused while the log is
+	// unavailable.
 	Durable
-	// Finish ends work that was accepted: it is taken during a release and while the log
-	// is away, and its records wait for company.
+	// Finish is for completing work that was accepted. The operation is accepted during a
+	// release and while the log is unavailable; its records are batched.
 	Finish
-	// Urgent is Finish with records that are written at once.
+	// Urgent is like Finish, but its records are appended at once.
 	Urgent
 )
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -5,65 +5,69 @@
 	"mulleingate.dev/base/types"
 )
 
-// left is what may still be reserved: up to the budget, or while the log is away up to
-// what it has granted.
-func (d *Desk) left(purse *types.Purse) int64 {
-	bound := purse.Budget
+// available returns the tokens that may still be reserved: up to the budget, or up to the
+// confirmed grant while the log is unavailable.
+func (d *Desk) available(tree *types.Purse) int64 {
+	bound := tree.Budget
 	if !d.LogUp {
-		bound = min(bound, d.confirmed[purse.Root])
+		bound = min(bound, d.confirmed[tree.Root])
 	}
-	return bound - purse.Spent - d.reserved[purse.Root]
+	return bound - tree.Spent - d.reserved[tree.Root]
 }
 
-// reserve sets need aside and returns the grant that the log must hold first, if any.
-func (d *Desk) reserve(purse *types.Purse, need, chunk int64) []types.Record {
-	d.reserved[purse.Root] += need
-	used := purse.Spent + d.reserved[purse.Root]
-	if used <= purse.Granted {
+// reserve reserves need tokens. If the grant does not cover them, it returns a grant record
+// that the log must confirm before the work is dispatched.
+func (d *Desk) reserve(tree *types.Purse, need, chunk int64) []types.Record {
+	d.reserved[tree.Root] += need
+	used := tree.Spent + d.reserved[tree.Root]
+	if used <= tree.Granted {
 		return nil
 	}
-	total := min(purse.Budget, max(used, purse.Granted+chunk))
-	return d.write(types.Record{Grant: &types.Grant{Root: purse.Root, Total: total}})
+	total := min(tree.Budget, max(used, tree.Granted+chunk))
+	return d.write(types.Record{Grant: &types.Grant{Root: tree.Root, Total: total}})
 }
 
-// Covered reports whether the log is known to grant all that is reserved and spent.
+// Covered reports whether the confirmed grant of a root program covers all that is
+// reserved and spent.
 func (d *Desk) Covered(root string) bool {
-	purse, ok := d.State.Purses[root]
-	return ok && purse.Spent+d.reserved[root] <= d.confirmed[root]
+	tree, ok := d.State.Purses[root]
+	return ok && tree.Spent+d.reserved[root] <= d.confirmed[root]
 }
 
-// settle ends a reservation of which spent was used.
+// settle ends a reservation of which spent tokens were used.
 func (d *Desk) settle(root string, reserved, spent int64) {
 	d.reserved[root] -= reserved
-	if purse, ok := d.State.Purses[root]; ok {
-		purse.Spent = min(purse.Spent+spent, purse.Granted)
+	if tree, ok := d.State.Purses[root]; ok {
+		tree.Spent = min(tree.Spent+spent, tree.Granted)
 	}
 }
 
-// purse finds the purse of a program's tree.
-func (d *Desk) purse(prog *types.Program) (*types.Purse, error) {
-	purse, ok := d.State.Purses[prog.Begin.Root]
+// treeBudget returns the budget of the tree that the program belongs to.
+func (d *Desk) treeBudget(prog *types.Program) (*types.Purse, error) {
+	tree, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
-		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget is not known")
+		return nil, fault.Refuse(fault.BudgetSpent, "the budget of the program's tree is unknown")
 	}
-	return purse, nil
+	return tree, nil
 }
 
-// Spent is what the program's tree has spent, and its budget, in tokens.
+// Spent returns the tokens that the program's tree has spent and the tree's budget. Both
+// are 0 if the budget is unknown.
 func (d *Desk) Spent(prog *types.Program) (spent, budget int64) {
-	purse, ok := d.State.Purses[prog.Begin.Root]
+	tree, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
 		return 0, 0
 	}
-	return purse.Spent, purse.Budget
+	return tree.Spent, tree.Budget
 }
 
-// Settles are the records that give unspent grants back at a planned release.
+// Settles applies and returns the records that give unspent grants back at a planned
+// release. Trees with reservations are left out.
 func (d *Desk) Settles() []types.Record {
 	var recs []types.Record
-	for root, purse := range d.State.Purses {
-		if d.reserved[root] == 0 && purse.Spent < purse.Granted {
-			recs = append(recs, types.Record{Settle: &types.Settle{Root: root, Spent: purse.Spent}})
+	for root, tree := range d.State.Purses {
+		if d.reserved[root] == 0 && tree.Spent < tree.Granted {
+			recs = append(recs, types.Record{Settle: &types.Settle{Root: root, Spent: tree.Spent}})
 		}
 	}
 	return d.write(recs...)
--- a/gate/desk/purse_test.go
+++ b/gate/desk/purse_test.go
@@ -19,23 +19,25 @@
 	testRoot   = "p"
 )
 
-// ledger is the oracle: what was really charged, whatever owners believe.
+// ledger simulates the log, its owners and their crashes. It adds up the tokens really
+// charged, independently of the owners' accounts.
 type ledger struct {
 	t *rapid.T
-	// entries are in the log; pending was handed to the writer and may be lost.
+	// entries are in the log.
 	entries []types.Entry
+	// pending was handed to the writer and may be lost.
 	pending [][]types.Record
 	seq     int64
 	epoch   int64
 	desk    *Desk
 	charged int64
-	// running are dispatched or waiting calls of the present owner.
-	running []*testRun
-	n       int
-	token   types.Continuation
+	// running holds the current owner's work in flight, waiting for its grant or dispatched.
+	running      []*testRun
+	calls        int
+	continuation types.Continuation
 }
 
-// testRun is a call or the turn under way.
+// testRun is a call or a turn in flight. Exactly one of run and turn is set.
 type testRun struct {
 	run        *CallRun
 	turn       *TurnRun
@@ -51,7 +53,7 @@
 
 var testTime = time.Unix(1000, 0)
 
-// claim makes a new owner from what the log holds; what was pending is lost.
+// claim starts a new owner from the log's entries. Pending records are lost.
 func (l *ledger) claim() {
 	l.entries = append(l.entries, types.Entry{Claim: &types.Claim{Box: fmt.Sprint(len(l.entries))}})
 	l.epoch = int64(len(l.entries))
@@ -68,14 +70,14 @@
 	}
 }
 
-// begin makes the program, or brings it back from its continuation.
+// begin creates the program, or restores it from its continuation.
 func (l *ledger) begin() {
 	if _, ok := l.desk.State.Programs[testRoot]; ok {
 		return
 	}
-	if l.token.Program != "" {
-		l.token.Epoch = 0
-		recs, err := l.desk.Adopt(l.token)
+	if l.continuation.Program != "" {
+		l.continuation.Epoch = 0
+		recs, err := l.desk.Adopt(l.continuation)
 		if err != nil {
 			l.t.Fatalf("adopt: %v", err)
 		}
@@ -88,15 +90,15 @@
 		l.t.Fatalf("begin: %v", err)
 	}
 	l.write(recs)
-	l.token = l.desk.Continuation(l.desk.State.Programs[testRoot], 0)
+	l.continuation = l.desk.Continuation(l.desk.State.Programs[testRoot], 0)
 }
 
-// start reserves the price of a call, and dispatches it if the log covers it.
+// start starts a call and dispatches it if the confirmed grant covers it.
 func (l *ledger) start(price int64) {
 	l.begin()
-	l.n++
-	ask := CallAsk{Intent: types.Intent{Key: fmt.Sprint(l.n), Attempt: "a", Workspace: "one", Program: testRoot, At: testTime}, Price: price, Chunk: testChunk}
-	start, recs, err := l.desk.StartCall(testTime, ask)
+	l.calls++
+	req := CallAsk{Intent: types.Intent{Key: fmt.Sprint(l.calls), Attempt: "a", Workspace: "one", Program: testRoot, At: testTime}, Price: price, Chunk: testChunk}
+	start, recs, err := l.desk.StartCall(testTime, req)
 	if err != nil {
 		return
 	}
@@ -119,7 +121,7 @@
 	l.dispatch()
 }
 
-// rerun breaks the dispatched turn and tries it again.
+// rerun fails the dispatched turn and retries it.
 func (l *ledger) rerun() {
 	for i, r := range l.running {
 		if r.turn == nil || !r.dispatched {
@@ -164,7 +166,7 @@
 	}
 }
 
-// confirm puts what is pending into the log.
+// confirm appends the pending records to the log.
 func (l *ledger) confirm() {
 	for _, recs := range l.pending {
 		l.seq++
@@ -180,8 +182,8 @@
 	os.Exit(fixed.Main(m, "1000"))
 }
 
-// TestNoOwnerOverspends plays calls, crashes before and after the log has confirmed, and
-// programs that only their continuation remembers.
+// TestNoOwnerOverspends checks that owners never charge more than the budget across crashes
+// before and after a confirmation, including programs restored from a continuation.
 func TestNoOwnerOverspends(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &ledger{t: rt}
--- a/gate/desk/status.go
+++ b/gate/desk/status.go
@@ -2,7 +2,7 @@
 
 import "mulleingate.dev/base/types"
 
-// Describe fills in what an operator wants to know of the slot.
+// Describe fills in the slot's figures for the status report.
 func (d *Desk) Describe(st *types.SlotStatus) {
 	st.LogUp = d.LogUp
 	st.Turns, st.Calls, st.Keys = len(d.Turns), len(d.Calls), len(d.State.Keys)
@@ -11,9 +11,9 @@
 			st.Programs++
 		}
 	}
-	for _, purse := range d.State.Purses {
-		st.Budget += purse.Budget
-		st.Granted += purse.Granted
-		st.Spent += purse.Spent
+	for _, tree := range d.State.Purses {
+		st.Budget += tree.Budget
+		st.Granted += tree.Granted
+		st.Spent += tree.Spent
 	}
 }
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -7,7 +7,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// The reasons for which programs end.
+// Reasons for which programs end.
 const (
 	EndedByCaller   = "by_caller"
 	EndedByDeadline = "deadline"
@@ -18,13 +18,14 @@
 )
 
 const (
-	// keepEnded is how long an ended program still answers repeats.
-	keepEnded = 10 * time.Minute
-	// maxSnapshot bounds the records of one snapshot step.
-	maxSnapshot = 64
+	// endedRetention is how long an ended program still answers repeated requests.
+	endedRetention = 10 * time.Minute
+	// maxSnapshotRecords is the number of records after which a call of Snapshot stops. The last
+	// program added may exceed it.
+	maxSnapshotRecords = 64
 )
 
-// End closes a program and everything below it. It returns the ids that it closed.
+// End ends a program and its descendants. It returns the ids of the programs that it ended.
 func (d *Desk) End(now time.Time, id, reason string) ([]string, []types.Record) {
 	prog, ok := d.State.Programs[id]
 	if !ok || prog.Ended != "" {
@@ -36,15 +37,15 @@
 		if p.Begin.Parent != id || p.Ended != "" {
 			continue
 		}
-		below, more := d.End(now, child, EndedWithRoot)
-		ids = append(ids, below...)
-		recs = append(recs, more...)
+		endedIDs, childRecs := d.End(now, child, EndedWithRoot)
+		ids = append(ids, endedIDs...)
+		recs = append(recs, childRecs...)
 	}
 	return ids, recs
 }
 
-// Sweep ends programs that are over and forgets what is old. It returns the ids of the
-// programs that it ended.
+// Sweep ends programs that are past a limit, and drops expired keys and programs that ended
+// long ago. It returns the ids of the programs that it ended.
 func (d *Desk) Sweep(now time.Time, keepKeys time.Duration) ([]string, []types.Record) {
 	var ended []string
 	var recs []types.Record
@@ -53,7 +54,7 @@
 			d.forget(now, id, prog)
 			continue
 		}
-		reason := d.over(now, prog)
+		reason := d.endReason(now, prog)
 		if reason == "" {
 			continue
 		}
@@ -64,14 +65,14 @@
 	for key, st := range d.State.Keys {
 		if _, running := d.Calls[key]; !running && now.Sub(st.Intent.At) > keepKeys {
 			delete(d.State.Keys, key)
-			delete(d.written, keyItem(key))
+			delete(d.lastAppended, keyItemID(key))
 		}
 	}
 	return ended, recs
 }
 
-// over says why a program has to end, or "".
-func (d *Desk) over(now time.Time, prog *types.Program) string {
+// endReason returns the reason for which a program must end now, or "".
+func (d *Desk) endReason(now time.Time, prog *types.Program) string {
 	if !now.Before(prog.Begin.Deadline) {
 		return EndedByDeadline
 	}
@@ -82,8 +83,8 @@
 		return EndedByTurns
 	}
 	idle := time.Duration(prog.Begin.Limits.Idle)
-	// Its own last use is looked at first: going through sub-agents costs a look at all programs.
-	if idle > 0 && now.Sub(prog.LastAt) > idle && now.Sub(d.lastUse(prog)) > idle {
+	// The program's own LastAt is checked first, because lastActivity scans all programs.
+	if idle > 0 && now.Sub(prog.LastAt) > idle && now.Sub(d.lastActivity(prog)) > idle {
 		return EndedByIdle
 	}
 	if spent, budget := d.Spent(prog); budget > 0 && spent >= budget && d.reserved[prog.Begin.Root] == 0 {
@@ -92,8 +93,9 @@
 	return ""
 }
 
-// lastUse is when the program or any below it last did something.
-func (d *Desk) lastUse(prog *types.Program) time.Time {
+// lastActivity returns the last activity of the program and its direct sub-agents. It is in
+// the far future while one of those has a turn in flight.
+func (d *Desk) lastActivity(prog *types.Program) time.Time {
 	last := prog.LastAt
 	for id, p := range d.State.Programs {
 		if p.Begin.Parent != prog.Begin.ID {
@@ -109,8 +111,9 @@
 	return last
 }
 
+// forget drops an ended program after endedRetention.
 func (d *Desk) forget(now time.Time, id string, prog *types.Program) {
-	if now.Sub(prog.LastAt) <= keepEnded {
+	if now.Sub(prog.LastAt) <= endedRetention {
 		return
 	}
 	delete(d.State.Programs, id)
@@ -118,44 +121,45 @@
 	delete(d.logged, id)
 	delete(d.confirmed, id)
 	delete(d.reserved, id)
-	delete(d.written, id)
+	delete(d.lastAppended, id)
 }
 
-// Snapshot returns records that carry items not appended for the given age, so that the
-// log's retention never drops what is in use.
+// Snapshot returns records that copy programs and keys last appended at least age ago, so
+// that the log's retention does not drop what is in use.
 func (d *Desk) Snapshot(now time.Time, age time.Duration) []types.Record {
 	var recs []types.Record
 	for id, prog := range d.State.Programs {
-		if now.Sub(d.written[id]) < age {
+		if now.Sub(d.lastAppended[id]) < age {
 			continue
 		}
-		d.written[id] = now
-		recs = append(recs, d.carry(prog)...)
-		if len(recs) >= maxSnapshot {
+		d.lastAppended[id] = now
+		recs = append(recs, d.snapshotProgram(prog)...)
+		if len(recs) >= maxSnapshotRecords {
 			return recs
 		}
 	}
 	for key, st := range d.State.Keys {
-		if _, running := d.Calls[key]; running || now.Sub(d.written[keyItem(key)]) < age {
+		if _, running := d.Calls[key]; running || now.Sub(d.lastAppended[keyItemID(key)]) < age {
 			continue
 		}
-		d.written[keyItem(key)] = now
+		d.lastAppended[keyItemID(key)] = now
 		copied := *st
 		recs = append(recs, types.Record{KeyState: &copied})
-		if len(recs) >= maxSnapshot {
+		if len(recs) >= maxSnapshotRecords {
 			return recs
 		}
 	}
 	return recs
 }
 
-// carry is the snapshot of one program: itself, its purse, its turns in order.
-func (d *Desk) carry(prog *types.Program) []types.Record {
+// snapshotProgram returns the snapshot of a program: the program, its budget if it is a root,
+// and its turns in order.
+func (d *Desk) snapshotProgram(prog *types.Program) []types.Record {
 	snap := *prog
 	snap.Turns = nil
 	recs := []types.Record{{Program: &snap}}
-	if purse, ok := d.State.Purses[prog.Begin.ID]; ok {
-		copied := *purse
+	if tree, ok := d.State.Purses[prog.Begin.ID]; ok {
+		copied := *tree
 		recs = append(recs, types.Record{Purse: &copied})
 	}
 	for _, turn := range prog.Turns {
--- a/gate/desk/sweep_test.go
+++ b/gate/desk/sweep_test.go
@@ -11,7 +11,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// withPrograms makes a desk with n idle programs.
+// withPrograms returns a Desk with n idle programs.
 func withPrograms(tb testing.TB, n int) *Desk {
 	tb.Helper()
 	d := New(fold.New(), "i")
@@ -39,7 +39,7 @@
 		want  map[string]string
 	}{
 		{time.Second, map[string]string{"0": "", "1": "", "2": "", "c": ""}},
-		// 0 has a sub-agent that was used lately, 1 a turn under way.
+		// Program 0 has a recently active sub-agent, program 1 has a turn in flight.
 		{70 * time.Second, map[string]string{"0": "", "1": "", "2": EndedByIdle, "c": ""}},
 		{2 * time.Minute, map[string]string{"0": EndedByIdle, "1": "", "2": EndedByIdle, "c": EndedWithRoot}},
 		{time.Hour, map[string]string{"0": EndedByIdle, "1": EndedByDeadline, "c": EndedWithRoot}},
@@ -53,7 +53,7 @@
 			}
 		}
 		if step.after == time.Hour {
-			// What ended long ago is forgotten.
+			// Programs that ended long ago are dropped.
 			step.want = map[string]string{"1": EndedByDeadline}
 		}
 		if diff := cmp.Diff(step.want, got); diff != "" {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSweep shows what a look at many idle programs costs.
+// BenchmarkSweep measures a sweep over many idle programs.
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range []int{1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/gate/desk/ticket.go
+++ b/gate/desk/ticket.go
@@ -7,19 +7,20 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Ticket tells when the records of an operation are in the log.
+// Ticket reports when the log has confirmed the records of an operation. It is safe for
+// concurrent use.
 type Ticket struct {
 	once sync.Once
 	done chan struct{}
 	err  error
 }
 
-// NewTicket makes a ticket whose fate is open.
+// NewTicket returns a ticket whose result is pending.
 func NewTicket() *Ticket {
 	return &Ticket{done: make(chan struct{})}
 }
 
-// Close tells the fate of the records; only the first call counts.
+// Close sets the result: nil once the records are confirmed. Only the first call counts.
 func (t *Ticket) Close(err error) {
 	t.once.Do(func() {
 		t.err = err
@@ -27,8 +28,8 @@
 	})
 }
 
-// Wait returns nil once the records are in the log, not_owner if the slot was lost, and
-// log_unavailable if ctx ends first.
+// Wait returns nil once the log has confirmed the records, not_owner if the slot was lost,
+// and log_unavailable if ctx ends first.
 func (t *Ticket) Wait(ctx context.Context) error {
 	select {
 	case <-t.done:
@@ -39,11 +40,11 @@
 	case <-t.done:
 		return t.err
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "the log has not confirmed in time").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the records in time").Because(ctx.Err())
 	}
 }
 
-// Done is closed when the fate of the records is known.
+// Done returns a channel that is closed when the result is set.
 func (t *Ticket) Done() <-chan struct{} {
 	return t.done
 }
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -9,16 +9,17 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// BeginAsk asks for a new program.
+// BeginAsk is a request to create a program.
 type BeginAsk struct {
 	Begin types.Begin
 	// Chunk is the first grant, in tokens.
 	Chunk int64
 }
 
-// Begin creates a program or a sub-agent. A repeat of the same id changes nothing.
-func (d *Desk) Begin(now time.Time, ask BeginAsk) ([]types.Record, error) {
-	b := ask.Begin
+// Begin creates a program or a sub-agent. It changes nothing if the workspace already has a
+// program of that id.
+func (d *Desk) Begin(now time.Time, req BeginAsk) ([]types.Record, error) {
+	b := req.Begin
 	if have, ok := d.State.Programs[b.ID]; ok {
 		if have.Begin.Workspace != b.Workspace {
 			return nil, fault.Refuse(fault.NoProgram, "no such program")
@@ -27,14 +28,14 @@
 	}
 	if b.Parent == "" {
 		b.Root = b.ID
-		b.Grant = min(b.Budget, ask.Chunk)
-		return d.begun(b), nil
+		b.Grant = min(b.Budget, req.Chunk)
+		return d.writeBegin(b), nil
 	}
 	parent, err := d.Program(b.Parent, b.Workspace)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.open(now, parent); err != nil {
+	if err := d.checkOpen(now, parent); err != nil {
 		return nil, err
 	}
 	if parent.Begin.Depth+1 > parent.Begin.Limits.Depth {
@@ -50,20 +51,21 @@
 	if b.Deadline.After(parent.Begin.Deadline) {
 		b.Deadline = parent.Begin.Deadline
 	}
-	return d.begun(b), nil
+	return d.writeBegin(b), nil
 }
 
-// begun writes the program. Its first grant may be spent at once: whoever owns the slot
-// later learns of it from this record or from the continuation, and counts it as spent.
-func (d *Desk) begun(b types.Begin) []types.Record {
+// writeBegin writes the begin record. A root program may spend its first grant before the
+// log confirms it: a later owner finds the grant in this record or in the continuation and
+// counts it as spent.
+func (d *Desk) writeBegin(b types.Begin) []types.Record {
 	if b.ID == b.Root {
-		d.grant(b.Root, b.Grant)
+		d.confirmGrant(b.Root, b.Grant)
 	}
 	return d.write(types.Record{Begin: &b})
 }
 
-// open reports why a program takes no work, if so.
-func (d *Desk) open(now time.Time, prog *types.Program) error {
+// checkOpen returns an error if the program accepts no new work.
+func (d *Desk) checkOpen(now time.Time, prog *types.Program) error {
 	if prog.Ended != "" {
 		return fault.Refuse(fault.ProgramEnded, "program ended: "+prog.Ended)
 	}
@@ -76,97 +78,105 @@
 	return nil
 }
 
-// TurnAsk asks to run a turn.
+// TurnAsk is a request to run a turn.
 type TurnAsk struct {
 	Program   string
 	Workspace string
 	Turn      int
-	// Ask is a digest of what the caller sent.
+	// Ask is the digest of the caller's request.
 	Ask []byte
-	// Prompt is a bound on the prompt, in tokens; MaxTokens is what the caller allows.
-	Prompt    int64
+	// Prompt is an upper bound on the prompt, in tokens.
+	Prompt int64
+	// MaxTokens is the caller's limit on the answer.
 	MaxTokens int64
-	Chunk     int64
+	// Chunk is the smallest step by which a grant grows, in tokens, unless the budget ends it.
+	Chunk int64
 }
 
-// TurnStart is the decision on a turn: exactly one of Stored, Join and Run is set.
+// TurnStart is the decision on a turn request. Exactly one of Stored (the turn was
+// answered), Join (it is in flight) and Run (it is to be run) is set.
 type TurnStart struct {
 	Stored *types.Turn
 	Join   Run
 	Run    *TurnRun
-	// MaxTokens is cut to what is left of the budget.
+	// MaxTokens limits the answer of Run: the caller's limit, reduced to the available budget.
 	MaxTokens int64
 	Program   *types.Program
 }
 
-// StartTurn decides on a turn. The caller sets Run.Run before the loop goes on.
-func (d *Desk) StartTurn(now time.Time, ask TurnAsk) (TurnStart, []types.Record, error) {
-	prog, err := d.Program(ask.Program, ask.Workspace)
+// StartTurn decides on a turn request. If Run is set, the calling Op must set Run.Run
+// before it returns.
+func (d *Desk) StartTurn(now time.Time, req TurnAsk) (TurnStart, []types.Record, error) {
+	prog, err := d.Program(req.Program, req.Workspace)
 	if err != nil {
 		return TurnStart{}, nil, err
 	}
-	start, known, err := d.repeat(prog, ask)
+	start, known, err := d.existingTurn(prog, req)
 	if err != nil || known {
 		return start, nil, err
 	}
-	if err := d.open(now, prog); err != nil {
+	if err := d.checkOpen(now, prog); err != nil {
 		return TurnStart{}, nil, err
 	}
 	if fold.Head(prog) >= prog.Begin.Limits.Turns {
 		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").At(fold.Head(prog))
 	}
-	return d.startTurn(prog, ask)
+	return d.reserveTurn(prog, req)
 }
 
-// repeat handles all but the next turn of an idle program.
-func (d *Desk) repeat(prog *types.Program, ask TurnAsk) (TurnStart, bool, error) {
+// existingTurn answers requests for turns that are stored or in flight, and refuses those
+// that conflict with the history. It reports false for the next turn of an idle program.
+func (d *Desk) existingTurn(prog *types.Program, req TurnAsk) (TurnStart, bool, error) {
 	head := fold.Head(prog)
-	if run, ok := d.Turns[ask.Program]; ok {
-		if run.Turn == ask.Turn && bytes.Equal(run.Ask, ask.Ask) {
+	if run, ok := d.Turns[req.Program]; ok {
+		if run.Turn == req.Turn && bytes.Equal(run.Ask, req.Ask) {
 			return TurnStart{Join: run.Run, Program: prog}, true, nil
 		}
-		if ask.Turn > head {
+		if req.Turn > head {
 			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").At(head)
 		}
 	}
-	if ask.Turn >= 1 && ask.Turn <= head {
-		stored := prog.Turns[ask.Turn-1]
-		if !bytes.Equal(stored.Ask, ask.Ask) {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn was answered to another request").At(head)
+	if req.Turn >= 1 && req.Turn <= head {
+		stored := prog.Turns[req.Turn-1]
+		if !bytes.Equal(stored.Ask, req.Ask) {
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").At(head)
 		}
 		return TurnStart{Stored: &stored, Program: prog}, true, nil
 	}
-	if ask.Turn != head+1 {
-		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "not the next turn").At(head)
+	if req.Turn != head+1 {
+		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn is not the next one").At(head)
 	}
 	return TurnStart{}, false, nil
 }
 
-func (d *Desk) startTurn(prog *types.Program, ask TurnAsk) (TurnStart, []types.Record, error) {
-	purse, err := d.purse(prog)
+// reserveTurn reserves the tokens of a new turn and registers its run.
+func (d *Desk) reserveTurn(prog *types.Program, req TurnAsk) (TurnStart, []types.Record, error) {
+	tree, err := d.treeBudget(prog)
 	if err != nil {
 		return TurnStart{}, nil, err
 	}
-	maxTokens := min(ask.MaxTokens, d.left(purse)-ask.Prompt)
+	maxTokens := min(req.MaxTokens, d.available(tree)-req.Prompt)
 	if maxTokens < 1 {
-		return TurnStart{}, nil, d.poor(purse)
+		return TurnStart{}, nil, d.budgetError(tree)
 	}
-	need := ask.Prompt + maxTokens
-	recs := d.reserve(purse, need, ask.Chunk)
-	run := &TurnRun{Turn: ask.Turn, Ask: ask.Ask, Reserved: need}
-	d.Turns[ask.Program] = run
+	need := req.Prompt + maxTokens
+	recs := d.reserve(tree, need, req.Chunk)
+	run := &TurnRun{Turn: req.Turn, Ask: req.Ask, Reserved: need}
+	d.Turns[req.Program] = run
 	return TurnStart{Run: run, MaxTokens: maxTokens, Program: prog}, recs, nil
 }
 
-// poor is the refusal for want of money; while the log is away it may pass.
-func (d *Desk) poor(purse *types.Purse) error {
-	if !d.LogUp && d.confirmed[purse.Root] < purse.Budget {
-		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log gives no other now").After(time.Second)
+// budgetError returns the refusal of work that the budget does not cover. It is temporary if
+// only an unavailable log keeps the grant from growing.
+func (d *Desk) budgetError(tree *types.Purse) error {
+	if !d.LogUp && d.confirmed[tree.Root] < tree.Budget {
+		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log is unavailable").After(time.Second)
 	}
 	return fault.Refuse(fault.BudgetSpent, "the budget does not cover the call")
 }
 
-// FinishTurn ends a run with its answer; spent is what the answer cost, in tokens.
+// FinishTurn ends a run with its answer and charges spent tokens, at most the reservation.
+// An answer that comes after the program's end is charged but not stored.
 func (d *Desk) FinishTurn(program string, run *TurnRun, turn types.Turn, spent int64) ([]types.Record, error) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
@@ -184,7 +194,8 @@
 	return d.write(types.Record{Turn: &turn}), nil
 }
 
-// FailTurn ends a run without an answer; spent is what it may have cost, in tokens.
+// FailTurn ends a run without an answer and charges spent, the most tokens that it may have
+// used, up to the reservation.
 func (d *Desk) FailTurn(program string, run *TurnRun, spent int64) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
@@ -194,21 +205,22 @@
 	d.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
 }
 
-// Rerun charges a broken attempt and reserves the same again for another.
+// Rerun charges a failed attempt of a run and reserves the same number of tokens for the
+// next one. If the budget does not cover that, the run's reservation becomes 0.
 func (d *Desk) Rerun(program string, run *TurnRun, spent, chunk int64) ([]types.Record, error) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
 		return nil, fault.Fail(fault.NotOwner, "the run is not known")
 	}
-	purse, err := d.purse(prog)
+	tree, err := d.treeBudget(prog)
 	if err != nil {
 		return nil, err
 	}
 	need := run.Reserved
 	d.settle(prog.Begin.Root, need, min(spent, need))
-	if d.left(purse) < need {
+	if d.available(tree) < need {
 		run.Reserved = 0
-		return nil, d.poor(purse)
+		return nil, d.budgetError(tree)
 	}
-	return d.reserve(purse, need, chunk), nil
+	return d.reserve(tree, need, chunk), nil
 }
