--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -13,55 +13,60 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// Places says where a use of a program's data is allowed.
+// Places is the policy on where a program's data may be used, and the workspaces' fair shares.
 type Places interface {
+	// Allowed reports whether the policy allows the use of the data.
 	Allowed(in types.RuleInput) bool
+	// Share returns the weight of a workspace.
 	Share(workspace string) int
 }
 
-// Counts receives figures.
+// Counts receives metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 	Gauge(name string, v int64)
 }
 
-// Options are the ways to decide that can be compared with one another.
+// Options configure the scheduling of calls.
 type Options struct {
 	Strategy sched.Strategy
 	Order    sched.Order
-	// MaxWait is the longest expected wait at which a new program is still taken.
+	// MaxWait is the expected wait above which new programs are refused.
 	MaxWait time.Duration
-	// Starve is the wait after which a call goes before all others.
+	// Starve is the wait after which a call goes ahead of all that have waited less.
 	Starve time.Duration
-	// Holds turns holding of caches over pauses on.
+	// Holds makes engines keep a program's cache between turns where that pays.
 	Holds bool
-	Seed  uint64
+	// Seed makes random choices repeatable.
+	Seed uint64
 }
 
 const (
 	inboxSize = 1024
-	// tickEvery only bounds how late an ejection's end is seen; all else comes as a message.
-	tickEvery    = 100 * time.Millisecond
-	startLimit   = 4
-	spareLimit   = 4
-	maxQueue     = 20_000
-	slowGain     = 0.1
-	serviceGain  = 0.05
-	firstService = 200 * time.Millisecond
-	// queueShare is the queue, as a share of the batch, from which a target counts as crowded.
-	queueShare = 0.5
+	// tickInterval bounds the delay until the end of an ejection takes effect, which no message announces.
+	tickInterval       = 100 * time.Millisecond
+	initialLimit       = 4
+	limitHeadroom      = 4
+	maxQueue           = 20_000
+	slowdownGain       = 0.1
+	serviceGain        = 0.05
+	initialServiceTime = 200 * time.Millisecond
+	// overloadedQueueShare is the queue length, as a share of the batch, above which an engine
+	// counts as overloaded.
+	overloadedQueueShare = 0.5
 )
 
 type message interface{ isMessage() }
 
-type askMsg struct {
-	ask   lease.Ask
+// acquireMsg asks for a lease; the reply is sent on reply, which is buffered.
+type acquireMsg struct {
+	call  lease.Ask
 	ctx   context.Context
-	reply chan answer
+	reply chan acquireReply
 }
 
-type answer struct {
+type acquireReply struct {
 	lease *lease.Lease
 	err   error
 }
@@ -71,20 +76,23 @@
 	res   lease.Result
 }
 
-// toldMsg wraps what other services tell.
-type toldMsg struct{ m lease.Message }
+// updateMsg carries a message of another service.
+type updateMsg struct{ m lease.Message }
 
-type goneMsg struct{ req *request }
+// cancelMsg reports that the context of a queued call has ended.
+type cancelMsg struct{ req *request }
 
+// queryMsg runs a function in the event loop.
 type queryMsg struct{ run func(l *Loop) }
 
-func (askMsg) isMessage()    {}
-func (finishMsg) isMessage() {}
-func (toldMsg) isMessage()   {}
-func (goneMsg) isMessage()   {}
-func (queryMsg) isMessage()  {}
+func (acquireMsg) isMessage() {}
+func (finishMsg) isMessage()  {}
+func (updateMsg) isMessage()  {}
+func (cancelMsg) isMessage()  {}
+func (queryMsg) isMessage()   {}
 
-// Loop is the service.
+// Loop queues calls and assigns them to engines. Its methods are safe for concurrent use; the
+// event loop alone uses the fields from rng to serviceTime.
 type Loop struct {
 	zone    string
 	opts    Options
@@ -94,46 +102,48 @@
 	inbox   chan message
 	rng     *rand.Rand
 	engines map[string]*engine
-	others  map[string]map[string]int
-	queue   []*request
-	eject   *limit.Ejector
-	pauses  *sched.TurnStats
-	fair    *sched.FairShare
-	// service is the mean time that a call holds a place.
-	service time.Duration
+	// remoteStreams is the number of streams in flight by box and engine, from other boxes' heartbeats.
+	remoteStreams map[string]map[string]int
+	queue         []*request
+	ejector       *limit.Ejector
+	turnStats     *sched.TurnStats
+	fairShare     *sched.FairShare
+	// serviceTime is the moving average of the time from a lease to its finish.
+	serviceTime time.Duration
 
 	ctx  context.Context
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-// New makes the service for a box in zone.
+// New returns a Loop for a box in the availability zone.
 func New(zone string, opts Options, places Places, counts Counts, logger *slog.Logger) *Loop {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Loop{
 		ctx: ctx, stop: stop, zone: zone, opts: opts, places: places, counts: counts, logger: logger,
 		inbox: make(chan message, inboxSize), rng: rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
-		engines: map[string]*engine{}, others: map[string]map[string]int{}, eject: limit.NewEjector(),
-		pauses: sched.NewTurnStats(), fair: sched.NewFairShare(places), service: firstService, done: make(chan struct{}),
+		engines: map[string]*engine{}, remoteStreams: map[string]map[string]int{}, ejector: limit.NewEjector(),
+		turnStats: sched.NewTurnStats(), fairShare: sched.NewFairShare(places), serviceTime: initialServiceTime,
+		done: make(chan struct{}),
 	}
 }
 
-// Start begins the loop.
+// Start starts the event loop.
 func (l *Loop) Start(context.Context) error {
 	go l.run()
 	return nil
 }
 
-// Stop ends the loop.
+// Stop refuses all queued calls and stops the event loop.
 func (l *Loop) Stop(context.Context) error {
 	l.stop()
 	<-l.done
 	return nil
 }
 
-// Tell sends a message to the loop.
+// Tell sends a message to the event loop. It drops the message once the loop is stopping.
 func (l *Loop) Tell(m lease.Message) {
-	l.send(toldMsg{m: m})
+	l.send(updateMsg{m: m})
 }
 
 func (l *Loop) send(m message) {
@@ -143,10 +153,11 @@
 	}
 }
 
-// Acquire waits for a place. It refuses early what cannot be served in time.
-func (l *Loop) Acquire(ctx context.Context, ask lease.Ask) (*lease.Lease, error) {
-	reply := make(chan answer, 1)
-	l.send(askMsg{ask: ask, ctx: ctx, reply: reply})
+// Acquire waits for a lease on an engine. It refuses at once calls that cannot be served in
+// time, and returns an error once ctx ends.
+func (l *Loop) Acquire(ctx context.Context, call lease.Ask) (*lease.Lease, error) {
+	reply := make(chan acquireReply, 1)
+	l.send(acquireMsg{call: call, ctx: ctx, reply: reply})
 	select {
 	case a := <-reply:
 		return a.lease, a.err
@@ -157,7 +168,7 @@
 
 func (l *Loop) run() {
 	defer close(l.done)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -169,13 +180,13 @@
 		case <-tick.C:
 			l.counts.Gauge("admit.queue", int64(len(l.queue)))
 		}
-		l.drain()
-		l.serve()
+		l.drainInbox()
+		l.dispatch()
 	}
 }
 
-// drain takes what else is in the inbox before a decision.
-func (l *Loop) drain() {
+// drainInbox handles the messages that are waiting, so that the next decision uses them.
+func (l *Loop) drainInbox() {
 	for range inboxSize {
 		select {
 		case m := <-l.inbox:
@@ -188,14 +199,14 @@
 
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
-	case askMsg:
-		l.enter(m)
+	case acquireMsg:
+		l.enqueue(m)
 	case finishMsg:
 		l.finish(m)
-	case goneMsg:
-		l.leave(m.req)
-	case toldMsg:
-		l.told(m.m)
+	case cancelMsg:
+		l.cancel(m.req)
+	case updateMsg:
+		l.applyUpdate(m.m)
 	case queryMsg:
 		m.run(l)
 	}
@@ -203,31 +214,31 @@
 
 func (l *Loop) refuseAll() {
 	for _, req := range l.queue {
-		req.answer(answer{err: fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)})
+		req.respond(acquireReply{err: fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)})
 	}
 	l.queue = nil
 }
 
-func (l *Loop) told(m lease.Message) {
+func (l *Loop) applyUpdate(m lease.Message) {
 	switch m := m.(type) {
 	case lease.Report:
-		l.report(m)
+		l.applyReport(m)
 	case lease.Targets:
-		l.targets(m.List)
+		l.setTargets(m.List)
 	case lease.Leaving:
 		if e, ok := l.engines[m.Name]; ok {
 			e.leaving = true
 		}
 	case lease.Others:
-		l.others[m.Box] = m.Streams
+		l.remoteStreams[m.Box] = m.Streams
 	case lease.Dropped:
 		if e, ok := l.engines[m.Target]; ok {
 			delete(e.cached, m.Program)
 		}
 	case lease.Moved:
-		l.moved(m)
+		l.moveCache(m)
 	case lease.Forget:
-		l.forget(m.Programs)
+		l.forgetPrograms(m.Programs)
 	case lease.Cached:
 		if e, ok := l.engines[m.Target]; ok {
 			e.cached = m.Tokens
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -17,11 +17,11 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// everywhere allows all places but one zone.
-type everywhere struct{ not string }
+// allowExceptZone is a policy that allows everything outside of one zone.
+type allowExceptZone struct{ zone string }
 
-func (e everywhere) Allowed(in types.RuleInput) bool { return in.Zone != e.not }
-func (e everywhere) Share(string) int                { return 1 }
+func (e allowExceptZone) Allowed(in types.RuleInput) bool { return in.Zone != e.zone }
+func (e allowExceptZone) Share(string) int                { return 1 }
 
 func newLoop(t *testing.T, places Places) *Loop {
 	t.Helper()
@@ -43,7 +43,7 @@
 	return l
 }
 
-func ask(program string) lease.Ask {
+func testRequest(program string) lease.Ask {
 	return lease.Ask{
 		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, Prompt: 10, Expected: 10,
 		Work: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
@@ -52,15 +52,15 @@
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, everywhere{})
+		l := newLoop(t, allowExceptZone{})
 		defer func() { _ = l.Stop(t.Context()) }()
 		l.Tell(lease.Leaving{Name: "e1"})
-		// The lagging list and an old report do not take it back.
+		// An outdated list does not revert the engine's state.
 		l.Tell(lease.Targets{List: []types.Target{
 			{Name: "e1", Kind: types.Engine, Zone: "a", Models: []string{"m"}}, {Name: "e2", Kind: types.Engine, Zone: "a", Models: []string{"m"}},
 		}})
 		for range 4 {
-			got, err := l.Acquire(t.Context(), ask("p"))
+			got, err := l.Acquire(t.Context(), testRequest("p"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,53 +71,53 @@
 	})
 }
 
-func TestRefusalsAreEarlyAndTrue(t *testing.T) {
+func TestUnservableCallsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, everywhere{not: "a"})
+		l := newLoop(t, allowExceptZone{zone: "a"})
 		defer func() { _ = l.Stop(t.Context()) }()
-		if _, err := l.Acquire(t.Context(), ask("p")); !fault.Is(err, fault.NoPlace) {
-			t.Errorf("no allowed place: %v", err)
+		if _, err := l.Acquire(t.Context(), testRequest("p")); !fault.Is(err, fault.NoPlace) {
+			t.Errorf("zone that the policy forbids: %v, want no_place", err)
 		}
-		wide := newLoop(t, everywhere{})
-		defer func() { _ = wide.Stop(t.Context()) }()
-		model := ask("p")
-		model.Input.Model = "other"
-		if _, err := wide.Acquire(t.Context(), model); !fault.Is(err, fault.NoTarget) {
-			t.Errorf("no replica of the model: %v", err)
+		permissive := newLoop(t, allowExceptZone{})
+		defer func() { _ = permissive.Stop(t.Context()) }()
+		otherModel := testRequest("p")
+		otherModel.Input.Model = "other"
+		if _, err := permissive.Acquire(t.Context(), otherModel); !fault.Is(err, fault.NoTarget) {
+			t.Errorf("model without replicas: %v, want no_target", err)
 		}
-		// Fill both targets and the queue; then a new program and one with little time left
-		// are refused at once, with advice, and one under way waits.
+		// With both targets and the queue full, new programs and calls with a near deadline are
+		// refused at once with a retry delay.
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		for range 60 {
-			go func() { _, _ = wide.Acquire(ctx, ask("old")) }()
+			go func() { _, _ = permissive.Acquire(ctx, testRequest("old")) }()
 		}
 		synctest.Wait()
-		fresh := ask("new")
-		fresh.Fresh = true
-		began := time.Now()
-		_, err := wide.Acquire(t.Context(), fresh)
+		newProgram := testRequest("new")
+		newProgram.Fresh = true
+		started := time.Now()
+		_, err := permissive.Acquire(t.Context(), newProgram)
 		if !fault.Is(err, fault.Overloaded) || fault.From(err).RetryAfter <= 0 || !fault.From(err).NotRun {
-			t.Errorf("new program under overload: %v", err)
+			t.Errorf("new program under overload: %v, want overloaded, not run, with a retry delay", err)
 		}
-		short := ask("short")
-		short.Deadline = time.Now().Add(100 * time.Millisecond)
-		if _, err := wide.Acquire(t.Context(), short); !fault.Is(err, fault.DeadlineTooNear) {
-			t.Errorf("deadline that cannot be met: %v", err)
+		nearDeadline := testRequest("short")
+		nearDeadline.Deadline = time.Now().Add(100 * time.Millisecond)
+		if _, err := permissive.Acquire(t.Context(), nearDeadline); !fault.Is(err, fault.DeadlineTooNear) {
+			t.Errorf("deadline that cannot be met: %v, want deadline_too_near", err)
 		}
-		if took := time.Since(began); took != 0 {
-			t.Errorf("refusals took %v", took)
+		if took := time.Since(started); took != 0 {
+			t.Errorf("refusals took %v, want no wait", took)
 		}
 	})
 }
 
-func TestFailingTargetIsEjectedAndComesBack(t *testing.T) {
+func TestFailingTargetIsEjectedAndReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, everywhere{})
+		l := newLoop(t, allowExceptZone{})
 		defer func() { _ = l.Stop(t.Context()) }()
 		for i := range 24 {
 			program := strconv.Itoa(i)
-			got, err := l.Acquire(t.Context(), ask(program))
+			got, err := l.Acquire(t.Context(), testRequest(program))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -143,19 +143,19 @@
 
 func TestStarvedCallsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, everywhere{})
+		l := newLoop(t, allowExceptZone{})
 		defer func() { _ = l.Stop(t.Context()) }()
 		var busy []*lease.Lease
 		for range 8 {
-			got, err := l.Acquire(t.Context(), ask("busy"))
+			got, err := l.Acquire(t.Context(), testRequest("busy"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			busy = append(busy, got)
 		}
 		order := make(chan string, 2)
-		enter := func(name string, priority int64) {
-			a := ask(name)
+		enqueue := func(name string, priority int64) {
+			a := testRequest(name)
 			a.Work.Priority = priority
 			go func() {
 				if _, err := l.Acquire(t.Context(), a); err == nil {
@@ -164,9 +164,9 @@
 			}()
 			synctest.Wait()
 		}
-		enter("low", 0)
+		enqueue("low", 0)
 		time.Sleep(3 * time.Second)
-		enter("high", 5)
+		enqueue("high", 5)
 		busy[0].Finish(lease.Result{OK: true, Program: "busy"})
 		synctest.Wait()
 		if diff := cmp.Diff("low", <-order); diff != "" {
--- a/gate/admit/doc.go
+++ b/gate/admit/doc.go
@@ -1,3 +1,4 @@
-// Package admit decides which model call runs next and where. One event loop holds the
-// queue, the limits and what is believed of the engines; everything else sends it messages.
+// Package admit queues model calls and decides which call runs next, and on which engine. One
+// event loop owns the queue, the limits and the estimated state of the engines; other
+// goroutines send it messages.
 package admit
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -10,72 +10,79 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// engine is what is believed of one engine.
+// engine is the estimated state of one engine. It is owned by the event loop.
 type engine struct {
 	target types.Target
 	load   types.LoadReport
-	// heard is when the last report came; zero before the first.
-	heard    time.Time
-	mine     int
-	mineThen int
-	// minePolled is mine at the last poll.
-	minePolled int
-	limit      *limit.Adaptive
-	leaving    bool
-	// slow is observed over promised step time, at least 1.
-	slow float64
-	// cached is the believed prefix by program, in tokens.
+	// reportedAt is when the last report arrived; zero before the first.
+	reportedAt time.Time
+	// inFlight is the number of this box's calls at the engine.
+	inFlight int
+	// inFlightAtReport is inFlight when the engine made its last report, estimated as its value
+	// at the poll before.
+	inFlightAtReport int
+	// inFlightAtPoll is inFlight at the last poll.
+	inFlightAtPoll int
+	limit          *limit.Adaptive
+	// leaving says that the engine takes no new calls.
+	leaving bool
+	// slowdown is the observed step time relative to the reported one, at least 1.
+	slowdown float64
+	// cached is the estimated length of the cached prefix by program, in tokens.
 	cached map[string]int
 }
 
-// staleReport is the age from which a report says nothing of load any more.
-const staleReport = 5 * time.Second
+// maxReportAge is the age from which the load in a report is ignored.
+const maxReportAge = 5 * time.Second
 
-func (l *Loop) targets(list []types.Target) {
-	seen := map[string]bool{}
+// setTargets replaces the list of engines. An engine that is no longer listed is removed
+// if it has no calls of this box in flight, and marked as leaving otherwise.
+func (l *Loop) setTargets(list []types.Target) {
+	listed := map[string]bool{}
 	for _, t := range list {
 		if t.Kind != types.Engine {
 			continue
 		}
-		seen[t.Name] = true
+		listed[t.Name] = true
 		e, ok := l.engines[t.Name]
 		if !ok {
 			e = &engine{
-				slow: 1, cached: map[string]int{}, limit: limit.NewAdaptive(startLimit, 1, startLimit),
-				load: types.LoadReport{MaxBatch: startLimit, PrefillRate: 10_000, StepTime: types.Duration(10 * time.Millisecond), Models: t.Models},
+				slowdown: 1, cached: map[string]int{}, limit: limit.NewAdaptive(initialLimit, 1, initialLimit),
+				load: types.LoadReport{MaxBatch: initialLimit, PrefillRate: 10_000, StepTime: types.Duration(10 * time.Millisecond), Models: t.Models},
 			}
 			l.engines[t.Name] = e
 		}
-		// What an engine said of itself is not taken back by a lagging list.
+		// The list may lag behind the engine's own report that it is leaving.
 		leaving := t.Leaving || (e.leaving && e.target.Addr == t.Addr)
 		e.target = t
 		e.leaving = leaving
 	}
 	for name, e := range l.engines {
-		if !seen[name] && e.mine == 0 {
+		if !listed[name] && e.inFlight == 0 {
 			delete(l.engines, name)
-		} else if !seen[name] {
+		} else if !listed[name] {
 			e.leaving = true
 		}
 	}
 }
 
-func (l *Loop) report(m lease.Report) {
+// applyReport updates an engine from its load report and cache events.
+func (l *Loop) applyReport(m lease.Report) {
 	e, ok := l.engines[m.Load.Name]
 	if !ok {
 		return
 	}
 	fresh := m.Load.At.After(e.load.At)
 	e.load = m.Load
-	e.heard = time.Now()
-	// The report was made somewhere between the poll before and this one.
+	e.reportedAt = time.Now()
+	// A new report was made between the previous poll and this one.
 	if fresh {
-		e.mineThen = e.minePolled
+		e.inFlightAtReport = e.inFlightAtPoll
 	}
-	e.minePolled = e.mine
+	e.inFlightAtPoll = e.inFlight
 	e.leaving = e.leaving || m.Load.Leaving
-	e.limit.Max = float64(max(1, m.Load.MaxBatch+spareLimit))
-	if fresh && float64(m.Load.Queued) > queueShare*float64(m.Load.MaxBatch) {
+	e.limit.Max = float64(max(1, m.Load.MaxBatch+limitHeadroom))
+	if fresh && float64(m.Load.Queued) > overloadedQueueShare*float64(m.Load.MaxBatch) {
 		e.limit.Crowded()
 	}
 	for _, ev := range m.Events {
@@ -87,18 +94,20 @@
 	}
 }
 
-func (l *Loop) forget(programs []string) {
+// forgetPrograms drops the cache estimates and turn statistics of programs.
+func (l *Loop) forgetPrograms(programs []string) {
 	for _, e := range l.engines {
 		for _, id := range programs {
 			delete(e.cached, id)
 		}
 	}
 	for _, id := range programs {
-		l.pauses.ProgramEnded(id)
+		l.turnStats.ProgramEnded(id)
 	}
 }
 
-func (l *Loop) moved(m lease.Moved) {
+// moveCache records that a program's cache was moved to another engine.
+func (l *Loop) moveCache(m lease.Moved) {
 	from, okFrom := l.engines[m.From]
 	to, okTo := l.engines[m.To]
 	if okFrom && okTo {
@@ -107,20 +116,20 @@
 	}
 }
 
-// usable reports whether the engine may take the call, apart from limits.
-func (l *Loop) usable(e *engine, ask lease.Ask) bool {
-	if e.leaving || slices.Contains(ask.Avoid, e.target.Name) {
+// usable reports whether the engine may take the call, apart from limits and ejection.
+func (l *Loop) usable(e *engine, call lease.Ask) bool {
+	if e.leaving || slices.Contains(call.Avoid, e.target.Name) {
 		return false
 	}
-	if !slices.Contains(e.load.Models, ask.Input.Model) {
+	if !slices.Contains(e.load.Models, call.Input.Model) {
 		return false
 	}
-	return l.placed(e, ask)
+	return l.permitted(e, call)
 }
 
-// placed reports whether the policy allows the engine to run the call and hold its cache.
-func (l *Loop) placed(e *engine, ask lease.Ask) bool {
-	in := ask.Input
+// permitted reports whether the policy allows the engine to run the call and hold its cache.
+func (l *Loop) permitted(e *engine, call lease.Ask) bool {
+	in := call.Input
 	in.Zone = e.target.Zone
 	in.Target = e.target.Name
 	in.Use = "run"
@@ -131,84 +140,91 @@
 	return l.places.Allowed(in)
 }
 
-// allowed counts the engines that the policy allows, and those that can be used.
-func (l *Loop) allowed(ask lease.Ask) (places, live int) {
+// countEngines returns the number of engines that the policy allows and of those that are usable.
+func (l *Loop) countEngines(call lease.Ask) (permitted, usable int) {
 	for _, e := range l.engines {
-		if l.placed(e, ask) {
-			places++
+		if l.permitted(e, call) {
+			permitted++
 		}
-		if l.usable(e, ask) {
-			live++
+		if l.usable(e, call) {
+			usable++
 		}
 	}
-	return places, live
+	return permitted, usable
 }
 
-// backlog is the time for which the engine has work queued beyond its batch.
+// backlog estimates the time that the engine needs for the work beyond its batch. It is 0 if
+// the last report is too old.
 func (e *engine) backlog() time.Duration {
 	c := e.candidate(0, false)
-	over := c.Load() - c.MaxBatch
-	if over <= 0 || time.Since(e.heard) > staleReport {
+	excess := c.Load() - c.MaxBatch
+	if excess <= 0 || time.Since(e.reportedAt) > maxReportAge {
 		return 0
 	}
 	perSlot := float64(e.load.OutputTokens) / float64(max(1, e.load.Running+e.load.Queued))
-	return time.Duration(float64(over) / float64(c.MaxBatch) * perSlot * float64(c.Step) * c.Slowdown)
+	return time.Duration(float64(excess) / float64(c.MaxBatch) * perSlot * float64(c.Step) * c.Slowdown)
 }
 
-func (e *engine) candidate(others int, far bool) sched.Candidate {
+// candidate describes the engine for a placement decision. An old report counts as no load.
+func (e *engine) candidate(othersInFlight int, otherZone bool) sched.Candidate {
 	c := sched.Candidate{
 		Name: e.target.Name, MaxBatch: max(1, e.load.MaxBatch), PrefillRate: max(1, e.load.PrefillRate),
 		Step: time.Duration(e.load.StepTime), CacheUsed: e.load.CacheUsed, CacheSize: e.load.CacheSize,
-		InFlight: e.mine, OthersInFlight: others, Slowdown: e.slow, OtherZone: far, HasRoom: e.mine < max(1, e.limit.Limit()),
+		InFlight: e.inFlight, OthersInFlight: othersInFlight, Slowdown: e.slowdown, OtherZone: otherZone,
+		HasRoom: e.inFlight < max(1, e.limit.Limit()),
 	}
-	if time.Since(e.heard) < staleReport {
-		c.Running, c.Queued, c.InFlightAtReport = e.load.Running, e.load.Queued, e.mineThen
+	if time.Since(e.reportedAt) < maxReportAge {
+		c.Running, c.Queued, c.InFlightAtReport = e.load.Running, e.load.Queued, e.inFlightAtReport
 		c.PrefillTokens, c.OutputTokens = e.load.PrefillTokens, e.load.OutputTokens
 	}
 	return c
 }
 
-// place tries to give the call a target now.
+// place grants the call a lease on an engine, or returns nil if no engine can take it now.
 func (l *Loop) place(now time.Time, req *request) *lease.Lease {
 	var cands []sched.Candidate
 	var engines []*engine
-	for _, e := range l.sorted() {
-		if !l.usable(e, req.ask) || l.eject.Ejected(now, e.target.Name) {
+	for _, e := range l.sortedEngines() {
+		if !l.usable(e, req.call) || l.ejector.Ejected(now, e.target.Name) {
 			continue
 		}
-		c := e.candidate(l.elsewhere(e.target.Name), e.target.Zone != l.zone)
-		c.CachedTokens = min(e.cached[req.ask.Program], req.ask.Prompt)
+		c := e.candidate(l.othersInFlight(e.target.Name), e.target.Zone != l.zone)
+		c.CachedTokens = min(e.cached[req.call.Program], req.call.Prompt)
 		cands = append(cands, c)
 		engines = append(engines, e)
 	}
-	expected := l.pauses.AnswerLength(req.ask.Input.Kind, req.ask.Expected)
-	ask := sched.PlacementRequest{Program: req.ask.Program, PromptTokens: req.ask.Prompt, ExpectedTokens: expected}
-	i, weighed := sched.Pick(l.opts.Strategy, ask, cands, l.rng)
+	expected := l.turnStats.AnswerLength(req.call.Input.Kind, req.call.Expected)
+	placement := sched.PlacementRequest{
+		Program: req.call.Program, PromptTokens: req.call.Prompt, ExpectedTokens: expected,
+	}
+	i, weighed := sched.Pick(l.opts.Strategy, placement, cands, l.rng)
 	if i < 0 {
 		return nil
 	}
 	e := engines[i]
-	e.mine++
-	tokens := req.ask.Prompt - cands[i].CachedTokens + expected
-	l.fair.Charge(req.ask.Input.Workspace, int64(tokens))
-	place := &lease.Lease{
+	e.inFlight++
+	tokens := req.call.Prompt - cands[i].CachedTokens + expected
+	l.fairShare.Charge(req.call.Input.Workspace, int64(tokens))
+	granted := &lease.Lease{
 		Target: e.target, Cached: cands[i].CachedTokens, Weighed: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
 		Started: now, Give: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
 	}
-	again := l.pauses.TurnStarted(now, req.ask.Program, req.ask.Input.Kind)
+	next := l.turnStats.TurnStarted(now, req.call.Program, req.call.Input.Kind)
 	if l.opts.Holds {
-		place.Hold = l.hold(req.ask, cands[i], again)
+		granted.Hold = l.shouldHold(req.call, cands[i], next)
 	}
-	return place
+	return granted
 }
 
-func (l *Loop) hold(ask lease.Ask, c sched.Candidate, next sched.NextTurn) bool {
-	weight := 1 + float64(ask.Input.Turn)/10
-	return sched.ShouldHold(sched.HoldRequest{Tokens: ask.Prompt + ask.Expected, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
+// shouldHold reports whether the engine should keep the cache of the call's program until
+// the next turn.
+func (l *Loop) shouldHold(call lease.Ask, c sched.Candidate, next sched.NextTurn) bool {
+	weight := 1 + float64(call.Input.Turn)/10
+	return sched.ShouldHold(sched.HoldRequest{Tokens: call.Prompt + call.Expected, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
-// sorted lists the engines by name, so that a seed gives the same choices again.
-func (l *Loop) sorted() []*engine {
+// sortedEngines returns the engines by name, so that a seed always gives the same choices.
+func (l *Loop) sortedEngines() []*engine {
 	out := make([]*engine, 0, len(l.engines))
 	for _, e := range l.engines {
 		out = append(out, e)
@@ -222,49 +238,50 @@
 	return out
 }
 
-// elsewhere sums up what other boxes have under way at the target.
-func (l *Loop) elsewhere(target string) int {
+// othersInFlight returns the number of other boxes' streams in flight at the target.
+func (l *Loop) othersInFlight(target string) int {
 	n := 0
-	for _, streams := range l.others {
+	for _, streams := range l.remoteStreams {
 		n += streams[target]
 	}
 	return n
 }
 
+// finish ends a lease and updates the engine's limit, ejection and cache estimate from its result.
 func (l *Loop) finish(m finishMsg) {
 	now := time.Now()
 	name := m.lease.Target.Name
-	l.pauses.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
+	l.turnStats.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
 	e, ok := l.engines[name]
 	if !ok {
 		return
 	}
-	e.mine--
+	e.inFlight--
 	if m.res.Refused {
 		e.limit.Crowded()
 		return
 	}
 	if !m.res.OK {
-		if l.eject.Bad(now, name, len(l.engines)) {
+		if l.ejector.Bad(now, name, len(l.engines)) {
 			l.counts.Count("admit.ejections", 1)
 			l.logger.Warn("admit: target ejected", "target", name)
 		}
 		return
 	}
-	l.eject.Good(name)
+	l.ejector.Good(name)
 	e.cached[m.res.Program] = m.res.Usage.PromptTokens + m.res.Usage.CompletionTokens
-	e.learn(m.res)
+	e.observe(m.res)
 	held := now.Sub(m.lease.Started)
-	l.service += time.Duration(serviceGain * float64(held-l.service))
+	l.serviceTime += time.Duration(serviceGain * float64(held-l.serviceTime))
 }
 
-// learn adapts speed and limit to what the answer showed.
-func (e *engine) learn(res lease.Result) {
-	promised := float64(e.load.StepTime)
-	if promised > 0 && res.Usage.CompletionTokens > 1 {
+// observe adapts the engine's slowdown and concurrency limit to a completed answer.
+func (e *engine) observe(res lease.Result) {
+	reported := float64(e.load.StepTime)
+	if reported > 0 && res.Usage.CompletionTokens > 1 {
 		load := float64(min(e.candidate(0, false).Load(), e.load.MaxBatch))
-		seen := float64(res.PerToken) / (promised * (1 + 0.03*load))
-		e.slow = max(1, e.slow+slowGain*(seen-e.slow))
+		observed := float64(res.PerToken) / (reported * (1 + 0.03*load))
+		e.slowdown = max(1, e.slowdown+slowdownGain*(observed-e.slowdown))
 	}
 	if e.load.Queued == 0 {
 		e.limit.Good()
--- a/gate/admit/query.go
+++ b/gate/admit/query.go
@@ -8,34 +8,34 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// Status lists the engines.
+// Status returns the status of every engine, by name.
 func (l *Loop) Status() []types.EngineStatus {
 	var out []types.EngineStatus
 	l.query(func(l *Loop) {
 		now := time.Now()
-		for _, e := range l.sorted() {
+		for _, e := range l.sortedEngines() {
 			out = append(out, types.EngineStatus{
-				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: l.eject.Ejected(now, e.target.Name),
-				Mine: e.mine, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slow: e.slow,
-				Cached: len(e.cached), Age: now.Sub(e.heard),
+				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: l.ejector.Ejected(now, e.target.Name),
+				Mine: e.inFlight, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slow: e.slowdown,
+				Cached: len(e.cached), Age: now.Sub(e.reportedAt),
 			})
 		}
 	})
 	return out
 }
 
-// Mine returns this box's streams under way by target.
+// Mine returns the number of this box's streams in flight by target.
 func (l *Loop) Mine() map[string]int {
 	out := map[string]int{}
 	l.query(func(l *Loop) {
 		for name, e := range l.engines {
-			out[name] = e.mine
+			out[name] = e.inFlight
 		}
 	})
 	return out
 }
 
-// Leaving lists the engines that are known to leave.
+// Leaving returns the names of the engines that take no new work, sorted.
 func (l *Loop) Leaving() []string {
 	var out []string
 	l.query(func(l *Loop) {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// Holders returns which engines are believed to cache which programs.
+// Holders returns the programs that each engine is estimated to cache, by engine.
 func (l *Loop) Holders() map[string][]string {
 	out := map[string][]string{}
 	l.query(func(l *Loop) {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// HoldersOf returns the engines believed to cache a program.
+// HoldersOf returns the engines that are estimated to cache the program.
 func (l *Loop) HoldersOf(program string) []string {
 	var out []string
 	l.query(func(l *Loop) {
@@ -75,6 +75,8 @@
 	return out
 }
 
+// query runs a function in the event loop and waits for it. The function does not run if
+// the loop has stopped.
 func (l *Loop) query(run func(l *Loop)) {
 	done := make(chan struct{})
 	l.send(queryMsg{run: func(l *Loop) {
@@ -87,12 +89,12 @@
 	}
 }
 
-// Refuge finds the usable engine with the most free cache, for a prefix that has to move.
-func (l *Loop) Refuge(ask lease.Ask) (types.Target, bool) {
+// Refuge returns the usable engine with the most free cache, to which a cache can be moved.
+func (l *Loop) Refuge(call lease.Ask) (types.Target, bool) {
 	var best *engine
 	l.query(func(l *Loop) {
-		for _, e := range l.sorted() {
-			if l.usable(e, ask) && (best == nil || e.free() > best.free()) {
+		for _, e := range l.sortedEngines() {
+			if l.usable(e, call) && (best == nil || e.freeCache() > best.freeCache()) {
 				best = e
 			}
 		}
@@ -103,6 +105,7 @@
 	return best.target, true
 }
 
-func (e *engine) free() int64 {
+// freeCache returns the engine's unused cache as last reported.
+func (e *engine) freeCache() int64 {
 	return e.load.CacheSize - e.load.CacheUsed
 }
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -14,51 +14,55 @@
 
 // request is a call in the queue.
 type request struct {
-	ask     lease.Ask
+	call    lease.Ask
 	rank    int64
 	arrived time.Time
-	reply   chan answer
-	stop    func() bool
-	done    bool
+	reply   chan acquireReply
+	// stop stops watching the caller's context.
+	stop func() bool
+	// replied is set once the reply is sent.
+	replied bool
 }
 
-func (r *request) answer(a answer) {
-	if r.done {
+// respond sends the reply, unless one was sent.
+func (r *request) respond(a acquireReply) {
+	if r.replied {
 		return
 	}
-	r.done = true
+	r.replied = true
 	r.stop()
 	r.reply <- a
 }
 
-func (l *Loop) enter(m askMsg) {
+// enqueue queues a call or refuses it at once.
+func (l *Loop) enqueue(m acquireMsg) {
 	now := time.Now()
-	if err := l.early(now, m.ask); err != nil {
+	if err := l.checkAdmission(now, m.call); err != nil {
 		l.counts.Count("admit.refused", 1)
-		m.reply <- answer{err: err}
+		m.reply <- acquireReply{err: err}
 		return
 	}
-	req := &request{ask: m.ask, rank: sched.Rank(l.opts.Order, m.ask.Work), arrived: now, reply: m.reply}
-	req.stop = context.AfterFunc(m.ctx, func() { l.send(goneMsg{req: req}) })
+	req := &request{call: m.call, rank: sched.Rank(l.opts.Order, m.call.Work), arrived: now, reply: m.reply}
+	req.stop = context.AfterFunc(m.ctx, func() { l.send(cancelMsg{req: req}) })
 	l.queue = append(l.queue, req)
 }
 
-// early refuses what has no allowed target, and what would wait too long.
-func (l *Loop) early(now time.Time, ask lease.Ask) error {
-	places, live := l.allowed(ask)
-	if places == 0 && len(l.engines) > 0 {
+// checkAdmission refuses calls that have no usable engine or would wait too long.
+func (l *Loop) checkAdmission(now time.Time, call lease.Ask) error {
+	permitted, usable := l.countEngines(call)
+	if permitted == 0 && len(l.engines) > 0 {
 		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
 	}
-	if live == 0 {
-		return fault.Refuse(fault.NoTarget, "no allowed target serves the model now").After(time.Second)
+	if usable == 0 {
+		return fault.Refuse(fault.NoTarget, "no allowed target currently serves the model").After(time.Second)
 	}
 	if len(l.queue) >= maxQueue {
 		return fault.Refuse(fault.Overloaded, "the queue is full").After(time.Second)
 	}
-	decision, after := l.waiting(ask).Decide(now, ask.Deadline, ask.Fresh, l.opts.MaxWait)
+	decision, after := l.queueFor(call).Decide(now, call.Deadline, call.Fresh, l.opts.MaxWait)
 	switch decision {
 	case sched.RejectNewProgram:
-		return fault.Refuse(fault.Overloaded, "no new programs are taken now").After(after)
+		return fault.Refuse(fault.Overloaded, "no new programs are accepted under the current load").After(after)
 	case sched.RejectLate:
 		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").After(after)
 	default:
@@ -66,17 +70,17 @@
 	}
 }
 
-// waiting is the queue as a call finds it that enters now.
-func (l *Loop) waiting(ask lease.Ask) sched.Queue {
-	q := sched.Queue{ServiceTime: l.service, Backlog: time.Duration(math.MaxInt64)}
+// queueFor returns the state of the queue as the call would find it on arrival.
+func (l *Loop) queueFor(call lease.Ask) sched.Queue {
+	q := sched.Queue{ServiceTime: l.serviceTime, Backlog: time.Duration(math.MaxInt64)}
 	for _, e := range l.engines {
-		if !l.usable(e, ask) {
+		if !l.usable(e, call) {
 			continue
 		}
 		q.Slots += max(1, e.limit.Limit())
 		q.Backlog = min(q.Backlog, e.backlog())
 	}
-	rank := sched.Rank(l.opts.Order, ask.Work)
+	rank := sched.Rank(l.opts.Order, call.Work)
 	for _, req := range l.queue {
 		if req.rank >= rank {
 			q.Ahead++
@@ -85,53 +89,53 @@
 	return q
 }
 
-// leave takes a call out whose caller has gone or whose time is up.
-func (l *Loop) leave(req *request) {
+// cancel removes a call whose caller has gone or whose time is up from the queue.
+func (l *Loop) cancel(req *request) {
 	if i := slices.Index(l.queue, req); i >= 0 {
 		l.queue = slices.Delete(l.queue, i, i+1)
 		l.counts.Count("admit.timed_out", 1)
 	}
-	req.answer(answer{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").After(l.service)})
+	req.respond(acquireReply{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").After(l.serviceTime)})
 }
 
-// serve places what can be placed, in order.
-func (l *Loop) serve() {
+// dispatch places as many queued calls as it can, in order.
+func (l *Loop) dispatch() {
 	if len(l.queue) == 0 {
 		return
 	}
 	now := time.Now()
 	l.sortQueue(now)
-	left := l.queue[:0]
-	full := 0
+	remaining := l.queue[:0]
+	failed := 0
 	for i, req := range l.queue {
-		if full > maxMisses {
-			left = append(left, l.queue[i:]...)
+		if failed > maxFailedPlacements {
+			remaining = append(remaining, l.queue[i:]...)
 			break
 		}
-		given := l.place(now, req)
-		if given == nil {
-			full++
-			left = append(left, req)
+		granted := l.place(now, req)
+		if granted == nil {
+			failed++
+			remaining = append(remaining, req)
 			continue
 		}
-		l.counts.Time("admit.wait", given.Waited)
-		req.answer(answer{lease: given})
+		l.counts.Time("admit.wait", granted.Waited)
+		req.respond(acquireReply{lease: granted})
 	}
-	clear(l.queue[len(left):])
-	l.queue = left
+	clear(l.queue[len(remaining):])
+	l.queue = remaining
 }
 
-// maxMisses bounds the calls looked at in vain in one round.
-const maxMisses = 32
+// maxFailedPlacements bounds the calls in one pass over the queue that no engine can take.
+const maxFailedPlacements = 32
 
-// sortQueue puts starved calls first, then goes by priority, the workspaces' fair shares and rank.
+// sortQueue orders the queue: starved calls first, then by priority, fair share and rank.
 func (l *Loop) sortQueue(now time.Time) {
 	sort.SliceStable(l.queue, func(i, j int) bool {
-		return sched.Before(now, l.opts.Starve, l.seat(l.queue[i]), l.seat(l.queue[j]))
+		return sched.Before(now, l.opts.Starve, l.waitingCall(l.queue[i]), l.waitingCall(l.queue[j]))
 	})
 }
 
-// seat is what orders a request.
-func (l *Loop) seat(r *request) sched.WaitingCall {
-	return sched.WaitingCall{Arrived: r.arrived, Priority: r.ask.Work.Priority, Served: l.fair.Level(r.ask.Input.Workspace), Rank: r.rank}
+// waitingCall returns the properties of a request that determine its order.
+func (l *Loop) waitingCall(r *request) sched.WaitingCall {
+	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Work.Priority, Served: l.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
 }
