--- a/gate/front/doc.go
+++ b/gate/front/doc.go
@@ -1,3 +1,4 @@
-// Package front serves callers over HTTP. It authenticates, finds the box that owns the
-// program or key, and runs the request there or forwards it, streaming the answer through.
+// Package front serves the HTTP API. It authenticates a request, finds the box that owns the
+// program or idempotency key, and runs the request here or forwards it to that box and streams
+// the response back.
 package front
--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -19,118 +19,121 @@
 const (
 	maxHops    = 3
 	copyBuffer = 16 << 10
-	// watchEvery is how often a forward looks whether the other box still answers others.
-	watchEvery = 200 * time.Millisecond
-	// The search for an owner waits this long between tries, longer each time.
-	firstPause = 25 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
+	// livenessInterval is the time between checks that the box of a forwarded request is live.
+	livenessInterval = 200 * time.Millisecond
+	// The pause between attempts to reach the owner doubles from minRetryPause to maxRetryPause.
+	minRetryPause = 25 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 )
 
-// onOwner runs local if this box owns the slot, and forwards to the owner otherwise. It
-// searches again, for a set time, while ownership moves. Every request that comes here is
-// joined or answered from memory when it is repeated, so a lost answer is asked for again.
-func (f *Front) onOwner(c *call, slot ident.Slot, path string, local func() error) error {
+// runOnOwner runs local if this box owns the slot, and forwards the request to path at the
+// owner otherwise. It retries for at most Options.OwnerWait while ownership moves or the owner
+// is unreachable. Retrying after a lost response is safe, because the owner joins a repeated
+// request to the first one or repeats its answer.
+func (f *Front) runOnOwner(c *call, slot ident.Slot, path string, local func() error) error {
 	ctx, stop := context.WithTimeout(c.r.Context(), f.opts.OwnerWait)
 	defer stop()
-	var find search
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		err := f.once(c, slot, path, local, &find)
+	var search ownerSearch
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
+		err := f.tryOwner(c, slot, path, local, &search)
 		if err == nil {
 			return nil
 		}
 		p := fault.From(err)
-		if !find.again(c, p) {
-			return find.settled(p)
+		if !search.retryable(c, p) {
+			return search.finalError(p)
 		}
 		select {
 		case <-ctx.Done():
-			return find.settled(p)
+			return search.finalError(p)
 		case <-time.After(pause):
 		}
 	}
 }
 
-// once tries the box that seems to own the slot now.
-func (f *Front) once(c *call, slot ident.Slot, path string, local func() error, find *search) error {
-	member, here, err := f.owners.Locate(slot)
-	find.here = here
+// tryOwner makes one attempt at the box that owns the slot as far as this box knows.
+func (f *Front) tryOwner(c *call, slot ident.Slot, path string, local func() error, search *ownerSearch) error {
+	member, isLocal, err := f.owners.Locate(slot)
+	search.local = isLocal
 	if err != nil {
 		return err
 	}
-	if here {
+	if isLocal {
 		return local()
 	}
 	return f.forward(c, member, path)
 }
 
-// search is what a request has met on its way to the owner.
-type search struct {
-	// here says that the last try was on this box.
-	here bool
-	// touched says that some try may have reached a target.
-	touched bool
+// ownerSearch is the state of the attempts to run a request at its owner.
+type ownerSearch struct {
+	// local says that the last attempt was on this box.
+	local bool
+	// mayHaveRun says that some attempt may have run the request.
+	mayHaveRun bool
 }
 
-// again reports whether another try may help and can do no harm.
-func (s *search) again(c *call, p *fault.Fault) bool {
+// retryable reports whether another attempt may succeed and is safe. Forwarded requests are
+// not retried; the box that received them from the caller does that.
+func (s *ownerSearch) retryable(c *call, p *fault.Fault) bool {
 	if p.NotRun {
-		return movable(p) && c.hop == 0
+		return otherBoxMayServe(p) && c.hops == 0
 	}
-	s.touched = true
-	return !s.here && p.Kind == fault.PeerLost && c.hop == 0
+	s.mayHaveRun = true
+	return !s.local && p.Kind == fault.PeerLost && c.hops == 0
 }
 
-// movable reports whether another box may take the request.
-func movable(p *fault.Fault) bool {
+// otherBoxMayServe reports whether another box, or the next owner, may serve the request.
+func otherBoxMayServe(p *fault.Fault) bool {
 	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnknown || p.Kind == fault.Stopping || p.Kind == fault.PeerLost
 }
 
-// settled is the failure as the caller sees it.
-func (s *search) settled(p *fault.Fault) error {
+// finalError returns the failure to report to the caller. It is marked as not run only if no
+// attempt may have run the request.
+func (s *ownerSearch) finalError(p *fault.Fault) error {
 	out := *p
-	out.NotRun = p.NotRun && !s.touched
+	out.NotRun = p.NotRun && !s.mayHaveRun
 	if p.Kind == fault.PeerLost || p.Kind == fault.NotOwner {
-		out.Kind, out.Detail = fault.OwnerUnknown, "the owner of the program could not be reached"
+		out.Kind, out.Detail = fault.OwnerUnknown, "the owner of the program or key could not be reached"
 		out.RetryAfter = time.Second
 	}
 	return &out
 }
 
-// forward sends the request to another box and copies the answer through.
+// forward sends the request to another box and streams the response to the caller.
 func (f *Front) forward(c *call, to types.Member, path string) error {
-	if c.hop >= maxHops {
-		return fault.Refuse(fault.NotOwner, "forwarded too often")
+	if c.hops >= maxHops {
+		return fault.Refuse(fault.NotOwner, "the request was forwarded too often")
 	}
 	ctx, stop := f.whileLive(c.r.Context(), to.Name)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, c.r.Method, f.dialer.URL(to.Peer, path), bytes.NewReader(c.body))
 	if err != nil {
-		return fault.Refuse(fault.Internal, "forward cannot be built").Because(err)
+		return fault.Refuse(fault.Internal, "the request cannot be forwarded").Because(err)
 	}
 	for _, name := range []string{"Authorization", "Content-Type", "Idempotency-Key"} {
 		if v := c.r.Header.Get(name); v != "" {
 			req.Header.Set(name, v)
 		}
 	}
-	req.Header.Set(peer.HopHeader, strconv.Itoa(c.hop+1))
+	req.Header.Set(peer.HopHeader, strconv.Itoa(c.hops+1))
 	req.Header.Set(peer.RequestHeader, c.id)
 	f.counts.Count("front.forwarded", 1)
 	resp, err := f.dialer.Do(req)
 	if err != nil {
-		return away(err)
+		return peerLost(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusBadRequest {
 		return client.Decode(resp, nil)
 	}
-	return f.copyThrough(c, resp)
+	return f.streamResponse(c, resp)
 }
 
-// whileLive is a context that ends when the box falls silent: a link that was cut shows
-// no failure by itself, and the caller would wait for its own timeout.
+// whileLive returns a context that ends when the box is no longer live. A partitioned
+// connection reports no error, so that the caller would otherwise wait for its own timeout.
 func (f *Front) whileLive(ctx context.Context, box string) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
-	go kernel.Every(ctx, watchEvery, func() {
+	go kernel.Every(ctx, livenessInterval, func() {
 		if !f.owners.Live(box) {
 			f.counts.Count("front.forwards_abandoned", 1)
 			stop()
@@ -139,19 +142,21 @@
 	return ctx, stop
 }
 
-func away(err error) error {
+// peerLost returns the error as a failure to reach the other box.
+func peerLost(err error) error {
 	p := *fault.From(err)
 	p.Kind = fault.PeerLost
 	return &p
 }
 
-// copyThrough streams the answer. A stream that breaks is asked for again: its sequence
-// then starts anew, which tells the caller to drop what it had.
-func (f *Front) copyThrough(c *call, resp *http.Response) error {
-	if !c.sent {
+// streamResponse copies the response to the caller. After a broken stream, the response of
+// the next attempt follows in the same body; its sequence numbers start again at 1, which
+// tells the caller to drop what it has received.
+func (f *Front) streamResponse(c *call, resp *http.Response) error {
+	if !c.responseStarted {
 		c.w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 		c.w.WriteHeader(resp.StatusCode)
-		c.sent = true
+		c.responseStarted = true
 	}
 	out := http.NewResponseController(c.w)
 	buf := make([]byte, copyBuffer)
@@ -167,7 +172,7 @@
 			return nil
 		}
 		if err != nil {
-			return away(fault.Fail(fault.TargetFailed, "answer broke off").Because(err))
+			return peerLost(fault.Fail(fault.TargetFailed, "the response is truncated").Because(err))
 		}
 	}
 }
--- a/gate/front/front.go
+++ b/gate/front/front.go
@@ -34,9 +34,11 @@
 
 // Owners finds the box that owns a slot.
 type Owners interface {
+	// Locate returns the owner of a slot and whether it is this box.
 	Locate(id ident.Slot) (types.Member, bool, error)
+	// Pick returns one of the slots that this box owns, the same for the same seed and slots.
 	Pick(seed string) (ident.Slot, bool)
-	// Live reports whether a box answers heartbeats.
+	// Live reports whether a box is live.
 	Live(box string) bool
 }
 
@@ -46,7 +48,7 @@
 	Do(req *http.Request) (*http.Response, error)
 }
 
-// Policies is the configuration in force.
+// Policies provides the current configuration.
 type Policies interface {
 	Workspace(token string) (types.Workspace, error)
 	Ready() error
@@ -54,26 +56,31 @@
 	Service(name string) (types.Service, error)
 	Slots() []ident.Slot
 	Defaults() types.Defaults
+	// Spend returns the policy's limit on a new program's budget, in tokens.
 	Spend(in types.RuleInput) int64
 	Allowed(in types.RuleInput) bool
 }
 
-// Counts receives figures.
+// Counts receives metrics.
 type Counts interface {
 	Count(name string, n int64)
 	Latency(name, workspace, class string, d time.Duration)
 }
 
-// Options bound what the front takes.
+// Options are the settings and limits of a Front.
 type Options struct {
-	Zone      string
+	// Zone is the availability zone of this box.
+	Zone string
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64
-	// BodyTimeout bounds how long a body may take to come.
+	// BodyTimeout bounds the time to read a request body.
 	BodyTimeout time.Duration
-	OwnerWait   time.Duration
+	// OwnerWait bounds the time in which attempts to reach the owner of a slot are repeated.
+	OwnerWait time.Duration
 }
 
-// Front is the service.
+// Front handles the HTTP requests of callers and those that other boxes forward. It is safe
+// for concurrent use.
 type Front struct {
 	opts     Options
 	programs Programs
@@ -85,11 +92,11 @@
 	logger   *slog.Logger
 
 	mu sync.Mutex
-	// stopping refuses new requests of callers; forwarded ones are still taken.
+	// stopping makes callers' new requests fail; forwarded requests are still accepted.
 	stopping bool
 }
 
-// New makes the service.
+// New returns a Front.
 func New(opts Options, programs Programs, calls Calls, owners Owners, dialer Dialer, policies Policies, counts Counts, logger *slog.Logger) *Front {
 	return &Front{
 		opts: opts, programs: programs, calls: calls, owners: owners, dialer: dialer,
@@ -97,7 +104,7 @@
 	}
 }
 
-// The routes that callers and boxes use.
+// Routes of the API, the same for callers and for other boxes.
 const (
 	PathPrograms = "/v1/programs"
 	PathProgram  = "/v1/programs/:id"
@@ -107,59 +114,63 @@
 	PathService  = "/v1/services/:service/calls"
 )
 
-// Routes lists the routes for callers.
+// Routes returns the routes for callers.
 func (f *Front) Routes() []rest.Route {
 	return f.routes(false)
 }
 
-// PeerRoutes lists the same routes for requests that other boxes forward.
+// PeerRoutes returns the same routes for requests that other boxes forward.
 func (f *Front) PeerRoutes() []rest.Route {
 	return f.routes(true)
 }
 
 func (f *Front) routes(peer bool) []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodPost, Path: PathPrograms, Handler: f.handle(peer, f.create)},
-		{Method: http.MethodGet, Path: PathProgram, Handler: f.handle(peer, f.state)},
-		{Method: http.MethodDelete, Path: PathProgram, Handler: f.handle(peer, f.end)},
-		{Method: http.MethodPost, Path: PathTurns, Handler: f.handle(peer, f.turn)},
-		{Method: http.MethodPost, Path: PathAgents, Handler: f.handle(peer, f.agent)},
+		{Method: http.MethodPost, Path: PathPrograms, Handler: f.handle(peer, f.createProgram)},
+		{Method: http.MethodGet, Path: PathProgram, Handler: f.handle(peer, f.programState)},
+		{Method: http.MethodDelete, Path: PathProgram, Handler: f.handle(peer, f.endProgram)},
+		{Method: http.MethodPost, Path: PathTurns, Handler: f.handle(peer, f.runTurn)},
+		{Method: http.MethodPost, Path: PathAgents, Handler: f.handle(peer, f.createAgent)},
 		{Method: http.MethodPost, Path: PathCalls, Handler: f.handle(peer, f.programCall)},
 		{Method: http.MethodPost, Path: PathService, Handler: f.handle(peer, f.serviceCall)},
 	}
 }
 
-// call is one request on its way.
+// call is an HTTP request in progress.
 type call struct {
 	w         http.ResponseWriter
 	r         *http.Request
 	id        string
 	workspace string
-	peer      bool
-	hop       int
-	body      []byte
-	started   time.Time
-	// sent says that part of an answer has been written.
-	sent bool
+	// peer says that another box forwarded the request.
+	peer bool
+	// hops is the number of boxes that have forwarded the request.
+	hops    int
+	body    []byte
+	started time.Time
+	// responseStarted says that the response header was written.
+	responseStarted bool
 }
 
+// handle returns a handler that authenticates a request, reads its body and runs do.
 func (f *Front) handle(peer bool, do func(c *call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &call{w: w, r: r, peer: peer, started: time.Now(), id: requestID(r, peer), hop: hop(r, peer)}
+		c := &call{w: w, r: r, peer: peer, started: time.Now(), id: requestID(r, peer), hops: hopCount(r, peer)}
 		w.Header().Set("X-Request-Id", c.id)
-		err := f.enter(c)
+		err := f.prepare(c)
 		if err == nil {
 			err = do(c)
 		}
 		if err != nil {
-			f.refuse(c, err)
+			f.writeError(c, err)
 		}
 		f.counts.Count("front.requests", 1)
 	}
 }
 
-// enter authenticates and reads the body.
-func (f *Front) enter(c *call) error {
+// prepare fails while the box cannot serve requests; otherwise it authenticates the caller and
+// reads the body.
+func (f *Front) prepare(c *call) error {
 	f.mu.Lock()
 	stopping := f.stopping && !c.peer
 	f.mu.Unlock()
@@ -169,7 +180,7 @@
 	if err := f.policies.Ready(); err != nil {
 		return err
 	}
-	workspace, err := f.policies.Workspace(bearer(c.r))
+	workspace, err := f.policies.Workspace(bearerToken(c.r))
 	if err != nil {
 		return err
 	}
@@ -178,23 +189,26 @@
 	return err
 }
 
-func (f *Front) refuse(c *call, err error) {
+// writeError reports the failure to the caller. It cuts the connection if the response has
+// started, since the status can no longer change.
+func (f *Front) writeError(c *call, err error) {
 	p := fault.From(err)
 	f.counts.Count("front.failed."+string(p.Kind), 1)
 	f.logger.Debug("front: request refused", "request", c.id, "kind", string(p.Kind), "not_run", p.NotRun, "error", err)
-	if c.sent {
+	if c.responseStarted {
 		server.Cut(c.w)
 		return
 	}
 	server.Fail(c.w, c.id, err)
 }
 
-// Start implements a service.
+// Start implements kernel.Service. It does nothing.
 func (f *Front) Start(context.Context) error {
 	return nil
 }
 
-// Stop refuses new requests of callers.
+// Stop makes new requests of callers fail. Requests in progress and forwarded requests are
+// still served.
 func (f *Front) Stop(context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -14,18 +14,18 @@
 
 const maxMessages = 10_000
 
-// create begins a program. The box that takes the call chooses the id, so that a forward
-// can be repeated.
-func (f *Front) create(c *call) error {
+// createProgram begins a program. The box that receives the caller's request chooses the id,
+// so that forwarding it again does not create a second program.
+func (f *Front) createProgram(c *call) error {
 	var body types.NewProgram
 	if err := c.decode(&body); err != nil {
 		return err
 	}
-	begin, err := f.begin(c.workspace, body)
+	begin, err := f.newBegin(c.workspace, body)
 	if err != nil {
 		return err
 	}
-	if err := f.budget(&begin, body.Budget); err != nil {
+	if err := f.setBudget(&begin, body.Budget); err != nil {
 		return err
 	}
 	begin.ID, err = f.newID(c, begin)
@@ -36,13 +36,13 @@
 	if err != nil {
 		return err
 	}
-	return f.onOwner(c, slot, PathPrograms+"?id="+begin.ID, func() error {
-		return f.answer(c, http.StatusCreated)(f.programs.Begin(c.r.Context(), begin, ""))
+	return f.runOnOwner(c, slot, PathPrograms+"?id="+begin.ID, func() error {
+		return f.writeState(c, http.StatusCreated)(f.programs.Begin(c.r.Context(), begin, ""))
 	})
 }
 
-// begin checks what both programs and sub-agents ask for.
-func (f *Front) begin(workspace string, body types.NewProgram) (types.Begin, error) {
+// newBegin validates a request for a program or a sub-agent and applies the default limits.
+func (f *Front) newBegin(workspace string, body types.NewProgram) (types.Begin, error) {
 	if _, err := f.policies.Model(body.Model); err != nil {
 		return types.Begin{}, err
 	}
@@ -57,35 +57,37 @@
 	now := time.Now()
 	begin := types.Begin{
 		Workspace: workspace, Model: body.Model, DataClass: body.DataClass, Kind: body.Kind, Created: now,
-		Deadline: now.Add(time.Duration(shortest(body.Deadline, def.Deadline))),
+		Deadline: now.Add(time.Duration(boundedDuration(body.Deadline, def.Deadline))),
 		Limits: types.Limits{
-			Turns: least(lim.Turns, def.Turns), Depth: least(lim.Depth, def.Depth),
-			FanOut: least(lim.FanOut, def.FanOut), Idle: shortest(lim.Idle, def.Idle),
+			Turns: boundedLimit(lim.Turns, def.Turns), Depth: boundedLimit(lim.Depth, def.Depth),
+			FanOut: boundedLimit(lim.FanOut, def.FanOut), Idle: boundedDuration(lim.Idle, def.Idle),
 		},
 	}
 	return begin, nil
 }
 
-// least is the caller's bound within the configured one.
-func least(asked, most int) int {
-	if asked == 0 || asked > most {
-		return most
+// boundedLimit returns the requested limit, or the configured one if none is requested or the
+// requested one is larger.
+func boundedLimit(requested, configured int) int {
+	if requested == 0 || requested > configured {
+		return configured
 	}
-	return asked
+	return requested
 }
 
-func shortest(asked, most types.Duration) types.Duration {
-	return types.Duration(least(int(asked), int(most)))
+// boundedDuration is boundedLimit for durations.
+func boundedDuration(requested, configured types.Duration) types.Duration {
+	return types.Duration(boundedLimit(int(requested), int(configured)))
 }
 
-// budget bounds a root program by the policy.
-func (f *Front) budget(begin *types.Begin, asked int64) error {
-	if asked == 0 {
+// setBudget sets a root program's budget to the requested one, limited by the policy.
+func (f *Front) setBudget(begin *types.Begin, requested int64) error {
+	if requested == 0 {
 		return fault.Refuse(fault.BadRequest, "budget is missing")
 	}
-	begin.Budget = asked
+	begin.Budget = requested
 	bound := f.policies.Spend(ruleInput(*begin))
-	begin.Budget = min(asked, bound)
+	begin.Budget = min(requested, bound)
 	if begin.Budget <= 0 {
 		return fault.Refuse(fault.BudgetSpent, "the policy gives the program no budget")
 	}
@@ -98,19 +100,20 @@
 	}
 }
 
-// newID names a slot of this box if the data may be here, else any where it may be.
+// newID returns an id in a slot whose zone the policy allows: a slot of this box if possible,
+// else one of this zone, else any. A forwarded request keeps its id.
 func (f *Front) newID(c *call, begin types.Begin) (string, error) {
 	if id := c.r.URL.Query().Get("id"); c.peer && id != "" {
 		return id, nil
 	}
-	if f.placeable(begin, f.opts.Zone) {
+	if f.allowedIn(begin, f.opts.Zone) {
 		if slot, ok := f.owners.Pick(c.id); ok {
 			return ident.NewProgram(slot), nil
 		}
 	}
 	var names []string
 	for _, slot := range f.policies.Slots() {
-		if f.placeable(begin, slot.Zone) {
+		if f.allowedIn(begin, slot.Zone) {
 			names = append(names, slot.String())
 		}
 	}
@@ -131,7 +134,8 @@
 	return ident.NewProgram(slot), nil
 }
 
-func (f *Front) placeable(begin types.Begin, zone string) bool {
+// allowedIn reports whether the policy allows the program's plaintext and checkpoints in the zone.
+func (f *Front) allowedIn(begin types.Begin, zone string) bool {
 	in := ruleInput(begin)
 	in.Zone = zone
 	in.Use = "plaintext"
@@ -142,17 +146,17 @@
 	return f.policies.Allowed(in)
 }
 
-// agent begins a sub-agent in its parent's slot.
-func (f *Front) agent(c *call) error {
+// createAgent begins a sub-agent in its parent's slot.
+func (f *Front) createAgent(c *call) error {
 	var body types.NewProgram
 	if err := c.decode(&body); err != nil {
 		return err
 	}
-	begin, err := f.begin(c.workspace, body)
+	begin, err := f.newBegin(c.workspace, body)
 	if err != nil {
 		return err
 	}
-	begin.Parent = c.path("id")
+	begin.Parent = c.pathParam("id")
 	slot, err := ident.ProgramSlot(begin.Parent)
 	if err != nil {
 		return err
@@ -162,12 +166,14 @@
 		begin.ID = id
 	}
 	path := PathPrograms + "/" + begin.Parent + "/agents?id=" + begin.ID
-	return f.onOwner(c, slot, path, func() error {
-		return f.answer(c, http.StatusCreated)(f.programs.Begin(c.r.Context(), begin, body.Continuation))
+	return f.runOnOwner(c, slot, path, func() error {
+		return f.writeState(c, http.StatusCreated)(f.programs.Begin(c.r.Context(), begin, body.Continuation))
 	})
 }
 
-func (f *Front) answer(c *call, status int) func(body types.ProgramState, err error) error {
+// writeState returns a function that writes a program's state as the response, unless it is
+// given an error.
+func (f *Front) writeState(c *call, status int) func(body types.ProgramState, err error) error {
 	return func(body types.ProgramState, err error) error {
 		if err != nil {
 			return err
@@ -177,30 +183,30 @@
 	}
 }
 
-func (f *Front) state(c *call) error {
-	id := c.path("id")
+func (f *Front) programState(c *call) error {
+	id := c.pathParam("id")
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
 		return err
 	}
 	token := c.r.URL.Query().Get("continuation")
-	return f.onOwner(c, slot, c.r.URL.RequestURI(), func() error {
-		return f.answer(c, http.StatusOK)(f.programs.State(c.r.Context(), c.workspace, id, token))
+	return f.runOnOwner(c, slot, c.r.URL.RequestURI(), func() error {
+		return f.writeState(c, http.StatusOK)(f.programs.State(c.r.Context(), c.workspace, id, token))
 	})
 }
 
-func (f *Front) end(c *call) error {
-	id := c.path("id")
+func (f *Front) endProgram(c *call) error {
+	id := c.pathParam("id")
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
 		return err
 	}
-	return f.onOwner(c, slot, c.r.URL.RequestURI(), func() error {
-		return f.answer(c, http.StatusOK)(f.programs.End(c.r.Context(), c.workspace, id))
+	return f.runOnOwner(c, slot, c.r.URL.RequestURI(), func() error {
+		return f.writeState(c, http.StatusOK)(f.programs.End(c.r.Context(), c.workspace, id))
 	})
 }
 
-func (f *Front) turn(c *call) error {
+func (f *Front) runTurn(c *call) error {
 	var body types.TurnRequest
 	if err := c.decode(&body); err != nil {
 		return err
@@ -208,19 +214,19 @@
 	if err := checkTurn(body); err != nil {
 		return err
 	}
-	id := c.path("id")
+	id := c.pathParam("id")
 	slot, err := ident.ProgramSlot(id)
 	if err != nil {
 		return err
 	}
-	ask := prog.TurnAsk{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
-	return f.onOwner(c, slot, PathPrograms+"/"+id+"/turns", func() error {
-		run, err := f.programs.Turn(c.r.Context(), ask)
+	turn := prog.TurnAsk{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
+	return f.runOnOwner(c, slot, PathPrograms+"/"+id+"/turns", func() error {
+		run, err := f.programs.Turn(c.r.Context(), turn)
 		if err != nil {
 			return err
 		}
 		if body.Stream {
-			return f.stream(c, run, ask)
+			return f.streamAnswer(c, run, turn)
 		}
 		answer, err := run.Answer(c.r.Context())
 		if err != nil {
@@ -233,7 +239,7 @@
 
 func checkTurn(body types.TurnRequest) error {
 	if body.Turn < 1 {
-		return fault.Refuse(fault.BadRequest, "turn counts from 1")
+		return fault.Refuse(fault.BadRequest, "turn must be at least 1")
 	}
 	if len(body.Messages) == 0 || len(body.Messages) > maxMessages {
 		return fault.Refuse(fault.BadRequest, "messages are missing or too many")
@@ -249,9 +255,10 @@
 	return nil
 }
 
-// stream sends the answer as server-sent events.
-func (f *Front) stream(c *call, run *prog.Run, ask prog.TurnAsk) error {
-	// A failure before the first piece is still a plain problem.
+// streamAnswer sends the answer of a turn as server-sent events. The sequence numbers start
+// again at 1 if the run starts its answer anew.
+func (f *Front) streamAnswer(c *call, run *prog.Run, turn prog.TurnAsk) error {
+	// An error before the first piece is still returned as a regular error response.
 	piece, err := run.Next(c.r.Context(), 0, 0)
 	if err != nil {
 		return err
@@ -261,11 +268,11 @@
 			return err
 		}
 	}
-	c.sent = true
+	c.responseStarted = true
 	out := server.NewStream(c.w)
 	round, i := piece.Round, 0
 	for !piece.Done {
-		if err := out.Send(chunk(ask, i+1, piece.Text)); err != nil {
+		if err := out.Send(chunk(turn, i+1, piece.Text)); err != nil {
 			return err
 		}
 		i++
@@ -281,22 +288,23 @@
 	if err != nil {
 		return err
 	}
-	if err := out.Send(last(answer, i+1)); err != nil {
+	if err := out.Send(finalChunk(answer, i+1)); err != nil {
 		return err
 	}
 	return out.Close()
 }
 
-func chunk(ask prog.TurnAsk, seq int, text string) types.TurnAnswer {
+func chunk(turn prog.TurnAsk, seq int, text string) types.TurnAnswer {
 	delta := types.Message{Role: "assistant", Content: text}
 	return types.TurnAnswer{
-		ID: ask.Request, Object: "chat.completion.chunk", Program: ask.Program, Turn: ask.Body.Turn, Sequence: seq,
+		ID: turn.Request, Object: "chat.completion.chunk", Program: turn.Program, Turn: turn.Body.Turn, Sequence: seq,
 		Choices: []types.Choice{{Delta: &delta}},
 	}
 }
 
-// last closes a streamed answer: no more text, but all that comes with it.
-func last(answer types.TurnAnswer, seq int) types.TurnAnswer {
+// finalChunk returns the last event of a streamed answer: without text, but with its finish
+// reason and the other fields of the answer.
+func finalChunk(answer types.TurnAnswer, seq int) types.TurnAnswer {
 	answer.Object = "chat.completion.chunk"
 	answer.Sequence = seq
 	finish := answer.Choices[0].FinishReason
--- a/gate/front/request.go
+++ b/gate/front/request.go
@@ -18,7 +18,7 @@
 
 const bearerPrefix = "Bearer "
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok {
 		return ""
@@ -26,7 +26,7 @@
 	return token
 }
 
-// requestID takes a forwarded id as it is; callers get a fresh one.
+// requestID returns the id of a forwarded request, or a new id.
 func requestID(r *http.Request, fromPeer bool) string {
 	if id := r.Header.Get(peer.RequestHeader); fromPeer && id != "" && len(id) <= ident.MaxLen {
 		return id
@@ -34,7 +34,8 @@
 	return ident.Random()
 }
 
-func hop(r *http.Request, fromPeer bool) int {
+// hopCount returns how often the request was forwarded; 0 for a caller's request.
+func hopCount(r *http.Request, fromPeer bool) int {
 	if !fromPeer {
 		return 0
 	}
@@ -45,12 +46,12 @@
 	return n
 }
 
-// readBody reads a body that is neither too large nor too slow.
+// readBody reads the body within the limits on its size and duration.
 func readBody(w http.ResponseWriter, r *http.Request, opts Options) ([]byte, error) {
 	limit := opts.BodyBytes
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(opts.BodyTimeout)); err != nil {
-		return nil, fault.Refuse(fault.Internal, "body cannot be bounded in time").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot set a deadline for reading the body").Because(err)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -58,7 +59,7 @@
 		return nil, fault.Refuse(fault.TooLarge, "body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if err != nil {
-		// The deadline stays: the server would wait for the rest of the body without one.
+		// The deadline is kept, because without one the server would wait for the rest of the body.
 		return nil, fault.Refuse(fault.BadRequest, "body could not be read").Because(err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
@@ -72,12 +73,12 @@
 	return nil
 }
 
-func (c *call) path(name string) string {
+func (c *call) pathParam(name string) string {
 	return pathvar.Vars(c.r)[name]
 }
 
-// key is the caller's idempotency key.
-func (c *call) key() (string, error) {
+// idempotencyKey returns the caller's idempotency key, or "" if there is none.
+func (c *call) idempotencyKey() (string, error) {
 	key := c.r.Header.Get("Idempotency-Key")
 	if len(key) > ident.MaxLen {
 		return "", fault.Refuse(fault.BadRequest, "Idempotency-Key is longer than 128 bytes")
--- a/gate/front/services.go
+++ b/gate/front/services.go
@@ -10,56 +10,57 @@
 	"mulleingate.dev/gate/plain"
 )
 
-// programCall runs a service call on behalf of a program.
+// programCall runs a service call of a program.
 func (f *Front) programCall(c *call) error {
-	ask, token, err := f.serviceAsk(c)
+	svcCall, token, err := f.parseCall(c)
 	if err != nil {
 		return err
 	}
-	ask.Program = c.path("id")
-	slot, err := ident.ProgramSlot(ask.Program)
+	svcCall.Program = c.pathParam("id")
+	slot, err := ident.ProgramSlot(svcCall.Program)
 	if err != nil {
 		return err
 	}
-	path := PathPrograms + "/" + ask.Program + "/calls/" + ask.Service.Name
-	return f.onOwner(c, slot, path, func() error {
-		ask.Adopt, err = f.programs.Continuation(c.workspace, ask.Program, token)
+	path := PathPrograms + "/" + svcCall.Program + "/calls/" + svcCall.Service.Name
+	return f.runOnOwner(c, slot, path, func() error {
+		svcCall.Adopt, err = f.programs.Continuation(c.workspace, svcCall.Program, token)
 		if err != nil {
 			return err
 		}
-		state, err := f.programs.State(c.r.Context(), c.workspace, ask.Program, token)
+		state, err := f.programs.State(c.r.Context(), c.workspace, svcCall.Program, token)
 		if err != nil {
 			return err
 		}
-		ask.Input.DataClass, ask.Input.Model = state.DataClass, state.Model
-		return f.call(c, slot, ask)
+		svcCall.Input.DataClass, svcCall.Input.Model = state.DataClass, state.Model
+		return f.runService(c, slot, svcCall)
 	})
 }
 
-// serviceCall runs a service call on its own. One that may not be repeated is owned by
-// the slot of its key; any other runs on the box that took it.
+// serviceCall runs a service call without a program. A call with a key to a service that is
+// not repeatable runs on the owner of the key's slot, any other call on the box that received it.
 func (f *Front) serviceCall(c *call) error {
-	ask, _, err := f.serviceAsk(c)
+	svcCall, _, err := f.parseCall(c)
 	if err != nil {
 		return err
 	}
-	ask.Input.DataClass = c.r.URL.Query().Get("data_class")
-	if ask.Key == "" || ask.Service.Repeatable {
-		return f.call(c, ident.Slot{}, ask)
+	svcCall.Input.DataClass = c.r.URL.Query().Get("data_class")
+	if svcCall.Key == "" || svcCall.Service.Repeatable {
+		return f.runService(c, ident.Slot{}, svcCall)
 	}
 	slots := f.policies.Slots()
-	slot := ident.KeySlot(c.workspace, ask.Key, slots)
-	return f.onOwner(c, slot, c.r.URL.RequestURI(), func() error {
-		return f.call(c, slot, ask)
+	slot := ident.KeySlot(c.workspace, svcCall.Key, slots)
+	return f.runOnOwner(c, slot, c.r.URL.RequestURI(), func() error {
+		return f.runService(c, slot, svcCall)
 	})
 }
 
-func (f *Front) serviceAsk(c *call) (plain.Ask, string, error) {
-	svc, err := f.policies.Service(c.path("service"))
+// parseCall builds the call of the request's service and returns the caller's continuation token.
+func (f *Front) parseCall(c *call) (plain.Ask, string, error) {
+	svc, err := f.policies.Service(c.pathParam("service"))
 	if err != nil {
 		return plain.Ask{}, "", err
 	}
-	key, err := c.key()
+	key, err := c.idempotencyKey()
 	if err != nil {
 		return plain.Ask{}, "", err
 	}
@@ -70,15 +71,15 @@
 	if len(body.Input) == 0 {
 		return plain.Ask{}, "", fault.Refuse(fault.BadRequest, "input is missing")
 	}
-	ask := plain.Ask{
+	svcCall := plain.Ask{
 		Service: svc, Input: types.RuleInput{Workspace: c.workspace}, Key: key, Body: body.Input,
 		Chunk: f.policies.Defaults().GrantChunk,
 	}
-	return ask, body.Continuation, nil
+	return svcCall, body.Continuation, nil
 }
 
-func (f *Front) call(c *call, slot ident.Slot, ask plain.Ask) error {
-	answer, err := f.calls.Call(c.r.Context(), slot, ask)
+func (f *Front) runService(c *call, slot ident.Slot, svcCall plain.Ask) error {
+	answer, err := f.calls.Call(c.r.Context(), slot, svcCall)
 	if err != nil {
 		return err
 	}
