--- a/gate/policy/doc.go
+++ b/gate/policy/doc.go
@@ -1,3 +1,4 @@
-// Package policy keeps the published configuration in force: it folds the configuration
-// stream, fetches from boxes that are ahead, and never goes back.
+// Package policy keeps this box on the newest published revision of the configuration. It
+// reads revisions from the configuration stream and fetches them from boxes that have a newer
+// one. It never returns to an older revision.
 package policy
--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -25,91 +25,101 @@
 	Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error)
 }
 
-// Fetcher fetches a revision from a box.
+// Fetcher fetches revisions from other boxes.
 type Fetcher interface {
+	// Revision returns the box's revision as JSON, or nothing if it is not newer than have.
 	Revision(ctx context.Context, addr netip.AddrPort, have int64) ([]byte, error)
 }
 
-// View is the part of membership that configuration needs.
+// View is this box's view of the fleet's members.
 type View interface {
 	Live() []types.Member
 	Address(name string) (netip.AddrPort, bool)
+	// Announce adds a function that fills in this box's heartbeats.
 	Announce(fill func(*wire.BeatRequest))
-	Listen(hear func(*wire.BeatRequest))
+	// Listen adds a handler of other boxes' heartbeats.
+	Listen(handler func(*wire.BeatRequest))
 }
 
-// Timing holds the intervals of configuration.
+// Timing holds the intervals of a Store.
 type Timing struct {
-	// Poll is how often the stream is read; the fleet's reads stay below one per box and Poll.
+	// Poll is the interval between a box's reads of the stream. It is longer in a large fleet;
+	// see targetPollers.
 	Poll time.Duration
-	// Retention is how long the log keeps entries; 0 is for ever.
+	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
 }
 
 const (
-	pageSize    = 200
-	carryDiv    = 3
+	pageSize = 200
+	// copyAgeDiv sets the age at which a revision is copied, as a fraction of Retention.
+	copyAgeDiv  = 3
 	callTimeout = 2 * time.Second
-	// pollers bounds how many boxes read the stream every Poll; the others read it that
-	// much less often and hear of revisions by heartbeat.
-	pollers = 16
+	// targetPollers is about the number of reads of the stream per Poll in a large fleet. Each
+	// box then reads less often and learns of new revisions from heartbeats.
+	targetPollers = 16
 )
 
-// Store is the service.
+// Store holds the current revision of the configuration and follows new ones. It is safe for
+// concurrent use.
 type Store struct {
 	self    string
 	root    *seal.Root
 	log     Log
-	fetch   Fetcher
+	fetcher Fetcher
 	view    View
 	timing  Timing
 	logger  *slog.Logger
 	current atomic.Pointer[State]
-	// confirmed is when the log or a peer last said that nothing is newer, in Unix nanoseconds.
+	// confirmed is when the stream was last read to its end or a peer's newer revision was
+	// accepted, in Unix nanoseconds.
 	confirmed atomic.Int64
 
-	mu       sync.Mutex
-	fold     *revs.Fold
-	appended time.Time
-	hooks    []func(*State)
-	behind   chan netip.AddrPort
-	ctx      context.Context
-	stop     context.CancelFunc
-	done     sync.WaitGroup
+	// mu guards fold, lastAppended and hooks.
+	mu   sync.Mutex
+	fold *revs.Fold
+	// lastAppended is when the stream's newest entry with the current revision was read.
+	lastAppended time.Time
+	hooks        []func(*State)
+	// newerPeers receives the address of a box that announces a newer revision.
+	newerPeers chan netip.AddrPort
+	ctx        context.Context
+	stop       context.CancelFunc
+	done       sync.WaitGroup
 }
 
-// New makes the service; keys are the operators' public keys.
+// New returns a Store that accepts revisions signed with one of the operators' public keys.
 func New(self string, root *seal.Root, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
 	return &Store{
-		self: self, root: root, log: log, fetch: fetch, view: view, timing: timing, logger: logger,
-		fold: revs.New(keys), behind: make(chan netip.AddrPort, 1),
+		self: self, root: root, log: log, fetcher: fetch, view: view, timing: timing, logger: logger,
+		fold: revs.New(keys), newerPeers: make(chan netip.AddrPort, 1),
 	}
 }
 
-// OnChange adds a hook that is called with every state that comes into force.
+// OnChange adds a hook that is called in a goroutine of its own with every new state.
 func (s *Store) OnChange(hook func(*State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks = append(s.hooks, hook)
 }
 
-// Start begins to follow the stream.
+// Start starts following the stream and other boxes' heartbeats.
 func (s *Store) Start(context.Context) error {
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.view.Announce(func(beat *wire.BeatRequest) { beat.Revision = s.Number() })
-	s.view.Listen(s.hear)
+	s.view.Listen(s.onHeartbeat)
 	s.done.Go(s.run)
 	return nil
 }
 
-// Stop ends following.
+// Stop stops following and waits for the goroutine that reads the stream.
 func (s *Store) Stop(context.Context) error {
 	s.stop()
 	s.done.Wait()
 	return nil
 }
 
-// Current is the state in force; a refusal while there is none.
+// Current returns the current state. It fails with StaleConfig before the first revision.
 func (s *Store) Current() (*State, error) {
 	st := s.current.Load()
 	if st == nil {
@@ -118,25 +128,26 @@
 	return st, nil
 }
 
-// Fresh is Current, refused where the policy says that the state is too old for new work.
+// Fresh returns the current state like Current, but also fails if the state has not been
+// confirmed for longer than the policy's MaxStale.
 func (s *Store) Fresh() (*State, error) {
 	st, err := s.Current()
 	if err != nil {
 		return nil, err
 	}
-	bound := time.Duration(st.Revision.Config.Policy.MaxStale)
-	if bound > 0 && s.Age() > bound {
-		return nil, fault.Refuse(fault.StaleConfig, "the configuration was not confirmed for too long").After(time.Second)
+	maxAge := time.Duration(st.Revision.Config.Policy.MaxStale)
+	if maxAge > 0 && s.Age() > maxAge {
+		return nil, fault.Refuse(fault.StaleConfig, "the configuration was last confirmed too long ago").After(time.Second)
 	}
 	return st, nil
 }
 
-// Age is how long ago the configuration was last known to be the newest.
+// Age returns the time since the configuration was last confirmed to be the newest.
 func (s *Store) Age() time.Duration {
 	return time.Since(time.Unix(0, s.confirmed.Load()))
 }
 
-// Number is the revision in force, 0 while there is none.
+// Number returns the number of the current revision, 0 before the first.
 func (s *Store) Number() int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Revision.Number
@@ -144,7 +155,7 @@
 	return 0
 }
 
-// Slots implements the settings of ownership.
+// Slots returns the configured slots, nil before the first revision.
 func (s *Store) Slots() []ident.Slot {
 	if st := s.current.Load(); st != nil {
 		return st.Slots()
@@ -152,7 +163,8 @@
 	return nil
 }
 
-// KeyRetention implements the settings of ownership.
+// KeyRetention returns how long idempotency keys are kept: without limit before the first
+// revision.
 func (s *Store) KeyRetention() time.Duration {
 	if st := s.current.Load(); st != nil {
 		return st.KeyRetention()
@@ -160,7 +172,8 @@
 	return time.Duration(1<<63 - 1)
 }
 
-// Newer returns the JSON of the revision in force if it is newer than have.
+// Newer returns the current revision as JSON, marked as a copy, if it is newer than have, and
+// nil otherwise.
 func (s *Store) Newer(have int64) []byte {
 	st := s.current.Load()
 	if st == nil || st.Revision.Number <= have {
@@ -175,7 +188,8 @@
 	return raw
 }
 
-func (s *Store) hear(beat *wire.BeatRequest) {
+// onHeartbeat notes the sender's address if it has a newer revision. It does not block.
+func (s *Store) onHeartbeat(beat *wire.BeatRequest) {
 	if beat.GetRevision() <= s.Number() {
 		return
 	}
@@ -184,7 +198,7 @@
 		return
 	}
 	select {
-	case s.behind <- addr:
+	case s.newerPeers <- addr:
 	default:
 	}
 }
@@ -195,20 +209,21 @@
 		select {
 		case <-s.ctx.Done():
 			return
-		case addr := <-s.behind:
-			s.ask(addr)
-		case <-time.After(s.pause()):
+		case addr := <-s.newerPeers:
+			s.fetchFrom(addr)
+		case <-time.After(s.pollPause()):
 		}
 	}
 }
 
-// pause spreads the reads of a large fleet.
-func (s *Store) pause() time.Duration {
-	fleet := max(1, len(s.view.Live())/pollers)
-	pause := s.timing.Poll * time.Duration(fleet)
+// pollPause returns the pause before the next read, which grows with the fleet and is jittered.
+func (s *Store) pollPause() time.Duration {
+	factor := max(1, len(s.view.Live())/targetPollers)
+	pause := s.timing.Poll * time.Duration(factor)
 	return pause*9/10 + rand.N(pause/5+1)
 }
 
+// poll reads the stream to its end.
 func (s *Store) poll() {
 	ctx, stop := context.WithTimeout(s.ctx, callTimeout)
 	defer stop()
@@ -218,33 +233,35 @@
 		s.mu.Unlock()
 		page, err := s.log.Read(ctx, revs.Stream, from, pageSize)
 		if err != nil {
-			s.logger.Debug("policy: stream is away", "error", err)
+			s.logger.Debug("policy: cannot read the configuration stream", "error", err)
 			return
 		}
-		s.take(page)
+		s.applyPage(page)
 		if len(page.Entries) == 0 {
 			s.confirmed.Store(time.Now().UnixNano())
-			s.carry(ctx)
+			s.appendCopy(ctx)
 			return
 		}
 	}
 }
 
-func (s *Store) take(page types.LogPage) {
+// applyPage applies the entries of a page of the stream.
+func (s *Store) applyPage(page types.LogPage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fold.Next = max(s.fold.Next, page.First)
 	for _, entry := range page.Entries {
 		rev, verdict := s.fold.Apply(entry)
 		if s.fold.At == entry.Offset {
-			s.appended = time.Now()
+			s.lastAppended = time.Now()
 		}
 		s.logger.Debug("policy: entry read", "revision", rev.Number, "verdict", string(verdict))
 	}
 	s.apply()
 }
 
-// apply brings the folded revision into force. Called with mu held.
+// apply makes the newest accepted revision the current one and calls the hooks. The caller
+// holds mu.
 func (s *Store) apply() {
 	rev := s.fold.Current
 	if rev == nil || rev.Number <= s.Number() {
@@ -262,11 +279,11 @@
 	}
 }
 
-// ask fetches from a box that is ahead.
-func (s *Store) ask(addr netip.AddrPort) {
+// fetchFrom fetches a newer revision from another box and applies it.
+func (s *Store) fetchFrom(addr netip.AddrPort) {
 	ctx, stop := context.WithTimeout(s.ctx, callTimeout)
 	defer stop()
-	raw, err := s.fetch.Revision(ctx, addr, s.Number())
+	raw, err := s.fetcher.Revision(ctx, addr, s.Number())
 	if err != nil || len(raw) == 0 {
 		return
 	}
@@ -284,22 +301,23 @@
 	s.apply()
 }
 
-// carry appends a copy of the current revision before the log forgets it. Copies of
-// several boxes do no harm; the rendezvous winner is usually the only one to write.
-func (s *Store) carry(ctx context.Context) {
+// appendCopy appends a copy of the current revision to the stream before the log's retention
+// drops it. Usually only the box that rendezvous hashing selects writes; any box does if the
+// copy is overdue. Several copies do no harm.
+func (s *Store) appendCopy(ctx context.Context) {
 	s.mu.Lock()
 	rev := s.fold.Current
-	age := time.Since(s.appended)
+	age := time.Since(s.lastAppended)
 	s.mu.Unlock()
-	if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/carryDiv {
+	if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDiv {
 		return
 	}
 	var names []string
 	for _, m := range s.view.Live() {
 		names = append(names, m.Name)
 	}
-	late := age > 2*s.timing.Retention/carryDiv
-	if ident.Winner(revs.Stream, names) != s.self && !late {
+	overdue := age > 2*s.timing.Retention/copyAgeDiv
+	if ident.Winner(revs.Stream, names) != s.self && !overdue {
 		return
 	}
 	copied := *rev
@@ -309,6 +327,6 @@
 		return
 	}
 	if _, err := s.log.Append(ctx, revs.Stream, raw); err != nil {
-		s.logger.Debug("policy: copy was not appended", "error", err)
+		s.logger.Debug("policy: cannot append a copy of the revision", "error", err)
 	}
 }
--- a/gate/policy/rules.go
+++ b/gate/policy/rules.go
@@ -5,7 +5,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// Ring is the key ring in force.
+// Ring returns the current keyring.
 func (s *Store) Ring() (*seal.Ring, error) {
 	st, err := s.Current()
 	if err != nil {
@@ -14,7 +14,7 @@
 	return st.Ring, nil
 }
 
-// Defaults are the limits in force, the zero value while there are none.
+// Defaults returns the current default limits, the zero value before the first revision.
 func (s *Store) Defaults() types.Defaults {
 	if st := s.current.Load(); st != nil {
 		return st.Defaults()
@@ -22,26 +22,27 @@
 	return types.Defaults{}
 }
 
-// Allowed runs the place program; without configuration nothing is allowed.
+// Allowed reports whether the policy's place rule allows a use of data. Nothing is allowed
+// before the first revision.
 func (s *Store) Allowed(in types.RuleInput) bool {
 	st := s.current.Load()
 	if st == nil {
 		return false
 	}
 	in.Region = st.Region(in.Zone)
-	// Place sees none of these, so that its verdict can be kept.
+	// The place rule does not see these fields; clearing them lets equal verdicts share a cache entry.
 	in.Depth, in.Turn, in.Budget = 0, 0, 0
 	if verdict, ok := st.verdicts.Load(in); ok {
 		return verdict.(bool)
 	}
 	verdict := st.Rules.Place(in)
-	if st.kept.Add(1) <= maxVerdicts {
+	if st.cachedVerdicts.Add(1) <= maxVerdicts {
 		st.verdicts.Store(in, verdict)
 	}
 	return verdict
 }
 
-// Order is the policy's priority of a call.
+// Order returns the policy's priority of a call, 0 before the first revision.
 func (s *Store) Order(in types.RuleInput) int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Rules.Order(in)
@@ -49,7 +50,8 @@
 	return 0
 }
 
-// Spend is the policy's bound on a new program's budget, in tokens.
+// Spend returns the policy's limit on a new program's budget, in tokens; 0 before the first
+// revision.
 func (s *Store) Spend(in types.RuleInput) int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Rules.Spend(in)
@@ -57,7 +59,7 @@
 	return 0
 }
 
-// Share is the fair share of a workspace, at least 1.
+// Share returns the fair share of a workspace, at least 1.
 func (s *Store) Share(workspace string) int {
 	if st := s.current.Load(); st != nil {
 		return st.Share(workspace)
@@ -65,7 +67,7 @@
 	return 1
 }
 
-// Workspace finds the workspace of a bearer token.
+// Workspace returns the workspace that a bearer token belongs to.
 func (s *Store) Workspace(token string) (types.Workspace, error) {
 	st, err := s.Current()
 	if err != nil {
@@ -74,7 +76,7 @@
 	return st.Workspace(token)
 }
 
-// Model finds a model.
+// Model returns the configuration of a model.
 func (s *Store) Model(name string) (types.Model, error) {
 	st, err := s.Current()
 	if err != nil {
@@ -83,7 +85,7 @@
 	return st.Model(name)
 }
 
-// Service finds a tool or plain service.
+// Service returns the configuration of a tool or plain service.
 func (s *Store) Service(name string) (types.Service, error) {
 	st, err := s.Current()
 	if err != nil {
@@ -92,13 +94,13 @@
 	return st.Service(name)
 }
 
-// Ready reports why no work can be taken, if so.
+// Ready returns an error if the configuration does not allow new work: see Fresh.
 func (s *Store) Ready() error {
 	_, err := s.Fresh()
 	return err
 }
 
-// Models lists the configured models.
+// Models returns the configured models, nil before the first revision.
 func (s *Store) Models() []types.Model {
 	if st := s.current.Load(); st != nil {
 		return st.Revision.Config.Models
--- a/gate/policy/state.go
+++ b/gate/policy/state.go
@@ -13,7 +13,8 @@
 	"mulleingate.dev/base/types"
 )
 
-// State is one revision in force, with what was made from it. It never changes.
+// State is a revision with its compiled policy, keyring and indexes. It is immutable apart
+// from the cache of verdicts, and safe for concurrent use.
 type State struct {
 	Revision types.Revision
 	Rules    *rules.Set
@@ -24,16 +25,17 @@
 	models     map[string]types.Model
 	services   map[string]types.Service
 	regions    map[string]string
-	// verdicts keeps place verdicts by input, at most maxVerdicts of them.
-	verdicts sync.Map
-	kept     atomic.Int64
+	// verdicts caches the verdicts of the place rule by input, at most maxVerdicts of them.
+	verdicts       sync.Map
+	cachedVerdicts atomic.Int64
 }
 
 const maxVerdicts = 100_000
 
+// newState compiles the policy of a revision and derives its keyring and indexes.
 func newState(rev types.Revision, root *seal.Root) (*State, error) {
 	cfg := rev.Config
-	set, err := rules.Compile(cfg.Policy)
+	policy, err := rules.Compile(cfg.Policy)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +44,7 @@
 		return nil, err
 	}
 	st := &State{
-		Revision: rev, Rules: set, Ring: ring, workspaces: map[string]types.Workspace{},
+		Revision: rev, Rules: policy, Ring: ring, workspaces: map[string]types.Workspace{},
 		models: map[string]types.Model{}, services: map[string]types.Service{}, regions: map[string]string{},
 	}
 	st.index(cfg)
@@ -69,16 +71,16 @@
 	}
 }
 
-// Workspace finds the workspace of a bearer token.
+// Workspace returns the workspace that a bearer token belongs to.
 func (st *State) Workspace(token string) (types.Workspace, error) {
 	workspace, ok := st.workspaces[ident.KeyDigest(token)]
 	if !ok {
-		return types.Workspace{}, fault.Refuse(fault.Unauthorized, "the bearer token is not known")
+		return types.Workspace{}, fault.Refuse(fault.Unauthorized, "unknown bearer token")
 	}
 	return workspace, nil
 }
 
-// Model finds a model.
+// Model returns the configuration of a model.
 func (st *State) Model(name string) (types.Model, error) {
 	model, ok := st.models[name]
 	if !ok {
@@ -87,7 +89,7 @@
 	return model, nil
 }
 
-// Service finds a tool or plain service.
+// Service returns the configuration of a tool or plain service.
 func (st *State) Service(name string) (types.Service, error) {
 	svc, ok := st.services[name]
 	if !ok {
@@ -96,17 +98,17 @@
 	return svc, nil
 }
 
-// Region is the region of an availability zone.
+// Region returns the region of an availability zone, "" if the zone is not configured.
 func (st *State) Region(zone string) string {
 	return st.regions[zone]
 }
 
-// Slots lists all slots.
+// Slots returns all slots of all zones. The caller must not change the slice.
 func (st *State) Slots() []ident.Slot {
 	return st.slots
 }
 
-// Share is the fair share of a workspace, at least 1.
+// Share returns the fair share of a workspace, at least 1.
 func (st *State) Share(workspace string) int {
 	i := slices.IndexFunc(st.Revision.Config.Workspaces, func(t types.Workspace) bool { return t.Name == workspace })
 	if i < 0 {
@@ -115,12 +117,12 @@
 	return max(1, st.Revision.Config.Workspaces[i].Share)
 }
 
-// Defaults are the configured limits.
+// Defaults returns the configured default limits.
 func (st *State) Defaults() types.Defaults {
 	return st.Revision.Config.Defaults
 }
 
-// KeyRetention is how long idempotency keys are kept.
+// KeyRetention returns how long idempotency keys are kept.
 func (st *State) KeyRetention() time.Duration {
 	return time.Duration(st.Defaults().KeyRetention)
 }
