--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -12,7 +12,7 @@
 type CallAsk struct {
 	Intent types.Intent
 	Price  int64
-	// Chunk is the smallest step by which a grant grows, in tokens, unless the budget ends it.
+	// Chunk is the minimum increase of a grant, in tokens. The budget limits it.
 	Chunk int64
 }
 
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -105,7 +105,7 @@
 	d.confirmed[root] = max(d.confirmed[root], total)
 }
 
-// keyItemID returns the lastAppended key of an idempotency key.
+// keyItemID returns the id under which lastAppended holds an idempotency key.
 func keyItemID(key string) string {
 	return "key " + key
 }
@@ -127,7 +127,7 @@
 	return prog, nil
 }
 
-// write applies records to the state and returns them for the log.
+// write applies records to the state and returns them, to be appended to the log.
 func (d *Desk) write(recs ...types.Record) []types.Record {
 	for _, rec := range recs {
 		d.State.Record(rec)
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -89,7 +89,7 @@
 	Prompt int64
 	// MaxTokens is the caller's limit on the answer.
 	MaxTokens int64
-	// Chunk is the smallest step by which a grant grows, in tokens, unless the budget ends it.
+	// Chunk is the minimum increase of a grant, in tokens. The budget limits it.
 	Chunk int64
 }
 
