--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -34,7 +34,7 @@
 	Order    sched.Order
 	// MaxWait is the expected wait above which new programs are refused.
 	MaxWait time.Duration
-	// Starve is the wait after which a call goes ahead of all that have waited less.
+	// Starve is the wait after which a call goes ahead of all that have not waited as long as that.
 	Starve time.Duration
 	// Holds makes engines keep a program's cache between turns where that pays.
 	Holds bool
@@ -108,7 +108,7 @@
 	ejector       *limit.Ejector
 	turnStats     *sched.TurnStats
 	fairShare     *sched.FairShare
-	// serviceTime is the moving average of the time from a lease to its finish.
+	// serviceTime is the moving average of the time for which a successful call holds its lease.
 	serviceTime time.Duration
 
 	ctx  context.Context
