--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -61,7 +61,7 @@
 
 // acquireMsg asks for a lease; the reply is sent on reply, which is buffered.
 type acquireMsg struct {
-	call  lease.Ask
+	call  lease.Request
 	ctx   context.Context
 	reply chan acquireReply
 }
@@ -155,14 +155,14 @@
 
 // Acquire waits for a lease on an engine. It refuses at once calls that cannot be served in
 // time, and returns an error once ctx ends.
-func (l *Loop) Acquire(ctx context.Context, call lease.Ask) (*lease.Lease, error) {
+func (l *Loop) Acquire(ctx context.Context, call lease.Request) (*lease.Lease, error) {
 	reply := make(chan acquireReply, 1)
 	l.send(acquireMsg{call: call, ctx: ctx, reply: reply})
 	select {
 	case a := <-reply:
 		return a.lease, a.err
 	case <-l.ctx.Done():
-		return nil, fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)
+		return nil, fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 }
 
@@ -214,7 +214,7 @@
 
 func (l *Loop) refuseAll() {
 	for _, req := range l.queue {
-		req.respond(acquireReply{err: fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)})
+		req.respond(acquireReply{err: fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)})
 	}
 	l.queue = nil
 }
@@ -229,7 +229,7 @@
 		if e, ok := l.engines[m.Name]; ok {
 			e.leaving = true
 		}
-	case lease.Others:
+	case lease.RemoteStreams:
 		l.remoteStreams[m.Box] = m.Streams
 	case lease.Dropped:
 		if e, ok := l.engines[m.Target]; ok {
@@ -237,9 +237,9 @@
 		}
 	case lease.Moved:
 		l.moveCache(m)
-	case lease.Forget:
+	case lease.ForgetPrograms:
 		l.forgetPrograms(m.Programs)
-	case lease.Cached:
+	case lease.CacheList:
 		if e, ok := l.engines[m.Target]; ok {
 			e.cached = m.Tokens
 		}
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -43,10 +43,10 @@
 	return l
 }
 
-func testRequest(program string) lease.Ask {
-	return lease.Ask{
-		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, Prompt: 10, Expected: 10,
-		Work: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
+func testRequest(program string) lease.Request {
+	return lease.Request{
+		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, PromptTokens: 10, ExpectedTokens: 10,
+		Progress: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLoop(t, allowExceptZone{zone: "a"})
 		defer func() { _ = l.Stop(t.Context()) }()
-		if _, err := l.Acquire(t.Context(), testRequest("p")); !fault.Is(err, fault.NoPlace) {
+		if _, err := l.Acquire(t.Context(), testRequest("p")); !fault.Is(err, fault.NoAllowedPlace) {
 			t.Errorf("zone that the policy forbids: %v, want no_place", err)
 		}
 		permissive := newLoop(t, allowExceptZone{})
@@ -94,7 +94,7 @@
 		}
 		synctest.Wait()
 		newProgram := testRequest("new")
-		newProgram.Fresh = true
+		newProgram.NewProgram = true
 		started := time.Now()
 		_, err := permissive.Acquire(t.Context(), newProgram)
 		if !fault.Is(err, fault.Overloaded) || fault.From(err).RetryAfter <= 0 || !fault.From(err).NotRun {
@@ -156,7 +156,7 @@
 		order := make(chan string, 2)
 		enqueue := func(name string, priority int64) {
 			a := testRequest(name)
-			a.Work.Priority = priority
+			a.Progress.Priority = priority
 			go func() {
 				if _, err := l.Acquire(t.Context(), a); err == nil {
 					order <- name
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -83,10 +83,10 @@
 	e.leaving = e.leaving || m.Load.Leaving
 	e.limit.Max = float64(max(1, m.Load.MaxBatch+limitHeadroom))
 	if fresh && float64(m.Load.Queued) > overloadedQueueShare*float64(m.Load.MaxBatch) {
-		e.limit.Crowded()
+		e.limit.Overloaded()
 	}
 	for _, ev := range m.Events {
-		if ev.Gone {
+		if ev.Removed {
 			delete(e.cached, ev.Key)
 			continue
 		}
@@ -117,8 +117,8 @@
 }
 
 // usable reports whether the engine may take the call, apart from limits and ejection.
-func (l *Loop) usable(e *engine, call lease.Ask) bool {
-	if e.leaving || slices.Contains(call.Avoid, e.target.Name) {
+func (l *Loop) usable(e *engine, call lease.Request) bool {
+	if e.leaving || slices.Contains(call.Exclude, e.target.Name) {
 		return false
 	}
 	if !slices.Contains(e.load.Models, call.Input.Model) {
@@ -128,7 +128,7 @@
 }
 
 // permitted reports whether the policy allows the engine to run the call and hold its cache.
-func (l *Loop) permitted(e *engine, call lease.Ask) bool {
+func (l *Loop) permitted(e *engine, call lease.Request) bool {
 	in := call.Input
 	in.Zone = e.target.Zone
 	in.Target = e.target.Name
@@ -141,7 +141,7 @@
 }
 
 // countEngines returns the number of engines that the policy allows and of those that are usable.
-func (l *Loop) countEngines(call lease.Ask) (permitted, usable int) {
+func (l *Loop) countEngines(call lease.Request) (permitted, usable int) {
 	for _, e := range l.engines {
 		if l.permitted(e, call) {
 			permitted++
@@ -189,13 +189,13 @@
 			continue
 		}
 		c := e.candidate(l.othersInFlight(e.target.Name), e.target.Zone != l.zone)
-		c.CachedTokens = min(e.cached[req.call.Program], req.call.Prompt)
+		c.CachedTokens = min(e.cached[req.call.Program], req.call.PromptTokens)
 		cands = append(cands, c)
 		engines = append(engines, e)
 	}
-	expected := l.turnStats.AnswerLength(req.call.Input.Kind, req.call.Expected)
+	expected := l.turnStats.AnswerLength(req.call.Input.Kind, req.call.ExpectedTokens)
 	placement := sched.PlacementRequest{
-		Program: req.call.Program, PromptTokens: req.call.Prompt, ExpectedTokens: expected,
+		Program: req.call.Program, PromptTokens: req.call.PromptTokens, ExpectedTokens: expected,
 	}
 	i, weighed := sched.Pick(l.opts.Strategy, placement, cands, l.rng)
 	if i < 0 {
@@ -203,24 +203,24 @@
 	}
 	e := engines[i]
 	e.inFlight++
-	tokens := req.call.Prompt - cands[i].CachedTokens + expected
+	tokens := req.call.PromptTokens - cands[i].CachedTokens + expected
 	l.fairShare.Charge(req.call.Input.Workspace, int64(tokens))
 	granted := &lease.Lease{
-		Target: e.target, Cached: cands[i].CachedTokens, Weighed: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
-		Started: now, Give: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
+		Target: e.target, CachedTokens: cands[i].CachedTokens, Candidates: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
+		Started: now, OnFinish: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
 	}
 	next := l.turnStats.TurnStarted(now, req.call.Program, req.call.Input.Kind)
 	if l.opts.Holds {
-		granted.Hold = l.shouldHold(req.call, cands[i], next)
+		granted.KeepCache = l.shouldHold(req.call, cands[i], next)
 	}
 	return granted
 }
 
 // shouldHold reports whether the engine should keep the cache of the call's program until
 // the next turn.
-func (l *Loop) shouldHold(call lease.Ask, c sched.Candidate, next sched.NextTurn) bool {
+func (l *Loop) shouldHold(call lease.Request, c sched.Candidate, next sched.NextTurn) bool {
 	weight := 1 + float64(call.Input.Turn)/10
-	return sched.ShouldHold(sched.HoldRequest{Tokens: call.Prompt + call.Expected, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
+	return sched.ShouldHold(sched.HoldRequest{Tokens: call.PromptTokens + call.ExpectedTokens, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
 // sortedEngines returns the engines by name, so that a seed always gives the same choices.
@@ -258,17 +258,17 @@
 	}
 	e.inFlight--
 	if m.res.Refused {
-		e.limit.Crowded()
+		e.limit.Overloaded()
 		return
 	}
 	if !m.res.OK {
-		if l.ejector.Bad(now, name, len(l.engines)) {
+		if l.ejector.Failure(now, name, len(l.engines)) {
 			l.counts.Count("admit.ejections", 1)
 			l.logger.Warn("admit: target ejected", "target", name)
 		}
 		return
 	}
-	l.ejector.Good(name)
+	l.ejector.Success(name)
 	e.cached[m.res.Program] = m.res.Usage.PromptTokens + m.res.Usage.CompletionTokens
 	e.observe(m.res)
 	held := now.Sub(m.lease.Started)
@@ -280,10 +280,10 @@
 	reported := float64(e.load.StepTime)
 	if reported > 0 && res.Usage.CompletionTokens > 1 {
 		load := float64(min(e.candidate(0, false).Load(), e.load.MaxBatch))
-		observed := float64(res.PerToken) / (reported * (1 + 0.03*load))
+		observed := float64(res.TimePerToken) / (reported * (1 + 0.03*load))
 		e.slowdown = max(1, e.slowdown+slowdownGain*(observed-e.slowdown))
 	}
 	if e.load.Queued == 0 {
-		e.limit.Good()
+		e.limit.Success()
 	}
 }
--- a/gate/admit/query.go
+++ b/gate/admit/query.go
@@ -16,8 +16,8 @@
 		for _, e := range l.sortedEngines() {
 			out = append(out, types.EngineStatus{
 				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: l.ejector.Ejected(now, e.target.Name),
-				Mine: e.inFlight, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slow: e.slowdown,
-				Cached: len(e.cached), Age: now.Sub(e.reportedAt),
+				InFlight: e.inFlight, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slowdown: e.slowdown,
+				CachedPrograms: len(e.cached), ReportAge: now.Sub(e.reportedAt),
 			})
 		}
 	})
@@ -89,8 +89,8 @@
 	}
 }
 
-// Refuge returns the usable engine with the most free cache, to which a cache can be moved.
-func (l *Loop) Refuge(call lease.Ask) (types.Target, bool) {
+// EvacuationTarget returns the usable engine with the most free cache, to which a cache can be moved.
+func (l *Loop) EvacuationTarget(call lease.Request) (types.Target, bool) {
 	var best *engine
 	l.query(func(l *Loop) {
 		for _, e := range l.sortedEngines() {
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -14,7 +14,7 @@
 
 // request is a call in the queue.
 type request struct {
-	call    lease.Ask
+	call    lease.Request
 	rank    int64
 	arrived time.Time
 	reply   chan acquireReply
@@ -42,36 +42,36 @@
 		m.reply <- acquireReply{err: err}
 		return
 	}
-	req := &request{call: m.call, rank: sched.Rank(l.opts.Order, m.call.Work), arrived: now, reply: m.reply}
+	req := &request{call: m.call, rank: sched.Rank(l.opts.Order, m.call.Progress), arrived: now, reply: m.reply}
 	req.stop = context.AfterFunc(m.ctx, func() { l.send(cancelMsg{req: req}) })
 	l.queue = append(l.queue, req)
 }
 
 // checkAdmission refuses calls that have no usable engine or would wait too long.
-func (l *Loop) checkAdmission(now time.Time, call lease.Ask) error {
+func (l *Loop) checkAdmission(now time.Time, call lease.Request) error {
 	permitted, usable := l.countEngines(call)
 	if permitted == 0 && len(l.engines) > 0 {
-		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
+		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
 	}
 	if usable == 0 {
-		return fault.Refuse(fault.NoTarget, "no allowed target currently serves the model").After(time.Second)
+		return fault.Refuse(fault.NoTarget, "no allowed target currently serves the model").WithRetryAfter(time.Second)
 	}
 	if len(l.queue) >= maxQueue {
-		return fault.Refuse(fault.Overloaded, "the queue is full").After(time.Second)
+		return fault.Refuse(fault.Overloaded, "the queue is full").WithRetryAfter(time.Second)
 	}
-	decision, after := l.queueFor(call).Decide(now, call.Deadline, call.Fresh, l.opts.MaxWait)
+	decision, after := l.queueFor(call).Decide(now, call.Deadline, call.NewProgram, l.opts.MaxWait)
 	switch decision {
 	case sched.RejectNewProgram:
-		return fault.Refuse(fault.Overloaded, "no new programs are accepted under the current load").After(after)
+		return fault.Refuse(fault.Overloaded, "no new programs are accepted under the current load").WithRetryAfter(after)
 	case sched.RejectLate:
-		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").After(after)
+		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").WithRetryAfter(after)
 	default:
 		return nil
 	}
 }
 
 // queueFor returns the state of the queue as the call would find it on arrival.
-func (l *Loop) queueFor(call lease.Ask) sched.Queue {
+func (l *Loop) queueFor(call lease.Request) sched.Queue {
 	q := sched.Queue{ServiceTime: l.serviceTime, Backlog: time.Duration(math.MaxInt64)}
 	for _, e := range l.engines {
 		if !l.usable(e, call) {
@@ -80,7 +80,7 @@
 		q.Slots += max(1, e.limit.Limit())
 		q.Backlog = min(q.Backlog, e.backlog())
 	}
-	rank := sched.Rank(l.opts.Order, call.Work)
+	rank := sched.Rank(l.opts.Order, call.Progress)
 	for _, req := range l.queue {
 		if req.rank >= rank {
 			q.Ahead++
@@ -95,7 +95,7 @@
 		l.queue = slices.Delete(l.queue, i, i+1)
 		l.counts.Count("admit.timed_out", 1)
 	}
-	req.respond(acquireReply{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").After(l.serviceTime)})
+	req.respond(acquireReply{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").WithRetryAfter(l.serviceTime)})
 }
 
 // dispatch places as many queued calls as it can, in order.
@@ -137,5 +137,5 @@
 
 // waitingCall returns the properties of a request that determine its order.
 func (l *Loop) waitingCall(r *request) sched.WaitingCall {
-	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Work.Priority, Served: l.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
+	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Progress.Priority, Served: l.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
 }
--- a/gate/desk/adopt.go
+++ b/gate/desk/adopt.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if run, ok := d.Turns[cont.Program]; ok && len(turns) > 0 {
-		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").At(run.Turn - 1)
+		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(run.Turn - 1)
 	}
 	recs := d.writeAdopted(begins)
 	for _, turn := range turns {
@@ -75,8 +75,8 @@
 		if b.ID != b.Root {
 			continue
 		}
-		tree := types.Purse{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
-		recs = append(recs, d.write(types.Record{Purse: &tree})...)
+		tree := types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
+		recs = append(recs, d.write(types.Record{TreeBudget: &tree})...)
 		d.confirmGrant(b.ID, b.Grant)
 	}
 	return recs
@@ -86,7 +86,7 @@
 // if it does not extend it. If two owners answered the last turn, the answer in the
 // continuation replaces the stored one. Earlier turns are never replaced.
 func newTurns(prog *types.Program, cont types.Continuation) ([]types.Turn, error) {
-	head := fold.Head(prog)
+	head := fold.LastTurn(prog)
 	if cont.Turn < head {
 		return nil, checkHistory(prog, cont)
 	}
@@ -97,21 +97,21 @@
 		switch {
 		case turn.Number < head:
 			continue
-		case turn.Number == head && bytes.Equal(turn.Digest, fold.Last(&scratch)):
+		case turn.Number == head && bytes.Equal(turn.Digest, fold.LastDigest(&scratch)):
 			continue
 		case turn.Number == head && fold.Replaces(&scratch, turn):
 			scratch.Turns = scratch.Turns[:head-1]
-			turn.Instead = true
+			turn.Replaces = true
 		case fold.Extends(&scratch, turn):
-			turn.Instead = false
+			turn.Replaces = false
 		default:
-			return nil, fault.Refuse(fault.BadContinuation, "the continuation does not extend the history").At(head)
+			return nil, fault.Refuse(fault.BadContinuation, "the continuation does not extend the history").WithHead(head)
 		}
 		scratch.Turns = append(scratch.Turns, turn)
 		out = append(out, turn)
 	}
-	if fold.Head(&scratch) != cont.Turn || !bytes.Equal(fold.Last(&scratch), cont.Digest) {
-		return nil, fault.Refuse(fault.BadContinuation, "turns are missing between the log and the continuation").At(head)
+	if fold.LastTurn(&scratch) != cont.Turn || !bytes.Equal(fold.LastDigest(&scratch), cont.Digest) {
+		return nil, fault.Refuse(fault.BadContinuation, "turns are missing between the log and the continuation").WithHead(head)
 	}
 	return out, nil
 }
@@ -124,7 +124,7 @@
 		digest = prog.Turns[cont.Turn-1].Digest
 	}
 	if !bytes.Equal(digest, cont.Digest) {
-		return fault.Refuse(fault.BadContinuation, "the continuation belongs to a different history").At(fold.Head(prog))
+		return fault.Refuse(fault.BadContinuation, "the continuation belongs to a different history").WithHead(fold.LastTurn(prog))
 	}
 	return nil
 }
--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -49,7 +49,7 @@
 	if !ok {
 		return CallStart{}, false, nil
 	}
-	if key.Intent.Workspace != in.Workspace || key.Intent.Service != in.Service || !bytes.Equal(key.Intent.Ask, in.Ask) {
+	if key.Intent.Workspace != in.Workspace || key.Intent.Service != in.Service || !bytes.Equal(key.Intent.RequestDigest, in.RequestDigest) {
 		return CallStart{}, false, fault.Refuse(fault.KeyReused, "the key was used for a different request")
 	}
 	if key.Outcome != nil && !key.Outcome.Unknown {
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -7,7 +7,7 @@
 
 // available returns the tokens that may still be reserved: up to the budget, or up to the
 // confirmed grant while the log is unavailable.
-func (d *Desk) available(tree *types.Purse) int64 {
+func (d *Desk) available(tree *types.TreeBudget) int64 {
 	bound := tree.Budget
 	if !d.LogUp {
 		bound = min(bound, d.confirmed[tree.Root])
@@ -17,7 +17,7 @@
 
 // reserve reserves need tokens. If the grant does not cover them, it returns a grant record
 // that the log must confirm before the work is dispatched.
-func (d *Desk) reserve(tree *types.Purse, need, chunk int64) []types.Record {
+func (d *Desk) reserve(tree *types.TreeBudget, need, chunk int64) []types.Record {
 	d.reserved[tree.Root] += need
 	used := tree.Spent + d.reserved[tree.Root]
 	if used <= tree.Granted {
@@ -43,7 +43,7 @@
 }
 
 // treeBudget returns the budget of the tree that the program belongs to.
-func (d *Desk) treeBudget(prog *types.Program) (*types.Purse, error) {
+func (d *Desk) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
 	tree, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
 		return nil, fault.Refuse(fault.BudgetSpent, "the budget of the program's tree is unknown")
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -79,7 +79,7 @@
 	if _, running := d.Turns[prog.Begin.ID]; running {
 		return ""
 	}
-	if fold.Head(prog) >= prog.Begin.Limits.Turns {
+	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
 		return EndedByTurns
 	}
 	idle := time.Duration(prog.Begin.Limits.Idle)
@@ -160,10 +160,10 @@
 	recs := []types.Record{{Program: &snap}}
 	if tree, ok := d.State.Purses[prog.Begin.ID]; ok {
 		copied := *tree
-		recs = append(recs, types.Record{Purse: &copied})
+		recs = append(recs, types.Record{TreeBudget: &copied})
 	}
 	for _, turn := range prog.Turns {
-		turn.Instead = false
+		turn.Replaces = false
 		recs = append(recs, types.Record{Turn: &turn})
 	}
 	return recs
--- a/gate/desk/ticket.go
+++ b/gate/desk/ticket.go
@@ -40,7 +40,7 @@
 	case <-t.done:
 		return t.err
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the records in time").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "the log did not confirm the records in time").WithCause(ctx.Err())
 	}
 }
 
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -118,8 +118,8 @@
 	if err := d.checkOpen(now, prog); err != nil {
 		return TurnStart{}, nil, err
 	}
-	if fold.Head(prog) >= prog.Begin.Limits.Turns {
-		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").At(fold.Head(prog))
+	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
+		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").WithHead(fold.LastTurn(prog))
 	}
 	return d.reserveTurn(prog, req)
 }
@@ -127,24 +127,24 @@
 // existingTurn answers requests for turns that are stored or in flight, and refuses those
 // that conflict with the history. It reports false for the next turn of an idle program.
 func (d *Desk) existingTurn(prog *types.Program, req TurnAsk) (TurnStart, bool, error) {
-	head := fold.Head(prog)
+	head := fold.LastTurn(prog)
 	if run, ok := d.Turns[req.Program]; ok {
 		if run.Turn == req.Turn && bytes.Equal(run.Ask, req.Ask) {
 			return TurnStart{Join: run.Run, Program: prog}, true, nil
 		}
 		if req.Turn > head {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").At(head)
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(head)
 		}
 	}
 	if req.Turn >= 1 && req.Turn <= head {
 		stored := prog.Turns[req.Turn-1]
-		if !bytes.Equal(stored.Ask, req.Ask) {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").At(head)
+		if !bytes.Equal(stored.RequestDigest, req.Ask) {
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").WithHead(head)
 		}
 		return TurnStart{Stored: &stored, Program: prog}, true, nil
 	}
 	if req.Turn != head+1 {
-		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn is not the next one").At(head)
+		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn is not the next one").WithHead(head)
 	}
 	return TurnStart{}, false, nil
 }
@@ -168,9 +168,9 @@
 
 // budgetError returns the refusal of work that the budget does not cover. It is temporary if
 // only an unavailable log keeps the grant from growing.
-func (d *Desk) budgetError(tree *types.Purse) error {
+func (d *Desk) budgetError(tree *types.TreeBudget) error {
 	if !d.LogUp && d.confirmed[tree.Root] < tree.Budget {
-		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log is unavailable").After(time.Second)
+		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log is unavailable").WithRetryAfter(time.Second)
 	}
 	return fault.Refuse(fault.BudgetSpent, "the budget does not cover the call")
 }
@@ -190,7 +190,7 @@
 	if !fold.Extends(prog, turn) {
 		return nil, fault.Fail(fault.Internal, "the answer does not extend the history")
 	}
-	turn.Spent, _ = d.Spent(prog)
+	turn.TreeSpent, _ = d.Spent(prog)
 	return d.write(types.Record{Turn: &turn}), nil
 }
 
--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -79,12 +79,12 @@
 		return otherBoxMayServe(p) && c.hops == 0
 	}
 	s.mayHaveRun = true
-	return !s.local && p.Kind == fault.PeerLost && c.hops == 0
+	return !s.local && p.Kind == fault.PeerUnreachable && c.hops == 0
 }
 
 // otherBoxMayServe reports whether another box, or the next owner, may serve the request.
 func otherBoxMayServe(p *fault.Fault) bool {
-	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnknown || p.Kind == fault.Stopping || p.Kind == fault.PeerLost
+	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnavailable || p.Kind == fault.Stopping || p.Kind == fault.PeerUnreachable
 }
 
 // finalError returns the failure to report to the caller. It is marked as not run only if no
@@ -92,8 +92,8 @@
 func (s *ownerSearch) finalError(p *fault.Fault) error {
 	out := *p
 	out.NotRun = p.NotRun && !s.mayHaveRun
-	if p.Kind == fault.PeerLost || p.Kind == fault.NotOwner {
-		out.Kind, out.Detail = fault.OwnerUnknown, "the owner of the program or key could not be reached"
+	if p.Kind == fault.PeerUnreachable || p.Kind == fault.NotOwner {
+		out.Kind, out.Detail = fault.OwnerUnavailable, "the owner of the program or key could not be reached"
 		out.RetryAfter = time.Second
 	}
 	return &out
@@ -108,7 +108,7 @@
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, c.r.Method, f.dialer.URL(to.Peer, path), bytes.NewReader(c.body))
 	if err != nil {
-		return fault.Refuse(fault.Internal, "the request cannot be forwarded").Because(err)
+		return fault.Refuse(fault.Internal, "the request cannot be forwarded").WithCause(err)
 	}
 	for _, name := range []string{"Authorization", "Content-Type", "Idempotency-Key"} {
 		if v := c.r.Header.Get(name); v != "" {
@@ -145,7 +145,7 @@
 // peerLost returns the error as a failure to reach the other box.
 func peerLost(err error) error {
 	p := *fault.From(err)
-	p.Kind = fault.PeerLost
+	p.Kind = fault.PeerUnreachable
 	return &p
 }
 
@@ -164,7 +164,7 @@
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if _, werr := c.w.Write(buf[:n]); werr != nil {
-				return fault.Fail(fault.DeadlineMissed, "caller is gone").Because(werr)
+				return fault.Fail(fault.DeadlineMissed, "caller is gone").WithCause(werr)
 			}
 			_ = out.Flush()
 		}
@@ -172,7 +172,7 @@
 			return nil
 		}
 		if err != nil {
-			return peerLost(fault.Fail(fault.TargetFailed, "the response is truncated").Because(err))
+			return peerLost(fault.Fail(fault.TargetFailed, "the response is truncated").WithCause(err))
 		}
 	}
 }
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return "", fault.Refuse(fault.NoPlace, "the policy allows no box for the data")
+		return "", fault.Refuse(fault.NoAllowedPlace, "the policy allows no box for the data")
 	}
 	local := slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		slot, err := ident.ParseSlot(name)
@@ -127,7 +127,7 @@
 	if len(local) > 0 {
 		names = local
 	}
-	slot, err := ident.ParseSlot(ident.Winner(c.id, names))
+	slot, err := ident.ParseSlot(ident.Rendezvous(c.id, names))
 	if err != nil {
 		return "", err
 	}
@@ -178,7 +178,7 @@
 		if err != nil {
 			return err
 		}
-		server.Write(c.w, status, body)
+		server.WriteJSON(c.w, status, body)
 		return nil
 	}
 }
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	turn := prog.TurnAsk{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
+	turn := prog.TurnCall{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
 	return f.runOnOwner(c, slot, PathPrograms+"/"+id+"/turns", func() error {
 		run, err := f.programs.Turn(c.r.Context(), turn)
 		if err != nil {
@@ -232,7 +232,7 @@
 		if err != nil {
 			return err
 		}
-		server.Write(c.w, http.StatusOK, answer)
+		server.WriteJSON(c.w, http.StatusOK, answer)
 		return nil
 	})
 }
@@ -257,7 +257,7 @@
 
 // streamAnswer sends the answer of a turn as server-sent events. The sequence numbers start
 // again at 1 if the run starts its answer anew.
-func (f *Front) streamAnswer(c *call, run *prog.Run, turn prog.TurnAsk) error {
+func (f *Front) streamAnswer(c *call, run *prog.Run, turn prog.TurnCall) error {
 	// An error before the first piece is still returned as a regular error response.
 	piece, err := run.Next(c.r.Context(), 0, 0)
 	if err != nil {
@@ -294,7 +294,7 @@
 	return out.Close()
 }
 
-func chunk(turn prog.TurnAsk, seq int, text string) types.TurnAnswer {
+func chunk(turn prog.TurnCall, seq int, text string) types.TurnAnswer {
 	delta := types.Message{Role: "assistant", Content: text}
 	return types.TurnAnswer{
 		ID: turn.Request, Object: "chat.completion.chunk", Program: turn.Program, Turn: turn.Body.Turn, Sequence: seq,
--- a/gate/front/request.go
+++ b/gate/front/request.go
@@ -31,7 +31,7 @@
 	if id := r.Header.Get(peer.RequestHeader); fromPeer && id != "" && len(id) <= ident.MaxLen {
 		return id
 	}
-	return ident.Random()
+	return ident.RandomID()
 }
 
 // hopCount returns how often the request was forwarded; 0 for a caller's request.
@@ -51,7 +51,7 @@
 	limit := opts.BodyBytes
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(opts.BodyTimeout)); err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot set a deadline for reading the body").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot set a deadline for reading the body").WithCause(err)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -60,7 +60,7 @@
 	}
 	if err != nil {
 		// The deadline is kept, because without one the server would wait for the rest of the body.
-		return nil, fault.Refuse(fault.BadRequest, "body could not be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "body could not be read").WithCause(err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return raw, nil
--- a/gate/front/services.go
+++ b/gate/front/services.go
@@ -23,7 +23,7 @@
 	}
 	path := PathPrograms + "/" + svcCall.Program + "/calls/" + svcCall.Service.Name
 	return f.runOnOwner(c, slot, path, func() error {
-		svcCall.Adopt, err = f.programs.Continuation(c.workspace, svcCall.Program, token)
+		svcCall.Continuation, err = f.programs.Continuation(c.workspace, svcCall.Program, token)
 		if err != nil {
 			return err
 		}
@@ -55,34 +55,34 @@
 }
 
 // parseCall builds the call of the request's service and returns the caller's continuation token.
-func (f *Front) parseCall(c *call) (plain.Ask, string, error) {
+func (f *Front) parseCall(c *call) (plain.ServiceCall, string, error) {
 	svc, err := f.policies.Service(c.pathParam("service"))
 	if err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	key, err := c.idempotencyKey()
 	if err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	var body types.ServiceCall
 	if err := c.decode(&body); err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	if len(body.Input) == 0 {
-		return plain.Ask{}, "", fault.Refuse(fault.BadRequest, "input is missing")
+		return plain.ServiceCall{}, "", fault.Refuse(fault.BadRequest, "input is missing")
 	}
-	svcCall := plain.Ask{
+	svcCall := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: c.workspace}, Key: key, Body: body.Input,
 		Chunk: f.policies.Defaults().GrantChunk,
 	}
 	return svcCall, body.Continuation, nil
 }
 
-func (f *Front) runService(c *call, slot ident.Slot, svcCall plain.Ask) error {
+func (f *Front) runService(c *call, slot ident.Slot, svcCall plain.ServiceCall) error {
 	answer, err := f.calls.Call(c.r.Context(), slot, svcCall)
 	if err != nil {
 		return err
 	}
-	server.Write(c.w, http.StatusOK, answer)
+	server.WriteJSON(c.w, http.StatusOK, answer)
 	return nil
 }
--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -64,7 +64,7 @@
 // concurrent use.
 type Store struct {
 	self    string
-	root    *seal.Root
+	root    *seal.RootKey
 	log     Log
 	fetcher Fetcher
 	view    View
@@ -77,7 +77,7 @@
 
 	// mu guards fold, lastAppended and hooks.
 	mu   sync.Mutex
-	fold *revs.Fold
+	fold *revs.StreamState
 	// lastAppended is when the stream's newest entry with the current revision was read.
 	lastAppended time.Time
 	hooks        []func(*State)
@@ -89,7 +89,7 @@
 }
 
 // New returns a Store that accepts revisions signed with one of the operators' public keys.
-func New(self string, root *seal.Root, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
+func New(self string, root *seal.RootKey, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
 	return &Store{
 		self: self, root: root, log: log, fetcher: fetch, view: view, timing: timing, logger: logger,
 		fold: revs.New(keys), newerPeers: make(chan netip.AddrPort, 1),
@@ -123,7 +123,7 @@
 func (s *Store) Current() (*State, error) {
 	st := s.current.Load()
 	if st == nil {
-		return nil, fault.Refuse(fault.StaleConfig, "no configuration is known yet").After(time.Second)
+		return nil, fault.Refuse(fault.StaleConfig, "no configuration is known yet").WithRetryAfter(time.Second)
 	}
 	return st, nil
 }
@@ -137,7 +137,7 @@
 	}
 	maxAge := time.Duration(st.Revision.Config.Policy.MaxStale)
 	if maxAge > 0 && s.Age() > maxAge {
-		return nil, fault.Refuse(fault.StaleConfig, "the configuration was last confirmed too long ago").After(time.Second)
+		return nil, fault.Refuse(fault.StaleConfig, "the configuration was last confirmed too long ago").WithRetryAfter(time.Second)
 	}
 	return st, nil
 }
@@ -180,7 +180,7 @@
 		return nil
 	}
 	rev := st.Revision
-	rev.Carry = true
+	rev.IsCopy = true
 	raw, err := json.Marshal(rev)
 	if err != nil {
 		return nil
@@ -252,7 +252,7 @@
 	s.fold.Next = max(s.fold.Next, page.First)
 	for _, entry := range page.Entries {
 		rev, verdict := s.fold.Apply(entry)
-		if s.fold.At == entry.Offset {
+		if s.fold.CurrentOffset == entry.Offset {
 			s.lastAppended = time.Now()
 		}
 		s.logger.Debug("policy: entry read", "revision", rev.Number, "verdict", string(verdict))
@@ -291,10 +291,10 @@
 	if json.Unmarshal(raw, &rev) != nil {
 		return
 	}
-	rev.Carry = true
+	rev.IsCopy = true
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.fold.Offer(rev)
+	verdict := s.fold.ApplyRevision(rev)
 	if verdict == revs.Accepted {
 		s.confirmed.Store(time.Now().UnixNano())
 	}
@@ -317,11 +317,11 @@
 		names = append(names, m.Name)
 	}
 	overdue := age > 2*s.timing.Retention/copyAgeDiv
-	if ident.Winner(revs.Stream, names) != s.self && !overdue {
+	if ident.Rendezvous(revs.Stream, names) != s.self && !overdue {
 		return
 	}
 	copied := *rev
-	copied.Carry = true
+	copied.IsCopy = true
 	raw, err := json.Marshal(copied)
 	if err != nil {
 		return
--- a/gate/policy/rules.go
+++ b/gate/policy/rules.go
@@ -6,7 +6,7 @@
 )
 
 // Ring returns the current keyring.
-func (s *Store) Ring() (*seal.Ring, error) {
+func (s *Store) Ring() (*seal.Keyring, error) {
 	st, err := s.Current()
 	if err != nil {
 		return nil, err
--- a/gate/policy/state.go
+++ b/gate/policy/state.go
@@ -17,8 +17,8 @@
 // from the cache of verdicts, and safe for concurrent use.
 type State struct {
 	Revision types.Revision
-	Rules    *rules.Set
-	Ring     *seal.Ring
+	Rules    *rules.Policy
+	Ring     *seal.Keyring
 
 	slots      []ident.Slot
 	workspaces map[string]types.Workspace
@@ -33,13 +33,13 @@
 const maxVerdicts = 100_000
 
 // newState compiles the policy of a revision and derives its keyring and indexes.
-func newState(rev types.Revision, root *seal.Root) (*State, error) {
+func newState(rev types.Revision, root *seal.RootKey) (*State, error) {
 	cfg := rev.Config
 	policy, err := rules.Compile(cfg.Policy)
 	if err != nil {
 		return nil, err
 	}
-	ring, err := seal.NewRing(root, cfg.Keys)
+	ring, err := seal.NewKeyring(root, cfg.Keys)
 	if err != nil {
 		return nil, err
 	}
