--- a/gate/member/doc.go
+++ b/gate/member/doc.go
@@ -1,3 +1,4 @@
-// Package member merges what is said of boxes: the platform's lagging list and the
-// boxes' own heartbeats. Its view only steers; it never decides ownership.
+// Package member keeps this box's view of the other boxes. It merges the platform's list,
+// which lags, with the heartbeats that boxes exchange. The view is used for routing only;
+// the ownership of slots is decided by the log.
 package member
--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -26,104 +26,109 @@
 
 // Timing holds the intervals of membership.
 type Timing struct {
-	// Beat is the interval of heartbeats; a box is suspected after Suspect without one.
-	Beat    time.Duration
+	// Beat is the interval between heartbeats.
+	Beat time.Duration
+	// Suspect is how long a box may be silent before it no longer counts as live.
 	Suspect time.Duration
-	// List is the interval of reading the platform's list.
+	// List is the interval between reads of the platform's list.
 	List time.Duration
-	// Fanout bounds how many boxes of the own zone and, apart from them, of other zones
-	// get heartbeats. Zones with no more boxes than that hear from all.
+	// Fanout is the maximum number of boxes in this box's zone that it sends heartbeats to,
+	// and also the maximum for the boxes of all other zones together.
 	Fanout int
 }
 
-// box is what is known of another box.
+// box is the state that View keeps for another box.
 type box struct {
 	member types.Member
-	// heard is when it last answered or called; zero if never.
-	heard time.Time
-	// listed is when it first was on the platform's list.
-	listed time.Time
-	inc    string
-	owned  map[string]int64
-	beat   *wire.BeatRequest
-	// chosen says that this box sends it heartbeats, and so can tell when it is silent.
-	chosen bool
+	// lastSeen is when its last heartbeat or reply arrived; zero if none has.
+	lastSeen time.Time
+	// listedAt is when it was added from the platform's list; zero if a heartbeat added it.
+	listedAt    time.Time
+	incarnation string
+	// owned maps each slot that it says it owns to the slot's epoch.
+	owned    map[string]int64
+	lastBeat *wire.BeatRequest
+	// monitored is true if this box sends it heartbeats, so that its silence is meaningful.
+	monitored bool
 }
 
-// View is the service.
+// View keeps the state of all other boxes, from the platform's list and from heartbeats.
 type View struct {
-	inc    string
-	lister Lister
-	beater Beater
-	timing Timing
-	logger *slog.Logger
+	incarnation string
+	lister      Lister
+	beater      Beater
+	timing      Timing
+	logger      *slog.Logger
 
-	mu      sync.Mutex
-	self    types.Member
-	boxes   map[string]*box
-	list    types.List
-	fills   []func(*wire.BeatRequest)
-	heard   []func(*wire.BeatRequest)
-	lists   []func(types.List)
-	rounds  int
-	listed  bool
-	started time.Time
-	ctx     context.Context
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	mu    sync.Mutex
+	self  types.Member
+	boxes map[string]*box
+	list  types.List
+	// beatFillers add the data of other services to each heartbeat that this box sends.
+	beatFillers []func(*wire.BeatRequest)
+	onHeartbeat []func(*wire.BeatRequest)
+	onList      []func(types.List)
+	// rounds counts the completed rounds of heartbeats.
+	rounds   int
+	listRead bool
+	started  time.Time
+	ctx      context.Context
+	stop     context.CancelFunc
+	wg       sync.WaitGroup
 }
 
-// New makes the service for the box self with incarnation inc.
+// New returns a View for the box self with incarnation inc.
 func New(self types.Member, inc string, lister Lister, beater Beater, timing Timing, logger *slog.Logger) *View {
-	return &View{self: self, inc: inc, lister: lister, beater: beater, timing: timing, logger: logger, boxes: map[string]*box{}}
+	return &View{self: self, incarnation: inc, lister: lister, beater: beater, timing: timing, logger: logger, boxes: map[string]*box{}}
 }
 
-// Start begins heartbeats.
+// Start starts reading the platform's list and sending heartbeats.
 func (v *View) Start(context.Context) error {
 	v.ctx, v.stop = context.WithCancel(context.Background())
 	v.started = time.Now()
-	v.done.Go(func() { v.every(v.timing.List, v.readList) })
-	v.done.Go(func() { v.every(v.timing.Beat, v.round) })
+	v.wg.Go(func() { v.runEvery(v.timing.List, v.readList) })
+	v.wg.Go(func() { v.runEvery(v.timing.Beat, v.heartbeatRound) })
 	return nil
 }
 
-// Stop ends heartbeats.
+// Stop stops both loops and waits until they have returned.
 func (v *View) Stop(context.Context) error {
 	v.stop()
-	v.done.Wait()
+	v.wg.Wait()
 	return nil
 }
 
-// Leave says in all further heartbeats that this box leaves, and sends one round now.
+// Leave marks this box as leaving in all further heartbeats and sends a round of them at once.
 func (v *View) Leave() {
 	v.mu.Lock()
 	v.self.Leaving = true
 	v.mu.Unlock()
-	v.round()
+	v.heartbeatRound()
 }
 
-// Announce adds to what this box says in its heartbeats.
+// Announce registers a function that fills in its part of each heartbeat that this box sends.
 func (v *View) Announce(fill func(*wire.BeatRequest)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.fills = append(v.fills, fill)
+	v.beatFillers = append(v.beatFillers, fill)
 }
 
-// Listen is told of every heartbeat that another box sent or answered.
-func (v *View) Listen(hear func(*wire.BeatRequest)) {
+// Listen registers a callback for each heartbeat that another box sends or returns as a reply.
+func (v *View) Listen(callback func(*wire.BeatRequest)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.heard = append(v.heard, hear)
+	v.onHeartbeat = append(v.onHeartbeat, callback)
 }
 
-// OnList is told of every list that was read.
-func (v *View) OnList(take func(types.List)) {
+// OnList registers a callback for each list that is read from the platform.
+func (v *View) OnList(callback func(types.List)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lists = append(v.lists, take)
+	v.onList = append(v.onList, callback)
 }
 
-func (v *View) every(interval time.Duration, do func()) {
+// runEvery calls do at once and then once per interval, varied by up to a tenth, until Stop.
+func (v *View) runEvery(interval time.Duration, do func()) {
 	do()
 	for {
 		jitter := time.Duration(rand.Int64N(int64(interval)/5 + 1))
@@ -141,20 +146,22 @@
 	defer stop()
 	list, err := v.lister.List(ctx)
 	if err != nil {
-		v.logger.Debug("member: list is away", "error", err)
+		v.logger.Debug("member: cannot read the platform's list", "error", err)
 		return
 	}
 	v.mu.Lock()
-	v.listed = true
-	v.take(list)
-	takers := v.lists
+	v.listRead = true
+	v.applyList(list)
+	callbacks := v.onList
 	v.mu.Unlock()
-	for _, take := range takers {
-		take(list)
+	for _, callback := range callbacks {
+		callback(list)
 	}
 }
 
-func (v *View) take(list types.List) {
+// applyList updates the boxes from the list. It removes unlisted boxes that are silent for
+// longer than Timing.Suspect. The caller must hold v.mu.
+func (v *View) applyList(list types.List) {
 	v.list = list
 	now := time.Now()
 	listed := map[string]bool{}
@@ -166,7 +173,7 @@
 		}
 		b, ok := v.boxes[m.Name]
 		if !ok {
-			b = &box{listed: now}
+			b = &box{listedAt: now}
 			v.boxes[m.Name] = b
 		}
 		leaving := m.Leaving || (b.member.Leaving && b.member.Peer == m.Peer)
@@ -174,17 +181,17 @@
 		b.member.Leaving = leaving
 	}
 	for name, b := range v.boxes {
-		if !listed[name] && now.Sub(b.heard) > v.timing.Suspect {
+		if !listed[name] && now.Sub(b.lastSeen) > v.timing.Suspect {
 			delete(v.boxes, name)
 		}
 	}
 }
 
-// round sends heartbeats to the chosen boxes at the same time.
-func (v *View) round() {
-	beat := v.beat()
+// heartbeatRound sends heartbeats to the selected boxes concurrently and waits for the replies.
+func (v *View) heartbeatRound() {
+	beat := v.buildHeartbeat()
 	var group sync.WaitGroup
-	for _, m := range v.chosen() {
+	for _, m := range v.choosePeers() {
 		group.Go(func() { v.exchange(m, beat) })
 	}
 	group.Wait()
@@ -193,50 +200,55 @@
 	v.rounds++
 }
 
-func (v *View) beat() *wire.BeatRequest {
+// buildHeartbeat returns this box's heartbeat. It calls the fillers without holding v.mu.
+func (v *View) buildHeartbeat() *wire.BeatRequest {
 	v.mu.Lock()
 	beat := &wire.BeatRequest{
-		Box: v.self.Name, Incarnation: v.inc, Zone: v.self.Zone, Addr: v.self.Peer.String(), Leaving: v.self.Leaving,
+		Box: v.self.Name, Incarnation: v.incarnation, Zone: v.self.Zone, Addr: v.self.Peer.String(), Leaving: v.self.Leaving,
 	}
-	fills := v.fills
+	fillers := v.beatFillers
 	v.mu.Unlock()
-	for _, fill := range fills {
+	for _, fill := range fillers {
 		fill(beat)
 	}
 	return beat
 }
 
-// chosen are the boxes that get heartbeats: a rendezvous choice of the own zone and one
-// of the others, so that a node's cost does not grow with the fleet.
-func (v *View) chosen() []types.Member {
+// choosePeers returns the boxes that get heartbeats: up to Timing.Fanout of this box's zone
+// and as many of other zones, selected by rendezvous hashing. The bound keeps the cost of
+// heartbeats for each box independent of the size of the fleet.
+func (v *View) choosePeers() []types.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var home, away []types.Member
+	var sameZone, otherZones []types.Member
 	for _, b := range v.boxes {
 		if b.member.Zone == v.self.Zone {
-			home = append(home, b.member)
+			sameZone = append(sameZone, b.member)
 			continue
 		}
-		away = append(away, b.member)
+		otherZones = append(otherZones, b.member)
 	}
-	out := append(v.closest(home), v.closest(away)...)
+	out := append(v.closest(sameZone), v.closest(otherZones)...)
 	for _, b := range v.boxes {
-		b.chosen = slices.ContainsFunc(out, func(m types.Member) bool { return m.Name == b.member.Name })
+		b.monitored = slices.ContainsFunc(out, func(m types.Member) bool { return m.Name == b.member.Name })
 	}
 	return out
 }
 
+// closest returns up to Timing.Fanout members, selected by rendezvous hashing.
 func (v *View) closest(members []types.Member) []types.Member {
 	if len(members) <= v.timing.Fanout {
 		return members
 	}
-	var near []types.Member
+	var chosen []types.Member
 	for _, i := range ident.Closest(v.self.Name, len(members), func(i int) string { return members[i].Name }, v.timing.Fanout) {
-		near = append(near, members[i])
+		chosen = append(chosen, members[i])
 	}
-	return near
+	return chosen
 }
 
+// exchange sends a heartbeat to m and records the heartbeat in the reply. Errors are ignored:
+// a box that does not answer stops being live after Timing.Suspect.
 func (v *View) exchange(m types.Member, beat *wire.BeatRequest) {
 	ctx, stop := context.WithTimeout(v.ctx, v.timing.Suspect/2)
 	defer stop()
@@ -247,7 +259,7 @@
 	v.Hear(reply.GetSelf())
 }
 
-// Hear takes a heartbeat of another box.
+// Hear records a heartbeat of another box and calls the listeners without holding v.mu.
 func (v *View) Hear(beat *wire.BeatRequest) {
 	addr, err := netip.ParseAddrPort(beat.GetAddr())
 	if err != nil || beat.GetBox() == v.self.Name {
@@ -259,78 +271,80 @@
 		b = &box{}
 		v.boxes[beat.GetBox()] = b
 	}
-	// The list's address goes before the box's own word: it is the way that leads there.
-	if !b.listed.IsZero() {
+	// The address on the platform's list takes precedence over the one that the box reports,
+	// because the former is known to be reachable from other boxes.
+	if !b.listedAt.IsZero() {
 		addr = b.member.Peer
 	}
 	b.member = types.Member{Name: beat.GetBox(), Zone: beat.GetZone(), Peer: addr, Leaving: beat.GetLeaving()}
-	b.heard = time.Now()
-	b.inc = beat.GetIncarnation()
-	b.beat = beat
+	b.lastSeen = time.Now()
+	b.incarnation = beat.GetIncarnation()
+	b.lastBeat = beat
 	b.owned = map[string]int64{}
 	for _, o := range beat.GetOwned() {
 		b.owned[o.GetSlot()] = o.GetEpoch()
 	}
-	hear := v.heard
+	callbacks := v.onHeartbeat
 	v.mu.Unlock()
-	for _, h := range hear {
-		h(beat)
+	for _, callback := range callbacks {
+		callback(beat)
 	}
 }
 
-// Beat answers another box's heartbeat.
+// Beat records another box's heartbeat and returns this box's own.
 func (v *View) Beat(_ context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error) {
 	v.Hear(beat)
-	return &wire.BeatReply{Self: v.beat()}, nil
+	return &wire.BeatReply{Self: v.buildHeartbeat()}, nil
 }
 
-// Settled reports whether the list was read, and heartbeats have gone round and been
-// answered or given up.
+// Settled reports whether the list was read, at least two rounds of heartbeats are complete
+// and Timing.Suspect has passed since the start.
 func (v *View) Settled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listed && v.rounds >= 2 && time.Since(v.started) >= v.timing.Suspect
+	return v.listRead && v.rounds >= 2 && time.Since(v.started) >= v.timing.Suspect
 }
 
-// live reports whether a box answered lately. A box on the list that had no time yet to
-// answer gets the benefit of the doubt; one that this box exchanges no heartbeats with is
-// as live as the list says.
-func (v *View) live(b *box, now time.Time) bool {
-	if !b.heard.IsZero() {
-		return now.Sub(b.heard) < v.timing.Suspect
+// isLive reports whether a heartbeat of the box arrived within Timing.Suspect. Before the
+// first heartbeat, a listed box is live for Timing.Suspect after it was added, or for as long
+// as it is kept if this box sends it no heartbeats. The caller must hold v.mu.
+func (v *View) isLive(b *box, now time.Time) bool {
+	if !b.lastSeen.IsZero() {
+		return now.Sub(b.lastSeen) < v.timing.Suspect
 	}
-	if !b.chosen {
-		return !b.listed.IsZero()
+	if !b.monitored {
+		return !b.listedAt.IsZero()
 	}
-	return now.Sub(b.listed) < v.timing.Suspect
+	return now.Sub(b.listedAt) < v.timing.Suspect
 }
 
-// Live lists the boxes that answer, this one included.
+// Live returns the live boxes, this one included.
 func (v *View) Live() []types.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
 	out := []types.Member{v.self}
 	for _, b := range v.boxes {
-		if v.live(b, now) {
+		if v.isLive(b, now) {
 			out = append(out, b.member)
 		}
 	}
 	return out
 }
 
-// All lists every box known, live or not, and when it was last heard.
+// All returns when the last heartbeat of each known box arrived, live or not. The time is
+// zero for a box that sent none, and now for this box.
 func (v *View) All() map[string]time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	out := map[string]time.Time{v.self.Name: time.Now()}
 	for name, b := range v.boxes {
-		out[name] = b.heard
+		out[name] = b.lastSeen
 	}
 	return out
 }
 
-// Address is where a box is reached.
+// Address returns the address at which other boxes reach the box, or false if it is unknown.
 func (v *View) Address(name string) (netip.AddrPort, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -341,7 +355,8 @@
 	return b.member.Peer, true
 }
 
-// Owner is the live box that says it owns the slot, with the highest epoch.
+// Owner returns the live box, other than this one, that reports owning the slot with the
+// highest epoch, and that epoch. It returns false if there is none.
 func (v *View) Owner(slot string) (types.Member, int64, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -349,7 +364,7 @@
 	var best types.Member
 	epoch := int64(0)
 	for _, b := range v.boxes {
-		if e := b.owned[slot]; e > epoch && !b.heard.IsZero() && v.live(b, now) {
+		if e := b.owned[slot]; e > epoch && !b.lastSeen.IsZero() && v.isLive(b, now) {
 			best, epoch = b.member, e
 		}
 	}
