--- a/gate/kernel/every.go
+++ b/gate/kernel/every.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Every calls do each time the interval has passed, until ctx ends. A call that takes longer
-// than the interval puts the next one off.
+// Every calls do once per interval until ctx is done. The first call comes after one interval.
+// Calls never overlap: a call that takes longer than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, do func()) {
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			do()
 		}
 	}
--- a/gate/kernel/kernel.go
+++ b/gate/kernel/kernel.go
@@ -10,24 +10,25 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Service is a part of a box.
+// Service is a component of a box that can be started and stopped.
 type Service interface {
 	// Start returns when the service can be used.
 	Start(ctx context.Context) error
-	// Stop ends it, finishing what it has accepted until ctx ends.
+	// Stop finishes the accepted work and stops the service. It gives up when ctx is done.
 	Stop(ctx context.Context) error
 }
 
-// Factory makes a service from services that have been made before it.
+// Factory creates a service. It may look up the services that the service depends on in k.
 type Factory func(k *Kernel) (Service, error)
 
-// Part registers a service: its name, the names it needs, and how it is made.
+// Part describes a service: its name, the names of the services that it depends on, and its
+// factory.
 type Part struct {
 	Name  string
 	Needs []string
 	Make  Factory
-	// Spare is the end of a bounded stop that this service's stop may not use: those behind
-	// it have something to finish too, however long this one takes.
+	// Spare is the time before the deadline of a stop that is reserved for the services that
+	// stop after this one. Stop's context ends that much earlier; no effect without a deadline.
 	Spare time.Duration
 }
 
@@ -35,23 +36,24 @@
 type Kernel struct {
 	log      *slog.Logger
 	services map[string]Service
-	// started is in the order of starting.
+	// started lists the started parts in start order.
 	started []Part
 }
 
-// New makes an empty kernel.
+// New returns a kernel without services.
 func New(log *slog.Logger) *Kernel {
 	return &Kernel{log: log, services: map[string]Service{}}
 }
 
-// Find returns a service by name, or nil if there is none.
+// Find returns the service with the name, or nil if there is none.
 func (k *Kernel) Find(name string) Service {
 	return k.services[name]
 }
 
-// Start makes and starts the parts in order of need. On failure it stops what runs.
+// Start creates and starts the services in dependency order. If one fails, it stops those
+// that have started, but not the failed one, and returns all errors.
 func (k *Kernel) Start(ctx context.Context, parts []Part) error {
-	order, err := sorted(parts, k.services)
+	order, err := sortByDependency(parts, k.services)
 	if err != nil {
 		return err
 	}
@@ -77,58 +79,60 @@
 	return nil
 }
 
-// Stop stops the services in reverse order of their start.
+// Stop stops the services in reverse start order. It goes on after a failure and returns all
+// errors.
 func (k *Kernel) Stop(ctx context.Context) error {
-	var all error
+	var failures error
 	for i := len(k.started) - 1; i >= 0; i-- {
 		part := k.started[i]
 		if err := k.stop(ctx, part); err != nil {
-			k.log.Warn("kernel: service stopped badly", "service", part.Name, "error", err)
-			all = errors.CombineErrors(all, err)
+			k.log.Warn("kernel: service did not stop cleanly", "service", part.Name, "error", err)
+			failures = errors.CombineErrors(failures, err)
 		}
 	}
 	k.started = nil
-	return all
+	return failures
 }
 
 func (k *Kernel) stop(ctx context.Context, part Part) error {
-	if end, bounded := ctx.Deadline(); bounded {
-		early, stop := context.WithDeadline(ctx, end.Add(-part.Spare))
+	if deadline, bounded := ctx.Deadline(); bounded {
+		withReserve, stop := context.WithDeadline(ctx, deadline.Add(-part.Spare))
 		defer stop()
-		ctx = early
+		ctx = withReserve
 	}
 	return k.services[part.Name].Stop(ctx)
 }
 
-// sorted orders parts so that each comes after what it needs.
-func sorted(parts []Part, have map[string]Service) ([]Part, error) {
-	done := map[string]bool{}
-	for name := range have {
-		done[name] = true
+// sortByDependency orders parts so that each comes after the parts that it depends on. It
+// fails if a dependency is neither in parts nor running, or if there is a cycle.
+func sortByDependency(parts []Part, running map[string]Service) ([]Part, error) {
+	placed := map[string]bool{}
+	for name := range running {
+		placed[name] = true
 	}
-	left := parts
-	var out []Part
-	for len(left) > 0 {
-		var rest []Part
-		for _, part := range left {
-			if !all(part.Needs, done) {
-				rest = append(rest, part)
+	remaining := parts
+	var order []Part
+	for len(remaining) > 0 {
+		var blocked []Part
+		for _, part := range remaining {
+			if !containsAll(part.Needs, placed) {
+				blocked = append(blocked, part)
 				continue
 			}
-			out = append(out, part)
-			done[part.Name] = true
+			order = append(order, part)
+			placed[part.Name] = true
 		}
-		if len(rest) == len(left) {
-			return nil, fault.Refuse(fault.Internal, "service "+rest[0].Name+" needs one that is missing or needs it")
+		if len(blocked) == len(remaining) {
+			return nil, fault.Refuse(fault.Internal, "service "+blocked[0].Name+" cannot start: a dependency is missing or there is a cycle")
 		}
-		left = rest
+		remaining = blocked
 	}
-	return out, nil
+	return order, nil
 }
 
-func all(names []string, done map[string]bool) bool {
+func containsAll(names []string, set map[string]bool) bool {
 	for _, name := range names {
-		if !done[name] {
+		if !set[name] {
 			return false
 		}
 	}
