--- a/gate/conf/conf.go
+++ b/gate/conf/conf.go
@@ -8,7 +8,7 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Settings are a box's settings.
+// Settings are the settings of a box, one field per section of the file.
 type Settings struct {
 	Box      Box      `json:"box"`
 	Listen   Listen   `json:"listen"`
@@ -22,7 +22,7 @@
 	Log      Log      `json:"log"`
 }
 
-// Defaults are the settings that hold where a file says nothing.
+// Defaults returns the values of settings that a file leaves out.
 func Defaults() Settings {
 	return Settings{
 		Platform: platformDefaults(), Member: memberDefaults(), Slots: slotsDefaults(), Engines: enginesDefaults(),
@@ -30,7 +30,7 @@
 	}
 }
 
-// Load reads and checks a file.
+// Load reads a settings file and parses it as Parse does.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -39,20 +39,21 @@
 	return Parse(raw)
 }
 
-// Parse reads and checks settings. The failure lists everything that is wrong.
+// Parse decodes settings from JSON and checks them. The error, of kind fault.BadSettings,
+// lists all problems, one per line. The checks run only if everything could be decoded.
 func Parse(raw []byte) (Settings, error) {
-	set := Defaults()
+	settings := Defaults()
 	var rep report
 	var doc any
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		rep.add("", "not JSON: "+err.Error())
-		return set, rep.err()
+		return settings, rep.toError()
 	}
-	walk(&rep, doc, &set)
-	if len(rep.faults) == 0 {
-		set.check(&rep)
+	decode(&rep, doc, &settings)
+	if len(rep.problems) == 0 {
+		settings.check(&rep)
 	}
-	return set, rep.err()
+	return settings, rep.toError()
 }
 
 func (s *Settings) check(rep *report) {
@@ -68,27 +69,28 @@
 	s.Log.check(rep)
 }
 
-// report collects what is wrong, each with its path in the file.
+// report collects the problems in settings, each with its path in the file.
 type report struct {
-	faults []string
+	problems []string
 }
 
 func (r *report) add(path, detail string) {
 	if path != "" {
 		detail = path + ": " + detail
 	}
-	r.faults = append(r.faults, detail)
+	r.problems = append(r.problems, detail)
 }
 
-func (r *report) need(ok bool, path, detail string) {
+// require adds a problem unless ok is true.
+func (r *report) require(ok bool, path, detail string) {
 	if !ok {
 		r.add(path, detail)
 	}
 }
 
-func (r *report) err() error {
-	if len(r.faults) == 0 {
+func (r *report) toError() error {
+	if len(r.problems) == 0 {
 		return nil
 	}
-	return fault.Refuse(fault.BadSettings, strings.Join(r.faults, "\n"))
+	return fault.Refuse(fault.BadSettings, strings.Join(r.problems, "\n"))
 }
--- a/gate/conf/conf_test.go
+++ b/gate/conf/conf_test.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/base/fault"
 )
 
-func TestExamplesHold(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	want := map[string]map[string]int{
 		"ghent":  {"hall-gent": 4, "hall-mechelen": 4, "hall-namur": 4},
 		"ndokwa": {"enugu-a": 3, "enugu-b": 3, "onitsha-a": 3, "aba-a": 2},
@@ -29,12 +29,12 @@
 			got[set.Box.Zone]++
 		}
 		if diff := cmp.Diff(zones, got); diff != "" {
-			t.Errorf("%s: boxes by zone (-want +got):\n%s", name, diff)
+			t.Errorf("%s: number of boxes per zone (-want +got):\n%s", name, diff)
 		}
 	}
 }
 
-func TestAllFaultsAtOnceWithTheirPaths(t *testing.T) {
+func TestParseReportsAllProblemsWithPaths(t *testing.T) {
 	raw := `{
 	  "box": {"name": "Box 1", "zome": "a"},
 	  "listen": {"callers": "localhost:80", "peers": 7},
@@ -44,7 +44,7 @@
 	}`
 	_, err := Parse([]byte(raw))
 	if !fault.Is(err, fault.BadSettings) {
-		t.Fatalf("failure is %v", err)
+		t.Fatalf("unexpected error: %v", err)
 	}
 	var got []string
 	for line := range strings.Lines(fault.From(err).Detail) {
@@ -57,22 +57,22 @@
 	}
 }
 
-func TestMissingSettingsAreNamed(t *testing.T) {
+func TestParseReportsMissingSettings(t *testing.T) {
 	_, err := Parse([]byte(`{"box": {"name": "a", "zone": "z"}}`))
 	for _, path := range []string{"listen.callers", "listen.peers", "listen.admin", "platform.log", "platform.list", "security.root_key", "security.operator_keys", "security.callers.cert"} {
 		if err == nil || !strings.Contains(err.Error(), path+":") {
-			t.Errorf("%s is not named in: %v", path, err)
+			t.Errorf("%s is missing from the error: %v", path, err)
 		}
 	}
 }
 
-func TestNoTLSOnlyOnLoopback(t *testing.T) {
+func TestParseAllowsNoTLSOnlyOnLoopback(t *testing.T) {
 	raw := `{"box":{"name":"a","zone":"z"},"listen":{"callers":"10.0.0.1:1","peers":"127.0.0.1:2","admin":"127.0.0.1:3"},
 	  "platform":{"log":"10.0.0.2:1","list":"10.0.0.2:2"},
 	  "security":{"insecure_loopback":true,"root_key":"AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=","operator_keys":["AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="]}}`
 	_, err := Parse([]byte(raw))
 	if err == nil || !strings.Contains(err.Error(), "security.callers.cert") || strings.Contains(err.Error(), "security.peers.cert") {
-		t.Errorf("failure is %v", err)
+		t.Errorf("unexpected error: %v", err)
 	}
 }
 
@@ -82,7 +82,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, err := Parse(raw)
 		if err != nil && !fault.Is(err, fault.BadSettings) {
-			t.Errorf("failure without its type: %v", err)
+			t.Errorf("error is not of kind BadSettings: %v", err)
 		}
 	})
 }
--- a/gate/conf/doc.go
+++ b/gate/conf/doc.go
@@ -1,3 +1,3 @@
-// Package conf reads a box's settings: JSON with one file of code per section, each with
-// its defaults and checks. All that is wrong is reported at once, each with its path.
+// Package conf reads a box's settings from JSON. Each section of the file has its own type with
+// defaults and checks. All problems are reported at once, each with its path in the file.
 package conf
--- a/gate/conf/platform.go
+++ b/gate/conf/platform.go
@@ -7,18 +7,20 @@
 	"mulleingate.dev/base/types"
 )
 
-// Platform says where the platform's services are.
+// Platform holds the addresses and limits of the platform's services.
 type Platform struct {
+	// Log is the address of the log service, List that of the list of boxes.
 	Log  netip.AddrPort `json:"log"`
 	List netip.AddrPort `json:"list"`
 	// LogTimeout bounds each call to the log.
 	LogTimeout types.Duration `json:"log_timeout"`
-	// AppendLimit is the log's limit in appends a second, shared by Boxes boxes; 0 is without.
+	// AppendLimit is the log's limit in appends per second, which is divided equally among
+	// Boxes boxes; 0 means no limit.
 	AppendLimit float64 `json:"append_limit"`
 	Boxes       int     `json:"boxes"`
-	// Retention is how long the log keeps entries; 0 is for ever.
+	// Retention is how long the log keeps entries; 0 means forever.
 	Retention types.Duration `json:"retention"`
-	// ConfigPoll is how often the configuration stream is read.
+	// ConfigPoll is the interval between reads of the configuration stream.
 	ConfigPoll types.Duration `json:"config_poll"`
 }
 
@@ -29,16 +31,16 @@
 }
 
 func (p Platform) check(rep *report) {
-	rep.need(p.Log.IsValid(), "platform.log", "missing")
-	rep.need(p.List.IsValid(), "platform.list", "missing")
-	rep.need(p.LogTimeout > 0, "platform.log_timeout", "not positive")
-	rep.need(p.AppendLimit >= 0, "platform.append_limit", "negative")
-	rep.need(p.Boxes > 0, "platform.boxes", "not positive")
-	rep.need(p.Retention >= 0, "platform.retention", "negative")
-	rep.need(p.ConfigPoll > 0, "platform.config_poll", "not positive")
+	rep.require(p.Log.IsValid(), "platform.log", "missing")
+	rep.require(p.List.IsValid(), "platform.list", "missing")
+	rep.require(p.LogTimeout > 0, "platform.log_timeout", "not positive")
+	rep.require(p.AppendLimit >= 0, "platform.append_limit", "negative")
+	rep.require(p.Boxes > 0, "platform.boxes", "not positive")
+	rep.require(p.Retention >= 0, "platform.retention", "negative")
+	rep.require(p.ConfigPoll > 0, "platform.config_poll", "not positive")
 }
 
-// AppendShare is this box's share of the append limit.
+// AppendShare returns this box's share of AppendLimit in appends per second; 0 means no limit.
 func (p Platform) AppendShare() float64 {
 	return p.AppendLimit / float64(p.Boxes)
 }
--- a/gate/conf/security.go
+++ b/gate/conf/security.go
@@ -8,57 +8,60 @@
 	"mulleingate.dev/base/seal"
 )
 
-// Security holds keys and certificates.
+// Security holds the keys and certificates of a box.
 type Security struct {
-	// RootKey opens the data keys of the configuration; base64, 32 bytes. Either it or
-	// RootKeyFile, which holds the raw bytes, is set.
+	// RootKey decrypts the data keys in the configuration: 32 bytes, in base64. Either it or
+	// RootKeyFile, the path of a file with the raw bytes, must be set, but not both.
 	RootKey     []byte `json:"root_key"`
 	RootKeyFile string `json:"root_key_file"`
-	// OperatorKeys are Ed25519 public keys, base64.
+	// OperatorKeys are the Ed25519 public keys of operators, in base64.
 	OperatorKeys [][]byte `json:"operator_keys"`
 	Callers      Cert     `json:"callers"`
 	Peers        Cert     `json:"peers"`
-	// InsecureLoopback allows listening without TLS, on loopback addresses only.
+	// InsecureLoopback allows callers and peers to connect without TLS on loopback addresses.
 	InsecureLoopback bool `json:"insecure_loopback"`
 }
 
-// Cert names certificate files; they are read again when they change.
+// Cert holds the paths of PEM files. The files are read again when the certificate changes.
 type Cert struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA verifies the other side; needed for peers.
+	// CA holds the certificates that the other side's certificate is verified against. It is
+	// required for peers.
 	CA string `json:"ca"`
 }
 
-// Set reports whether a certificate is configured.
+// Set reports whether the path of a certificate is configured.
 func (c Cert) Set() bool {
 	return c.Cert != ""
 }
 
 func (s Security) check(rep *report, listen Listen) {
 	if s.RootKeyFile == "" {
-		rep.need(len(s.RootKey) == seal.KeySize, "security.root_key", "not 32 bytes in base64")
+		rep.require(len(s.RootKey) == seal.KeySize, "security.root_key", "not 32 bytes in base64")
 	}
-	rep.need(s.RootKeyFile == "" || len(s.RootKey) == 0, "security.root_key_file", "set together with root_key")
-	rep.need(len(s.OperatorKeys) > 0, "security.operator_keys", "missing")
+	rep.require(s.RootKeyFile == "" || len(s.RootKey) == 0, "security.root_key_file", "set together with root_key")
+	rep.require(len(s.OperatorKeys) > 0, "security.operator_keys", "missing")
 	for _, key := range s.OperatorKeys {
-		rep.need(len(key) == ed25519.PublicKeySize, "security.operator_keys", "not an Ed25519 public key in base64")
+		rep.require(len(key) == ed25519.PublicKeySize, "security.operator_keys", "not an Ed25519 public key in base64")
 	}
-	s.pair(rep, "security.callers", s.Callers, listen.Callers.Addr().IsLoopback())
-	s.pair(rep, "security.peers", s.Peers, listen.Peers.Addr().IsLoopback())
-	rep.need(!s.Peers.Set() || s.Peers.CA != "", "security.peers.ca", "missing")
+	s.checkCert(rep, "security.callers", s.Callers, listen.Callers.Addr().IsLoopback())
+	s.checkCert(rep, "security.peers", s.Peers, listen.Peers.Addr().IsLoopback())
+	rep.require(!s.Peers.Set() || s.Peers.CA != "", "security.peers.ca", "missing")
 }
 
-func (s Security) pair(rep *report, path string, cert Cert, loopback bool) {
+// checkCert requires a certificate with its key, unless InsecureLoopback is set and the
+// address is a loopback address.
+func (s Security) checkCert(rep *report, path string, cert Cert, loopback bool) {
 	if cert.Set() {
-		rep.need(cert.Key != "", path+".key", "missing")
+		rep.require(cert.Key != "", path+".key", "missing")
 		return
 	}
-	rep.need(s.InsecureLoopback, path+".cert", "missing; without TLS only by insecure_loopback")
-	rep.need(!s.InsecureLoopback || loopback, path+".cert", "missing; insecure_loopback is for loopback addresses only")
+	rep.require(s.InsecureLoopback, path+".cert", "missing; only insecure_loopback allows listening without TLS")
+	rep.require(!s.InsecureLoopback || loopback, path+".cert", "missing; insecure_loopback applies to loopback addresses only")
 }
 
-// Root makes the root key.
+// Root returns the root key from RootKeyFile if that is set, and from RootKey otherwise.
 func (s Security) Root() (*seal.Root, error) {
 	key := s.RootKey
 	if s.RootKeyFile != "" {
@@ -71,7 +74,7 @@
 	return seal.NewRoot(key)
 }
 
-// Operators are the public keys of operators.
+// Operators returns OperatorKeys as public keys.
 func (s Security) Operators() []ed25519.PublicKey {
 	keys := make([]ed25519.PublicKey, 0, len(s.OperatorKeys))
 	for _, key := range s.OperatorKeys {
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -7,12 +7,16 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// Member holds the intervals of membership.
+// Member holds the settings of membership.
 type Member struct {
-	Beat    types.Duration `json:"beat"`
+	// Beat is the interval between heartbeats to other boxes.
+	Beat types.Duration `json:"beat"`
+	// Suspect is how long a box may be silent before it no longer counts as live.
 	Suspect types.Duration `json:"suspect"`
-	List    types.Duration `json:"list"`
-	// Fanout bounds the boxes of the own zone, and of others, that get heartbeats.
+	// List is the interval between reads of the platform's list.
+	List types.Duration `json:"list"`
+	// Fanout is the maximum number of boxes in this box's zone that it sends heartbeats to,
+	// and also the maximum for the boxes of all other zones together.
 	Fanout int `json:"fanout"`
 }
 
@@ -24,18 +28,22 @@
 }
 
 func (m Member) check(rep *report) {
-	rep.need(m.Beat > 0, "member.beat", "not positive")
-	rep.need(m.Suspect >= 3*m.Beat, "member.suspect", "less than three beats")
-	rep.need(m.List > 0, "member.list", "not positive")
-	rep.need(m.Fanout > 0, "member.fanout", "not positive")
+	rep.require(m.Beat > 0, "member.beat", "not positive")
+	rep.require(m.Suspect >= 3*m.Beat, "member.suspect", "less than three times member.beat")
+	rep.require(m.List > 0, "member.list", "not positive")
+	rep.require(m.Fanout > 0, "member.fanout", "not positive")
 }
 
-// Slots holds the intervals of ownership.
+// Slots holds the settings of slot ownership.
 type Slots struct {
-	Tick       types.Duration `json:"tick"`
+	// Tick is the interval between checks of which slots this box should own.
+	Tick types.Duration `json:"tick"`
+	// FlushAfter is how long a record that no caller waits for may be delayed for batching.
 	FlushAfter types.Duration `json:"flush_after"`
+	// AdoptAfter is how long a zone must be without boxes before other zones take over its slots.
 	AdoptAfter types.Duration `json:"adopt_after"`
-	MaxQueued  int            `json:"max_queued"`
+	// MaxQueued is the maximum number of records that wait to be written to a slot's stream.
+	MaxQueued int `json:"max_queued"`
 }
 
 func slotsDefaults() Slots {
@@ -46,19 +54,22 @@
 }
 
 func (s Slots) check(rep *report) {
-	rep.need(s.Tick > 0, "slots.tick", "not positive")
-	rep.need(s.FlushAfter > 0, "slots.flush_after", "not positive")
-	rep.need(s.AdoptAfter > 0, "slots.adopt_after", "not positive")
-	rep.need(s.MaxQueued > 0, "slots.max_queued", "not positive")
+	rep.require(s.Tick > 0, "slots.tick", "not positive")
+	rep.require(s.FlushAfter > 0, "slots.flush_after", "not positive")
+	rep.require(s.AdoptAfter > 0, "slots.adopt_after", "not positive")
+	rep.require(s.MaxQueued > 0, "slots.max_queued", "not positive")
 }
 
-// Engines holds the intervals of polling engines.
+// Engines holds the settings for polling engines.
 type Engines struct {
-	// Poll is the interval for engines that the box has calls at, IdlePoll for others.
+	// Poll is the interval between load reports from an engine that has calls of this box in
+	// flight, IdlePoll that from other engines.
 	Poll     types.Duration `json:"poll"`
 	IdlePoll types.Duration `json:"idle_poll"`
-	Sync     types.Duration `json:"sync"`
-	// Subset bounds the engines of the own zone, and of others, that the box looks at.
+	// Sync is the interval between reads of an engine's whole cache list.
+	Sync types.Duration `json:"sync"`
+	// Subset is the maximum number of engines in this box's zone that the box uses, and also
+	// the maximum for the engines of all other zones together.
 	Subset int `json:"subset"`
 }
 
@@ -67,19 +78,24 @@
 }
 
 func (e Engines) check(rep *report) {
-	rep.need(e.Poll > 0, "engines.poll", "not positive")
-	rep.need(e.IdlePoll >= e.Poll, "engines.idle_poll", "shorter than engines.poll")
-	rep.need(e.Sync > 0, "engines.sync", "not positive")
-	rep.need(e.Subset > 0, "engines.subset", "not positive")
+	rep.require(e.Poll > 0, "engines.poll", "not positive")
+	rep.require(e.IdlePoll >= e.Poll, "engines.idle_poll", "shorter than engines.poll")
+	rep.require(e.Sync > 0, "engines.sync", "not positive")
+	rep.require(e.Subset > 0, "engines.subset", "not positive")
 }
 
-// Admit holds the choices of the queue.
+// Admit holds the settings of the queue of waiting calls.
 type Admit struct {
+	// Strategy is how an engine is selected for a call.
 	Strategy sched.Strategy `json:"strategy"`
-	Order    sched.Order    `json:"order"`
-	MaxWait  types.Duration `json:"max_wait"`
-	Starve   types.Duration `json:"starve"`
-	Holds    bool           `json:"holds"`
+	// Order is how waiting calls of equal priority are ordered.
+	Order sched.Order `json:"order"`
+	// MaxWait is the longest expected wait at which a new program is still accepted.
+	MaxWait types.Duration `json:"max_wait"`
+	// Starve is the wait after which a call runs before all others.
+	Starve types.Duration `json:"starve"`
+	// Holds enables keeping a program's cache during its pauses.
+	Holds bool `json:"holds"`
 }
 
 func admitDefaults() Admit {
@@ -90,24 +106,26 @@
 }
 
 func (a Admit) check(rep *report) {
-	known := false
+	validStrategy := false
 	for _, s := range sched.Strategies() {
-		known = known || s == a.Strategy
+		validStrategy = validStrategy || s == a.Strategy
 	}
-	rep.need(known, "admit.strategy", "not one of scored, random, least, sticky")
-	order := a.Order == sched.Age || a.Order == sched.Attained || a.Order == sched.Fifo
-	rep.need(order, "admit.order", "not one of age, attained, fifo")
-	rep.need(a.MaxWait > 0, "admit.max_wait", "not positive")
-	rep.need(a.Starve > 0, "admit.starve", "not positive")
+	rep.require(validStrategy, "admit.strategy", "not one of scored, random, least, sticky")
+	validOrder := a.Order == sched.Age || a.Order == sched.Attained || a.Order == sched.Fifo
+	rep.require(validOrder, "admit.order", "not one of age, attained, fifo")
+	rep.require(a.MaxWait > 0, "admit.max_wait", "not positive")
+	rep.require(a.Starve > 0, "admit.starve", "not positive")
 }
 
-// Limits bound what the box takes.
+// Limits bounds the sizes and durations of requests and of a stop.
 type Limits struct {
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `json:"body_bytes"`
-	// BodyTimeout bounds how long a caller may take to send its body.
+	// BodyTimeout is how long a caller may take to send a request body.
 	BodyTimeout types.Duration `json:"body_timeout"`
-	TrailSteps  int            `json:"trail_steps"`
-	// StopWait bounds a planned stop; OwnerWait bounds the search for a slot's owner.
+	// TrailSteps is the number of recent decision steps that are kept for operators.
+	TrailSteps int `json:"trail_steps"`
+	// StopWait bounds a graceful stop; OwnerWait bounds the search for a slot's owner.
 	StopWait  types.Duration `json:"stop_wait"`
 	OwnerWait types.Duration `json:"owner_wait"`
 }
@@ -120,9 +138,9 @@
 }
 
 func (l Limits) check(rep *report) {
-	rep.need(l.BodyBytes > 0, "limits.body_bytes", "not positive")
-	rep.need(l.BodyTimeout > 0, "limits.body_timeout", "not positive")
-	rep.need(l.TrailSteps > 0, "limits.trail_steps", "not positive")
-	rep.need(l.StopWait > 0, "limits.stop_wait", "not positive")
-	rep.need(l.OwnerWait > 0, "limits.owner_wait", "not positive")
+	rep.require(l.BodyBytes > 0, "limits.body_bytes", "not positive")
+	rep.require(l.BodyTimeout > 0, "limits.body_timeout", "not positive")
+	rep.require(l.TrailSteps > 0, "limits.trail_steps", "not positive")
+	rep.require(l.StopWait > 0, "limits.stop_wait", "not positive")
+	rep.require(l.OwnerWait > 0, "limits.owner_wait", "not positive")
 }
--- a/gate/conf/walk.go
+++ b/gate/conf/walk.go
@@ -8,29 +8,32 @@
 	"strings"
 )
 
-// walk copies doc into the struct that out points to. Unlike json.Unmarshal it goes on
-// after a fault, and reports keys that no field has.
-func walk(rep *report, doc any, out any) {
-	object(rep, "", doc, reflect.ValueOf(out).Elem())
+// decode copies doc, which json.Unmarshal decoded into an any, into the struct that out points
+// to. It adds every unknown key and every value of the wrong type to rep, whereas
+// json.Unmarshal ignores unknown keys and reports only the first error.
+func decode(rep *report, doc any, out any) {
+	decodeObject(rep, "", doc, reflect.ValueOf(out).Elem())
 }
 
-func value(rep *report, path string, doc any, out reflect.Value) {
-	if isLeaf(out) {
-		leaf(rep, path, doc, out)
+// decodeValue decodes doc into out according to out's type.
+func decodeValue(rep *report, path string, doc any, out reflect.Value) {
+	if decodesItself(out) {
+		decodeLeaf(rep, path, doc, out)
 		return
 	}
 	switch out.Kind() {
 	case reflect.Struct:
-		object(rep, path, doc, out)
+		decodeObject(rep, path, doc, out)
 	case reflect.Slice:
-		list(rep, path, doc, out)
+		decodeList(rep, path, doc, out)
 	default:
-		leaf(rep, path, doc, out)
+		decodeLeaf(rep, path, doc, out)
 	}
 }
 
-// isLeaf reports whether the type reads itself from JSON or text.
-func isLeaf(out reflect.Value) bool {
+// decodesItself reports whether out has its own decoder from JSON or text, or is a byte slice,
+// which is base64 text in JSON.
+func decodesItself(out reflect.Value) bool {
 	switch out.Addr().Interface().(type) {
 	case json.Unmarshaler, interface{ UnmarshalText([]byte) error }:
 		return true
@@ -38,7 +41,9 @@
 	return out.Kind() == reflect.Slice && out.Type().Elem().Kind() == reflect.Uint8
 }
 
-func object(rep *report, path string, doc any, out reflect.Value) {
+// decodeObject decodes a JSON object into a struct whose fields all have json tags. It goes
+// through the keys in sorted order, so that reports are stable.
+func decodeObject(rep *report, path string, doc any, out reflect.Value) {
 	keys, ok := doc.(map[string]any)
 	if !ok {
 		rep.add(path, "not an object")
@@ -57,37 +62,38 @@
 	for _, name := range names {
 		field, known := fields[name]
 		if !known {
-			rep.add(join(path, name), "unknown key")
+			rep.add(joinPath(path, name), "unknown key")
 			continue
 		}
-		value(rep, join(path, name), keys[name], field)
+		decodeValue(rep, joinPath(path, name), keys[name], field)
 	}
 }
 
-func list(rep *report, path string, doc any, out reflect.Value) {
+func decodeList(rep *report, path string, doc any, out reflect.Value) {
 	items, ok := doc.([]any)
 	if !ok {
 		rep.add(path, "not a list")
 		return
 	}
-	made := reflect.MakeSlice(out.Type(), len(items), len(items))
+	decoded := reflect.MakeSlice(out.Type(), len(items), len(items))
 	for i, item := range items {
-		value(rep, path+"["+strconv.Itoa(i)+"]", item, made.Index(i))
+		decodeValue(rep, path+"["+strconv.Itoa(i)+"]", item, decoded.Index(i))
 	}
-	out.Set(made)
+	out.Set(decoded)
 }
 
-func leaf(rep *report, path string, doc any, out reflect.Value) {
+func decodeLeaf(rep *report, path string, doc any, out reflect.Value) {
 	raw, err := json.Marshal(doc)
 	if err == nil {
 		err = json.Unmarshal(raw, out.Addr().Interface())
 	}
 	if err != nil {
-		rep.add(path, "not a "+kind(out))
+		rep.add(path, "not a "+expectedForm(out))
 	}
 }
 
-func kind(out reflect.Value) string {
+// expectedForm describes the values that out accepts, for the report to the operator.
+func expectedForm(out reflect.Value) string {
 	switch out.Type().String() {
 	case "netip.AddrPort":
 		return "numeric address with a port, such as 10.0.0.1:8080"
@@ -99,7 +105,7 @@
 	return out.Kind().String()
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
