--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -15,135 +15,144 @@
 	"mulleingate.dev/base/types"
 )
 
-// Figures are all counters and histograms.
+// Figures reads the box's metrics: all counters and histograms.
 type Figures interface {
 	Report() types.Figures
 }
 
-// Steps finds decisions.
+// Steps finds the recorded decision steps of a program or request.
 type Steps interface {
 	Find(id string) []types.Step
 }
 
-// Owners tells which slots are held.
+// Owners provides the slots that this box owns and their state.
 type Owners interface {
+	// Held maps each owned slot to its epoch.
 	Held() map[ident.Slot]int64
+	// Describe fills in the state of an owned slot.
 	Describe(ctx context.Context, id ident.Slot, st *types.SlotStatus)
 }
 
-// View tells what is believed of other boxes.
+// View provides the membership of boxes as this box sees it.
 type View interface {
+	// All maps each known box to the time of its last heartbeat.
 	All() map[string]time.Time
 	Live() []types.Member
 	Settled() bool
 }
 
-// Policies tells of the configuration in force.
+// Policies provides the state of the configuration in force.
 type Policies interface {
+	// Number is the revision of the configuration.
 	Number() int64
+	// Age is the time since the configuration was last confirmed to be the newest.
 	Age() time.Duration
+	// Ready returns an error while no usable configuration is in force.
 	Ready() error
 }
 
-// Targets tells of the engines.
+// Targets provides the status of the engines.
 type Targets interface {
 	Status() []types.EngineStatus
 }
 
-// Admin answers operators.
+// Admin serves the requests of operators.
 type Admin struct {
-	self     types.Member
-	version  string
-	figures  Figures
-	steps    Steps
-	owners   Owners
-	view     View
-	policies Policies
-	targets  Targets
-	started  time.Time
+	self      types.Member
+	version   string
+	metrics   Figures
+	trail     Steps
+	owners    Owners
+	view      View
+	policies  Policies
+	targets   Targets
+	startedAt time.Time
 }
 
-// New makes the handler's owner.
-func New(self types.Member, version string, figures Figures, steps Steps, owners Owners, view View, policies Policies, targets Targets) *Admin {
+// New returns an Admin that reports on the box self.
+func New(self types.Member, version string, metrics Figures, trail Steps, owners Owners, view View, policies Policies, targets Targets) *Admin {
 	return &Admin{
-		self: self, version: version, figures: figures, steps: steps, owners: owners, view: view,
-		policies: policies, targets: targets, started: time.Now(),
+		self: self, version: version, metrics: metrics, trail: trail, owners: owners, view: view,
+		policies: policies, targets: targets, startedAt: time.Now(),
 	}
 }
 
-// Start implements a service.
+// Start does nothing; it makes Admin a kernel.Service.
 func (a *Admin) Start(context.Context) error {
 	return nil
 }
 
-// Stop implements a service.
+// Stop does nothing; it makes Admin a kernel.Service.
 func (a *Admin) Stop(context.Context) error {
 	return nil
 }
 
-// Routes lists the routes.
+// Routes returns the routes of the operators' interface.
 func (a *Admin) Routes() []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodGet, Path: "/live", Handler: a.live},
-		{Method: http.MethodGet, Path: "/ready", Handler: a.ready},
+		{Method: http.MethodGet, Path: "/live", Handler: a.handleLive},
+		{Method: http.MethodGet, Path: "/ready", Handler: a.handleReady},
 		{Method: http.MethodGet, Path: "/metrics", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, a.figures.Report())
+			server.Write(w, http.StatusOK, a.metrics.Report())
 		}},
 		{Method: http.MethodGet, Path: "/status", Handler: func(w http.ResponseWriter, r *http.Request) {
 			server.Write(w, http.StatusOK, a.Status(r.Context()))
 		}},
 		{Method: http.MethodGet, Path: "/explain/:id", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, a.steps.Find(pathvar.Vars(r)["id"]))
+			server.Write(w, http.StatusOK, a.trail.Find(pathvar.Vars(r)["id"]))
 		}},
 	}
 }
 
-func (a *Admin) live(w http.ResponseWriter, _ *http.Request) {
+// handleLive reports that the process is running.
+func (a *Admin) handleLive(w http.ResponseWriter, _ *http.Request) {
 	server.Write(w, http.StatusOK, struct{}{})
 }
 
-func (a *Admin) ready(w http.ResponseWriter, _ *http.Request) {
-	if err := a.notReady(); err != nil {
+// handleReady reports whether the box can serve callers.
+func (a *Admin) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if err := a.checkReady(); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
 	server.Write(w, http.StatusOK, struct{}{})
 }
 
-func (a *Admin) notReady() error {
+// checkReady returns an error until the configuration is usable and the view has settled.
+func (a *Admin) checkReady() error {
 	if err := a.policies.Ready(); err != nil {
 		return err
 	}
 	if !a.view.Settled() {
-		return fault.Refuse(fault.OwnerUnknown, "the other boxes were not heard out yet").After(time.Second)
+		return fault.Refuse(fault.OwnerUnknown, "the view of the other boxes has not settled yet").After(time.Second)
 	}
 	return nil
 }
 
-// Status collects the state of the box.
+// Status returns the state of the box, with its slots and all known boxes sorted by name.
 func (a *Admin) Status(ctx context.Context) types.BoxStatus {
-	st := types.BoxStatus{
+	status := types.BoxStatus{
 		Box: a.self.Name, Zone: a.self.Zone, Version: a.version, Ready: true,
-		Up: types.Duration(time.Since(a.started)), Revision: a.policies.Number(),
+		Up: types.Duration(time.Since(a.startedAt)), Revision: a.policies.Number(),
 		RevisionAge: types.Duration(a.policies.Age()), Targets: a.targets.Status(),
 	}
-	if err := a.notReady(); err != nil {
-		st.Ready, st.Why = false, fault.From(err).Detail
+	if err := a.checkReady(); err != nil {
+		status.Ready, status.Why = false, fault.From(err).Detail
 	}
 	for id, epoch := range a.owners.Held() {
 		slot := types.SlotStatus{Slot: id.String(), Epoch: epoch}
 		a.owners.Describe(ctx, id, &slot)
-		st.Slots = append(st.Slots, slot)
+		status.Slots = append(status.Slots, slot)
 	}
-	sort.Slice(st.Slots, func(i, j int) bool { return st.Slots[i].Slot < st.Slots[j].Slot })
+	sort.Slice(status.Slots, func(i, j int) bool { return status.Slots[i].Slot < status.Slots[j].Slot })
 	live := map[string]types.Member{}
 	for _, m := range a.view.Live() {
 		live[m.Name] = m
 	}
-	for name, heard := range a.view.All() {
+	for name, lastSeen := range a.view.All() {
 		m, ok := live[name]
-		st.Boxes = append(st.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, Heard: heard})
+		status.Boxes = append(status.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, Heard: lastSeen})
 	}
-	sort.Slice(st.Boxes, func(i, j int) bool { return st.Boxes[i].Name < st.Boxes[j].Name })
-	return st
+	sort.Slice(status.Boxes, func(i, j int) bool { return status.Boxes[i].Name < status.Boxes[j].Name })
+	return status
 }
--- a/gate/admin/doc.go
+++ b/gate/admin/doc.go
@@ -1,3 +1,4 @@
-// Package admin serves operators on an address of its own: health, figures, status and
-// the reasons for decisions. It never shows content and never steers a request.
+// Package admin serves operators on a separate address: health checks, metrics, the box's
+// status and the recorded reasons for scheduling decisions. It returns no content of calls and
+// has no influence on scheduling.
 package admin
