--- a/gate/cmds/check.go
+++ b/gate/cmds/check.go
@@ -16,7 +16,7 @@
 	commands.Register(&version{})
 }
 
-// check reads settings and reports all that is wrong with them.
+// check reads a settings file and reports all problems in it.
 type check struct {
 	settings string
 }
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(out, "settings of box %s in %s hold\n", set.Box.Name, set.Box.Zone)
+	_, _ = fmt.Fprintf(out, "settings of box %s in zone %s are valid\n", set.Box.Name, set.Box.Zone)
 	return nil
 }
 
--- a/gate/cmds/cmds.go
+++ b/gate/cmds/cmds.go
@@ -12,12 +12,12 @@
 
 var commands = shell.New()
 
-// forceQuit outlasts any planned stop: go-zero would otherwise end the process by itself
+// forceQuitTimeout is longer than any graceful stop takes. By default, go-zero ends the process
 // a few seconds after the signal.
-const forceQuit = 24 * time.Hour
+const forceQuitTimeout = 24 * time.Hour
 
-// Run runs the command line and returns the exit code.
+// Run runs the command that args name and returns the exit code of the process.
 func Run(args []string, out, errOut io.Writer) int {
-	proc.SetTimeToForceQuit(forceQuit)
+	proc.SetTimeToForceQuit(forceQuitTimeout)
 	return commands.Run("gate", "A box of mulleingate, the scheduler for agent programs", parts.Version, args, out, errOut)
 }
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -29,14 +29,14 @@
 }
 
 const (
-	devEngines = 2
-	devReady   = 10 * time.Second
-	devPause   = 20 * time.Millisecond
-	portsEach  = 3
-	devStop    = 5 * time.Second
+	engineCount       = 2
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	portsPerBox       = 3
+	stopTimeout       = 5 * time.Second
 )
 
-// dev runs a box per availability zone and the platform's stand-ins in one process.
+// dev runs one box per availability zone and a simulated platform in this process.
 type dev struct {
 	level string
 	once  bool
@@ -44,21 +44,21 @@
 
 func (*dev) Aliases() []string { return []string{"dev", "demo"} }
 func (*dev) Help() string {
-	return "run a small fleet with stand-ins of the platform, on loopback"
+	return "run a small fleet with a simulated platform, on loopback"
 }
 
 func (d *dev) Flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&d.level, "log", "warn", "log level")
-	cmd.Flags().BoolVar(&d.once, "once", false, "make one program, run a turn and a booking, print them and stop")
+	cmd.Flags().BoolVar(&d.once, "once", false, "create one program, run a turn and a booking, print them and stop")
 }
 
 func (d *dev) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	began := time.Now()
+	startedAt := time.Now()
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: conf.Log{Level: d.level}.Slog()}))
 	slog.SetDefault(logger)
 	shape := sample.Ghent()
 	platform, err := plat.New(plat.Spec{
-		Zones: shape.Zones, Engines: devEngines, Model: shape.Models[0], Lag: 200 * time.Millisecond,
+		Zones: shape.Zones, Engines: engineCount, Model: shape.Models[0], Lag: 200 * time.Millisecond,
 		Services: map[string]int{"booking": 1, "calendar": 1},
 	})
 	if err != nil {
@@ -66,27 +66,28 @@
 	}
 	defer platform.Stop()
 	keys := sample.NewKeys("dev")
-	if err := publish(ctx, platform, shape, keys); err != nil {
+	if err := publishConfig(ctx, platform, shape, keys); err != nil {
 		return err
 	}
-	boxes, sets, err := fleet(ctx, platform, shape, keys, logger)
-	defer stopAll(boxes)
+	boxes, sets, err := startBoxes(ctx, platform, shape, keys, logger)
+	defer stopBoxes(boxes)
 	if err != nil {
 		return err
 	}
-	if err := ready(ctx, sets); err != nil {
+	if err := waitReady(ctx, sets); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(out, "ready in %d ms\n", time.Since(began).Milliseconds())
+	_, _ = fmt.Fprintf(out, "ready in %d ms\n", time.Since(startedAt).Milliseconds())
 	if d.once {
-		return tryOut(ctx, out, sets)
+		return runSampleProgram(ctx, out, sets)
 	}
-	guide(out, sets)
+	printExamples(out, sets)
 	<-ctx.Done()
 	return nil
 }
 
-func publish(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys) error {
+// publishConfig publishes the first revision of the sample configuration to the log.
+func publishConfig(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys) error {
 	cfg, err := sample.Config(shape, keys)
 	if err != nil {
 		return err
@@ -97,15 +98,17 @@
 	return err
 }
 
-func fleet(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
-	ports, err := plat.FreePorts(portsEach * len(shape.Zones))
+// startBoxes starts one box per zone. On an error it also returns the boxes that it started,
+// which the caller must stop.
+func startBoxes(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
+	ports, err := plat.FreePorts(portsPerBox * len(shape.Zones))
 	if err != nil {
 		return nil, nil, err
 	}
 	var boxes []*parts.Box
 	var sets []conf.Settings
 	for i, zone := range shape.Zones {
-		set := devSettings(platform, keys, fmt.Sprintf("box-%d", i), zone, ports[portsEach*i:])
+		set := devSettings(platform, keys, fmt.Sprintf("box-%d", i), zone, ports[portsPerBox*i:])
 		platform.Add(types.Member{Name: set.Box.Name, Zone: zone, Peer: set.Listen.Peers})
 		sets = append(sets, set)
 	}
@@ -119,7 +122,7 @@
 	return boxes, sets, nil
 }
 
-// devSettings are settings with short intervals, so that a fleet is ready at once.
+// devSettings returns settings with short intervals, so that the fleet is ready quickly.
 func devSettings(platform *plat.Platform, keys sample.Keys, name, zone string, ports []netip.AddrPort) conf.Settings {
 	set := conf.Defaults()
 	set.Box = conf.Box{Name: name, Zone: zone}
@@ -133,29 +136,29 @@
 	return set
 }
 
-// ready waits until every box serves and all slots are owned.
-func ready(ctx context.Context, sets []conf.Settings) error {
-	ctx, stop := context.WithTimeout(ctx, devReady)
+// waitReady waits until every box is ready and all slots are owned, at most readyTimeout.
+func waitReady(ctx context.Context, sets []conf.Settings) error {
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	cli := client.New("dev", nil)
 	for {
 		owned := 0
 		for _, set := range sets {
-			owned += ownedBy(ctx, cli, set)
+			owned += countOwnedSlots(ctx, cli, set)
 		}
 		if owned == len(sets)*sample.Ghent().Slots {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Refuse(fault.OwnerUnknown, "the fleet was not ready in time")
-		case <-time.After(devPause):
+			return fault.Refuse(fault.OwnerUnknown, "the boxes were not ready or did not own all slots in time")
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// ownedBy counts the slots of a box, 0 while it is not ready.
-func ownedBy(ctx context.Context, cli *client.Client, set conf.Settings) int {
+// countOwnedSlots returns the number of slots that a box owns, or 0 while it is not ready.
+func countOwnedSlots(ctx context.Context, cli *client.Client, set conf.Settings) int {
 	var status types.BoxStatus
 	url := "http://" + set.Listen.Admin.String() + "/status"
 	if err := cli.Call(ctx, http.MethodGet, url, nil, &status); err != nil || !status.Ready {
@@ -164,8 +167,9 @@
 	return len(status.Slots)
 }
 
-func stopAll(boxes []*parts.Box) {
-	ctx, stop := context.WithTimeout(context.Background(), devStop)
+// stopBoxes stops the boxes concurrently and waits for them, at most about stopTimeout.
+func stopBoxes(boxes []*parts.Box) {
+	ctx, stop := context.WithTimeout(context.Background(), stopTimeout)
 	defer stop()
 	done := make(chan struct{})
 	for _, box := range boxes {
@@ -179,17 +183,18 @@
 	}
 }
 
-func guide(out io.Writer, sets []conf.Settings) {
+// printExamples prints commands to try against the fleet.
+func printExamples(out io.Writer, sets []conf.Settings) {
 	url := "http://" + sets[0].Listen.Callers.String()
 	auth := "-H 'Authorization: Bearer " + sample.Token("flanders") + "'"
 	_, _ = fmt.Fprintf(out, `
-Make a program:
+Create a program:
   curl -s %[2]s %[1]s/v1/programs -d '{"model":"planner","data_class":"personal","kind":"booking","budget":100000}'
-Run a turn (put its id for ID):
+Run a turn (replace ID with the program's id):
   curl -sN %[2]s %[1]s/v1/programs/ID/turns -d '{"turn":1,"stream":true,"max_tokens":32,"messages":[{"role":"user","content":"move my slot to Friday"}]}'
-Book, at most once for the key:
+Make a booking, which runs at most once per key:
   curl -s %[2]s -H 'Idempotency-Key: friday-1' %[1]s/v1/programs/ID/calls/booking -d '{"input":{"chair":7}}'
-Look at a box:
+Show a box's status:
   curl -s http://%[3]s/status
 Stop with Ctrl-C.
 `, url, auth, sets[0].Listen.Admin)
--- a/gate/cmds/doc.go
+++ b/gate/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds holds gate's commands, one a file.
+// Package cmds holds the commands of gate, one command per file.
 package cmds
--- a/gate/cmds/run.go
+++ b/gate/cmds/run.go
@@ -17,7 +17,7 @@
 	commands.Register(&run{Changes: shell.NewChanges()})
 }
 
-// run runs a box until it is told to stop.
+// run runs a box until the process gets a signal to stop.
 type run struct {
 	shell.Changes
 	settings string
@@ -41,15 +41,15 @@
 	if err := box.Start(ctx); err != nil {
 		return err
 	}
-	return r.Serve(ctx, func() { r.reload(logger) }, box.Stop)
+	return r.Serve(ctx, func() { r.checkSettings(logger) }, box.Stop)
 }
 
-// reload tells whether a restart could take the settings as they are now; a running box keeps
-// those that it has.
-func (r *run) reload(logger *slog.Logger) {
+// checkSettings logs whether the settings file, as it is now, is valid for the next start. A
+// running box keeps the settings that it started with.
+func (r *run) checkSettings(logger *slog.Logger) {
 	if _, err := conf.Load(r.settings); err != nil {
-		logger.Error("run: settings not reloaded", "cause", err)
+		logger.Error("run: changed settings are not valid", "cause", err)
 		return
 	}
-	logger.Info("run: settings reloaded, a restart takes them")
+	logger.Info("run: changed settings are valid, restart the box to apply them")
 }
--- a/gate/cmds/tryout.go
+++ b/gate/cmds/tryout.go
@@ -13,9 +13,9 @@
 	"mulleingate.dev/gate/conf"
 )
 
-// tryOut makes a program through the first box, runs a turn through the second and a
-// booking through the last.
-func tryOut(ctx context.Context, out io.Writer, sets []conf.Settings) error {
+// runSampleProgram creates a program through the first box, runs a turn through the second and
+// a booking through the last, and prints the answers.
+func runSampleProgram(ctx context.Context, out io.Writer, sets []conf.Settings) error {
 	caller := &caller{http: client.New("tryout", nil), token: sample.Token("flanders")}
 	var state types.ProgramState
 	body := types.NewProgram{Model: "planner", DataClass: "personal", Kind: "booking", Budget: 100_000}
@@ -39,6 +39,7 @@
 	return err
 }
 
+// caller sends requests with the token of one workspace.
 type caller struct {
 	http  *client.Client
 	token string
