--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -15,92 +15,94 @@
 	"mulleingate.dev/gate/slots"
 )
 
-// Version is the program's version.
+// Version is the version of gate.
 const Version = "0.1.0"
 
-// drain is how long a leaving box still takes new connections, so that the platform's
-// balancer, whose list lags, sends it none that would be refused.
-const drain = 1500 * time.Millisecond
+// drainDelay is how long a leaving box still accepts new connections: the platform's load
+// balancer keeps sending them until its list, which lags, marks the box as leaving.
+const drainDelay = 1500 * time.Millisecond
 
-// Env is what all services of one box are made from.
+// Env holds what the services of a box are created from.
 type Env struct {
 	Settings conf.Settings
 	Logger   *slog.Logger
-	// Incarnation is new for every start.
+	// Incarnation identifies this run of the box; it is random and differs after a restart.
 	Incarnation string
 	Self        types.Member
 	Log         *logc.Log
 }
 
-// maker describes a service of a box.
-type maker func(env *Env) kernel.Part
+// partBuilder returns the description of a service. register sets its name.
+type partBuilder func(env *Env) kernel.Part
 
-var makers = map[string]maker{}
+// partBuilders holds the builder of each service by the service's name.
+var partBuilders = map[string]partBuilder{}
 
-func register(name string, make maker) {
-	makers[name] = make
+// register adds a service under the name by which other services find it.
+func register(name string, build partBuilder) {
+	partBuilders[name] = build
 }
 
-// Box is a running box.
+// Box runs all services of a box.
 type Box struct {
-	env  *Env
-	kern *kernel.Kernel
+	env    *Env
+	kernel *kernel.Kernel
 }
 
-// New makes a box from settings; nothing runs yet.
+// New returns a box with the settings. Start starts its services.
 func New(set conf.Settings, logger *slog.Logger) *Box {
 	env := &Env{
 		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.Random(),
 		Self: types.Member{Name: set.Box.Name, Zone: set.Box.Zone, Peer: set.Listen.Peers},
 		Log:  logc.New(set.Platform.Log, time.Duration(set.Platform.LogTimeout)),
 	}
-	return &Box{env: env, kern: kernel.New(env.Logger)}
+	return &Box{env: env, kernel: kernel.New(env.Logger)}
 }
 
-// Start starts all services.
+// Start creates and starts all services in dependency order.
 func (b *Box) Start(ctx context.Context) error {
-	names := make([]string, 0, len(makers))
-	for name := range makers {
+	names := make([]string, 0, len(partBuilders))
+	for name := range partBuilders {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	parts := make([]kernel.Part, 0, len(names))
 	for _, name := range names {
-		part := makers[name](b.env)
+		part := partBuilders[name](b.env)
 		part.Name = name
 		parts = append(parts, part)
 	}
-	if err := b.kern.Start(ctx, parts); err != nil {
+	if err := b.kernel.Start(ctx, parts); err != nil {
 		return err
 	}
 	b.env.Logger.Info("box: started", "zone", b.env.Self.Zone, "callers", b.env.Settings.Listen.Callers.String())
 	return nil
 }
 
-// Stop is a planned stop: it says that it leaves, hands its slots over while it still
-// serves, then finishes what it has accepted.
+// Stop stops the box gracefully: it announces that the box leaves, releases the slots while the
+// box still serves, and then finishes the accepted work, within Limits.StopWait in total.
 func (b *Box) Stop(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(b.env.Settings.Limits.StopWait))
 	defer stop()
 	b.env.Logger.Info("box: leaving")
-	b.leave()
+	b.announceLeave()
 	select {
-	case <-time.After(drain):
+	case <-time.After(drainDelay):
 	case <-ctx.Done():
 	}
-	if owners, ok := b.kern.Find("slots").(*slots.Slots); ok {
+	if owners, ok := b.kernel.Find("slots").(*slots.Slots); ok {
 		owners.Release(ctx)
 	}
-	// Once more, so that nobody forwards to this box for slots that it gave up.
-	b.leave()
-	err := b.kern.Stop(ctx)
+	// Announce the released slots, so that other boxes stop forwarding requests for them here.
+	b.announceLeave()
+	err := b.kernel.Stop(ctx)
 	b.env.Logger.Info("box: stopped")
 	return err
 }
 
-// leave tells the other boxes that this one leaves, and which slots it still holds.
-func (b *Box) leave() {
-	if view, ok := b.kern.Find("member").(*member.View); ok {
+// announceLeave sends heartbeats that say that this box leaves and which slots it still owns.
+func (b *Box) announceLeave() {
+	if view, ok := b.kernel.Find("member").(*member.View); ok {
 		view.Leave()
 	}
 }
--- a/gate/parts/doc.go
+++ b/gate/parts/doc.go
@@ -1,3 +1,3 @@
-// Package parts puts a box together: one file a service, each registered by name with
-// what it needs. Only this package knows all services.
+// Package parts assembles a box from its services. Each service is registered by name with the
+// names of the services that it depends on. No other package refers to all services.
 package parts
--- a/gate/parts/engine.go
+++ b/gate/parts/engine.go
@@ -25,7 +25,7 @@
 				Starve: time.Duration(set.Starve), Holds: set.Holds, Seed: seed.Sum64(),
 			}
 			queue := admit.New(env.Self.Zone, opts, k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger)
-			gossip(queue, k.Find("member").(*member.View))
+			exchangeEngineState(queue, k.Find("member").(*member.View))
 			return queue, nil
 		}}
 	})
@@ -39,9 +39,9 @@
 	})
 }
 
-// gossip tells other boxes what is under way here and which engines leave, and hears
-// the same of them.
-func gossip(queue *admit.Loop, view *member.View) {
+// exchangeEngineState adds to heartbeats the number of this box's streams in flight at each
+// engine and the engines that are leaving, and passes what other boxes report to the queue.
+func exchangeEngineState(queue *admit.Loop, view *member.View) {
 	view.Announce(func(beat *wire.BeatRequest) {
 		for name, streams := range queue.Mine() {
 			if streams > 0 {
--- a/gate/parts/errors_test.go
+++ b/gate/parts/errors_test.go
@@ -19,58 +19,60 @@
 	"mulleingate.dev/gate/front"
 )
 
+// turnBody returns the JSON body of a turn. extra, unless it is empty, must begin with a comma
+// and holds further fields.
 func turnBody(turn, text, extra string) string {
 	return `{"turn":` + turn + `,"max_tokens":8,"messages":[{"role":"user","content":"` + text + `"}]` + extra + `}`
 }
 
-// TestFailuresHaveTypes sends every kind of bad request and checks type, status and
-// not_run, and that none of them changed the program.
-func TestFailuresHaveTypes(t *testing.T) {
-	p := start(t, func(cfg *types.Config, _ *conf.Settings) {
+// TestBadRequestsGetTypedErrors sends each kind of bad request through both boxes. The answer
+// must have the right type and status and not_run set, and the program must not change.
+func TestBadRequestsGetTypedErrors(t *testing.T) {
+	p := startPair(t, func(cfg *types.Config, _ *conf.Settings) {
 		cfg.Policy.Place = `data_class != "secret" && (data_class != "nowhere" || use == "plaintext" || use == "checkpoint")`
 		cfg.Policy.Samples = nil
 	})
-	own := p.begin(plainProgram)
-	poor := p.begin(`{"model":"planner","data_class":"personal","budget":10}`)
-	late := p.begin(`{"model":"planner","data_class":"personal","budget":1000,"deadline":"1ms"}`)
-	noPlace := p.begin(`{"model":"planner","data_class":"nowhere","budget":100000}`)
-	other := p.begin(plainProgram)
-	turns := func(id string) string { return "/v1/programs/" + id + "/turns" }
-	ask := turnBody("1", canary+" len=4", "")
-	if code, _, problem := p.send(1, request{method: "POST", path: turns(own.ID), token: token, body: ask}); code != http.StatusOK {
+	valid := p.createProgram(programBody)
+	lowBudget := p.createProgram(`{"model":"planner","data_class":"personal","budget":10}`)
+	pastDeadline := p.createProgram(`{"model":"planner","data_class":"personal","budget":1000,"deadline":"1ms"}`)
+	notPlaceable := p.createProgram(`{"model":"planner","data_class":"nowhere","budget":100000}`)
+	other := p.createProgram(programBody)
+	turnsPath := func(id string) string { return "/v1/programs/" + id + "/turns" }
+	firstTurn := turnBody("1", canary+" len=4", "")
+	if code, _, problem := p.send(1, request{method: "POST", path: turnsPath(valid.ID), token: token, body: firstTurn}); code != http.StatusOK {
 		t.Fatalf("turn 1: %d %+v", code, problem)
 	}
-	before := p.state(own.ID)
+	before := p.readState(valid.ID)
 	cases := []struct {
 		name string
 		req  request
 		kind fault.Kind
 	}{
-		{"bad json", request{"POST", turns(own.ID), token, "", `{"turn":`}, fault.BadJSON},
-		{"oversize body", request{"POST", turns(own.ID), token, "", `"` + strings.Repeat("x", 70<<10) + `"`}, fault.TooLarge},
-		{"unknown workspace", request{"POST", turns(own.ID), "wrong", "", ask}, fault.Unauthorized},
-		{"no token", request{"POST", turns(own.ID), "", "", ask}, fault.Unauthorized},
-		{"foreign program", request{"POST", turns(own.ID), sample.Token("wallonia"), "", ask}, fault.NoProgram},
-		{"foreign state", request{"GET", "/v1/programs/" + own.ID, sample.Token("wallonia"), "", ""}, fault.NoProgram},
-		{"foreign end", request{"DELETE", "/v1/programs/" + own.ID, sample.Token("wallonia"), "", ""}, fault.NoProgram},
-		{"malformed id", request{"POST", turns("nothing"), token, "", ask}, fault.NoProgram},
-		{"turn too far", request{"POST", turns(own.ID), token, "", turnBody("3", "x", "")}, fault.TurnConflict},
-		{"answered otherwise", request{"POST", turns(own.ID), token, "", turnBody("1", "else", "")}, fault.TurnConflict},
-		{"turn zero", request{"POST", turns(own.ID), token, "", turnBody("0", "x", "")}, fault.BadRequest},
-		{"no messages", request{"POST", turns(own.ID), token, "", `{"turn":2,"messages":[]}`}, fault.BadRequest},
-		{"altered continuation", request{"POST", turns(own.ID), token, "", turnBody("2", "x", `,"continuation":"AAAA"`)}, fault.BadContinuation},
-		{"foreign continuation", request{"POST", turns(own.ID), token, "", turnBody("2", "x", `,"continuation":"`+other.Continuation+`"`)}, fault.BadContinuation},
+		{"bad json", request{"POST", turnsPath(valid.ID), token, "", `{"turn":`}, fault.BadJSON},
+		{"oversize body", request{"POST", turnsPath(valid.ID), token, "", `"` + strings.Repeat("x", 70<<10) + `"`}, fault.TooLarge},
+		{"unknown workspace", request{"POST", turnsPath(valid.ID), "wrong", "", firstTurn}, fault.Unauthorized},
+		{"no token", request{"POST", turnsPath(valid.ID), "", "", firstTurn}, fault.Unauthorized},
+		{"program of another workspace", request{"POST", turnsPath(valid.ID), sample.Token("wallonia"), "", firstTurn}, fault.NoProgram},
+		{"state of another workspace's program", request{"GET", "/v1/programs/" + valid.ID, sample.Token("wallonia"), "", ""}, fault.NoProgram},
+		{"end of another workspace's program", request{"DELETE", "/v1/programs/" + valid.ID, sample.Token("wallonia"), "", ""}, fault.NoProgram},
+		{"malformed id", request{"POST", turnsPath("nothing"), token, "", firstTurn}, fault.NoProgram},
+		{"skipped turn", request{"POST", turnsPath(valid.ID), token, "", turnBody("3", "x", "")}, fault.TurnConflict},
+		{"another body for an answered turn", request{"POST", turnsPath(valid.ID), token, "", turnBody("1", "else", "")}, fault.TurnConflict},
+		{"turn zero", request{"POST", turnsPath(valid.ID), token, "", turnBody("0", "x", "")}, fault.BadRequest},
+		{"no messages", request{"POST", turnsPath(valid.ID), token, "", `{"turn":2,"messages":[]}`}, fault.BadRequest},
+		{"altered continuation", request{"POST", turnsPath(valid.ID), token, "", turnBody("2", "x", `,"continuation":"AAAA"`)}, fault.BadContinuation},
+		{"continuation of another program", request{"POST", turnsPath(valid.ID), token, "", turnBody("2", "x", `,"continuation":"`+other.Continuation+`"`)}, fault.BadContinuation},
 		{"unknown model", request{"POST", "/v1/programs", token, "", `{"model":"m","data_class":"personal","budget":1}`}, fault.UnknownModel},
 		{"no data class", request{"POST", "/v1/programs", token, "", `{"model":"planner","budget":1}`}, fault.BadRequest},
 		{"no budget", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"personal"}`}, fault.BadRequest},
 		{"no allowed box", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"secret","budget":1}`}, fault.NoPlace},
-		{"no allowed target", request{"POST", turns(noPlace.ID), token, "", ask}, fault.NoPlace},
-		{"spent budget", request{"POST", turns(poor.ID), token, "", turnBody("1", strings.Repeat("w ", 40), "")}, fault.BudgetSpent},
-		{"missed deadline", request{"POST", turns(late.ID), token, "", ask}, fault.DeadlineMissed},
+		{"no allowed target", request{"POST", turnsPath(notPlaceable.ID), token, "", firstTurn}, fault.NoPlace},
+		{"spent budget", request{"POST", turnsPath(lowBudget.ID), token, "", turnBody("1", strings.Repeat("w ", 40), "")}, fault.BudgetSpent},
+		{"missed deadline", request{"POST", turnsPath(pastDeadline.ID), token, "", firstTurn}, fault.DeadlineMissed},
 		{"unknown service", request{"POST", "/v1/services/none/calls", token, "", `{"input":1}`}, fault.UnknownService},
 		{"no input", request{"POST", "/v1/services/booking/calls", token, "", `{}`}, fault.BadRequest},
 		{"long key", request{"POST", "/v1/services/booking/calls", token, strings.Repeat("k", 200), `{"input":1}`}, fault.BadRequest},
-		{"agent of nothing", request{"POST", "/v1/programs/hall-gent.0.ffff/agents", token, "", plainProgram}, fault.NoProgram},
+		{"agent of an unknown program", request{"POST", "/v1/programs/hall-gent.0.ffff/agents", token, "", programBody}, fault.NoProgram},
 	}
 	time.Sleep(5 * time.Millisecond)
 	for _, c := range cases {
@@ -85,13 +87,14 @@
 			}
 		})
 	}
-	if diff := cmp.Diff(before, p.state(own.ID), cmpopts.IgnoreFields(types.ProgramState{}, "Continuation")); diff != "" {
+	if diff := cmp.Diff(before, p.readState(valid.ID), cmpopts.IgnoreFields(types.ProgramState{}, "Continuation")); diff != "" {
 		t.Errorf("bad requests changed the program (-before +after):\n%s", diff)
 	}
-	p.clean()
+	p.checkNoContentLeak()
 }
 
-func (p *pair) state(id string) types.ProgramState {
+// readState returns the state of a program as box 0 reports it.
+func (p *boxPair) readState(id string) types.ProgramState {
 	p.t.Helper()
 	var state types.ProgramState
 	_, raw, _ := p.send(0, request{method: http.MethodGet, path: "/v1/programs/" + id, token: token})
@@ -101,37 +104,38 @@
 	return state
 }
 
-// clean checks that content shows up nowhere but in answers.
-func (p *pair) clean() {
+// checkNoContentLeak checks that no content of calls is in the boxes' logs, errors, metrics or
+// status, or in the first slot's records on the platform's log.
+func (p *boxPair) checkNoContentLeak() {
 	p.t.Helper()
-	places := map[string]string{"logs": p.logs.text(), "problems": p.seen.String()}
+	sources := map[string]string{"logs": p.logs.text(), "problems": p.problems.String()}
 	for _, set := range p.sets {
 		for _, path := range []string{"/metrics", "/status"} {
 			var out json.RawMessage
 			if err := p.cli.Call(p.t.Context(), http.MethodGet, "http://"+set.Listen.Admin.String()+path, nil, &out); err != nil {
 				p.t.Fatal(err)
 			}
-			places[set.Box.Name+path] = string(out)
+			sources[set.Box.Name+path] = string(out)
 		}
 	}
-	page, err := p.plat.Log.Read(p.t.Context(), "slot.hall-gent.0", 0, 1000)
+	page, err := p.platform.Log.Read(p.t.Context(), "slot.hall-gent.0", 0, 1000)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	for _, entry := range page.Entries {
-		places["platform log"] += string(entry.Data)
+		sources["platform log"] += string(entry.Data)
 	}
-	for name, text := range places {
+	for name, text := range sources {
 		if strings.Contains(text, canary) {
-			p.t.Errorf("content shows up in %s", name)
+			p.t.Errorf("content of a call appears in %s", name)
 		}
 	}
 }
 
-// TestKeyedCalls checks that a key runs once: a repeat through the other box gets the
-// stored answer, and another body with the key is refused.
-func TestKeyedCalls(t *testing.T) {
-	p := start(t, nil)
+// TestIdempotencyKeyRunsOnce checks that a call runs once per key: a repeat through the other
+// box gets the stored answer, and a different body with the same key is rejected.
+func TestIdempotencyKeyRunsOnce(t *testing.T) {
+	p := startPair(t, nil)
 	call := request{"POST", "/v1/services/booking/calls?data_class=personal", token, "chair-7", `{"input":{"chair":7}}`}
 	var answers []types.ServiceAnswer
 	for i := range 2 {
@@ -143,89 +147,90 @@
 		answers = append(answers, answer)
 	}
 	if diff := cmp.Diff(string(answers[0].Output), string(answers[1].Output)); diff != "" || !answers[1].Stored {
-		t.Errorf("repeat is stored: %v (-first +repeat):\n%s", answers[1].Stored, diff)
+		t.Errorf("repeat: stored is %v, output (-first +repeat):\n%s", answers[1].Stored, diff)
 	}
-	if diff := cmp.Diff(map[string]int{"flanders/chair-7": 1}, p.plat.Effects()); diff != "" {
+	if diff := cmp.Diff(map[string]int{"flanders/chair-7": 1}, p.platform.Effects()); diff != "" {
 		t.Errorf("effects (-want +got):\n%s", diff)
 	}
 	call.body = `{"input":{"chair":8}}`
 	if _, _, problem := p.send(0, call); problem.Title != string(fault.KeyReused) {
-		t.Errorf("another body with the key: %+v", problem)
+		t.Errorf("different body with the same key: %+v", problem)
 	}
 }
 
-// TestKeysRotate publishes new data keys while a program lives, until its first key is
-// gone from use for sealing but still opens.
-func TestKeysRotate(t *testing.T) {
-	p := start(t, nil)
-	prog := p.begin(plainProgram)
-	cont := prog.Continuation
+// TestDataKeyRotation publishes a new data key after each turn. The next turn must accept the
+// continuation that was sealed with an older key.
+func TestDataKeyRotation(t *testing.T) {
+	p := startPair(t, nil)
+	prog := p.createProgram(programBody)
+	continuation := prog.Continuation
 	root, err := p.sets[0].Security.Root()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for turn := 1; turn <= 3; turn++ {
-		body := turnBody(string(rune('0'+turn)), canary+" len=4", `,"continuation":"`+cont+`"`)
+		body := turnBody(string(rune('0'+turn)), canary+" len=4", `,"continuation":"`+continuation+`"`)
 		code, raw, problem := p.send(turn%2, request{"POST", "/v1/programs/" + prog.ID + "/turns", token, "", body})
 		var answer types.TurnAnswer
 		if code != http.StatusOK || json.Unmarshal(raw, &answer) != nil {
 			t.Fatalf("turn %d: %d %+v", turn, code, problem)
 		}
-		cont = answer.Continuation
+		continuation = answer.Continuation
 		p.cfg.Keys = append(p.cfg.Keys, root.NewKey("k"+string(rune('1'+turn))))
 		p.publish(int64(turn))
-		p.inForce(int64(turn + 1))
+		p.waitRevision(int64(turn + 1))
 	}
-	p.clean()
+	p.checkNoContentLeak()
 }
 
-func (p *pair) inForce(number int64) {
+// waitRevision waits until both boxes use at least the revision number.
+func (p *boxPair) waitRevision(number int64) {
 	p.t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
-		have := 0
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
+		ready := 0
 		for _, set := range p.sets {
 			var st types.BoxStatus
 			if p.cli.Call(p.t.Context(), http.MethodGet, "http://"+set.Listen.Admin.String()+"/status", nil, &st) == nil && st.Revision >= number {
-				have++
+				ready++
 			}
 		}
-		if have == len(p.sets) {
+		if ready == len(p.sets) {
 			return
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	p.t.Fatalf("revision %d was not in force in time", number)
+	p.t.Fatalf("the boxes did not reach revision %d in time", number)
 }
 
-// TestTighteningReleasesCaches publishes a policy that no longer allows the engine, and
-// checks that the program's cache there goes and its next turn is refused.
-func TestTighteningReleasesCaches(t *testing.T) {
-	p := start(t, nil)
-	prog := p.begin(plainProgram)
+// TestStricterPolicyReleasesCaches publishes a policy that no longer allows the engine. The
+// engine must drop the program's cache, and the program's next turn must be rejected.
+func TestStricterPolicyReleasesCaches(t *testing.T) {
+	p := startPair(t, nil)
+	prog := p.createProgram(programBody)
 	path := "/v1/programs/" + prog.ID + "/turns"
 	if code, _, problem := p.send(0, request{"POST", path, token, "", turnBody("1", "hello len=4", "")}); code != http.StatusOK {
 		t.Fatalf("turn 1: %d %+v", code, problem)
 	}
 	p.cfg.Policy = types.Policy{Place: `use == "plaintext" || use == "checkpoint"`}
 	p.publish(1)
-	p.inForce(2)
-	engine := p.plat.Engines["engine-0"]
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	p.waitRevision(2)
+	engine := p.platform.Engines["engine-0"]
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if len(engine.Items()) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if diff := cmp.Diff(0, len(engine.Items())); diff != "" {
-		t.Errorf("caches after tightening (-want +got):\n%s", diff)
+		t.Errorf("caches under the stricter policy (-want +got):\n%s", diff)
 	}
 	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoPlace) {
 		t.Errorf("turn 2: %+v", problem)
 	}
 }
 
-// TestRoutesAreDescribed holds the served routes against the OpenAPI file.
-func TestRoutesAreDescribed(t *testing.T) {
+// TestRoutesMatchOpenAPI checks that the routes for callers are those in the OpenAPI file.
+func TestRoutesMatchOpenAPI(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/openapi.json")
 	if err != nil {
 		t.Fatal(err)
--- a/gate/parts/fleet_test.go
+++ b/gate/parts/fleet_test.go
@@ -23,53 +23,56 @@
 	"mulleingate.dev/stand/plat"
 )
 
-// patience bounds waits for other goroutines on a busy machine; it decides nothing.
-const patience = time.Minute
+// waitTimeout is a generous bound on waits, so that tests do not fail on a busy machine.
+const waitTimeout = time.Minute
 
-// canary stands in every content; no log line, figure, step or problem may hold it.
+// canary is part of the content of calls, which must not appear in logs, metrics or errors.
 const canary = "canary-7f3a"
 
-// logs collects what boxes log.
-type logs struct {
+// logBuffer collects the log output of the boxes. It is safe for concurrent use.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logs) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logs) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// pair is two boxes of one zone and a platform, in this process.
-type pair struct {
-	t    *testing.T
-	plat *plat.Platform
-	sets []conf.Settings
-	cli  *client.Client
-	logs *logs
-	cfg  types.Config
-	keys sample.Keys
-	seen bytes.Buffer
+// boxPair runs two boxes of one zone and a simulated platform in this process.
+type boxPair struct {
+	t        *testing.T
+	platform *plat.Platform
+	sets     []conf.Settings
+	cli      *client.Client
+	logs     *logBuffer
+	cfg      types.Config
+	keys     sample.Keys
+	// problems collects the bodies of all error answers.
+	problems bytes.Buffer
 }
 
-func start(t *testing.T, edit func(cfg *types.Config, set *conf.Settings)) *pair {
+// startPair starts the platform and both boxes and waits until they are ready. edit, unless it
+// is nil, may change the configuration and the settings of each box.
+func startPair(t *testing.T, edit func(cfg *types.Config, set *conf.Settings)) *boxPair {
 	t.Helper()
 	shape := sample.Ghent()
 	shape.Zones = shape.Zones[:1]
-	p := &pair{t: t, cli: client.New("test", nil), logs: &logs{}, keys: sample.NewKeys("test")}
+	p := &boxPair{t: t, cli: client.New("test", nil), logs: &logBuffer{}, keys: sample.NewKeys("test")}
 	var err error
-	p.plat, err = plat.New(plat.Spec{Zones: shape.Zones, Engines: 1, Model: "planner", Services: map[string]int{"booking": 1, "calendar": 1}})
+	p.platform, err = plat.New(plat.Spec{Zones: shape.Zones, Engines: 1, Model: "planner", Services: map[string]int{"booking": 1, "calendar": 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.plat.Stop)
+	t.Cleanup(p.platform.Stop)
 	p.cfg, err = sample.Config(shape, p.keys)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +85,7 @@
 		set := conf.Defaults()
 		set.Box = conf.Box{Name: name, Zone: shape.Zones[0]}
 		set.Listen = conf.Listen{Callers: ports[3*i], Peers: ports[3*i+1], Admin: ports[3*i+2]}
-		set.Platform.Log, set.Platform.List = p.plat.LogAddr, p.plat.ListAt
+		set.Platform.Log, set.Platform.List = p.platform.LogAddr, p.platform.ListAt
 		set.Security = conf.Security{RootKey: p.keys.Root, OperatorKeys: [][]byte{p.keys.Public()}, InsecureLoopback: true}
 		set.Member.Beat, set.Member.Suspect = types.Duration(100*time.Millisecond), types.Duration(1500*time.Millisecond)
 		set.Limits.BodyBytes, set.Limits.BodyTimeout = 64<<10, types.Duration(200*time.Millisecond)
@@ -90,7 +93,7 @@
 		if edit != nil {
 			edit(&p.cfg, &set)
 		}
-		p.plat.Add(types.Member{Name: name, Zone: set.Box.Zone, Peer: set.Listen.Peers})
+		p.platform.Add(types.Member{Name: name, Zone: set.Box.Zone, Peer: set.Listen.Peers})
 		p.sets = append(p.sets, set)
 	}
 	p.publish(0)
@@ -106,22 +109,23 @@
 			_ = box.Stop(ctx)
 		})
 	}
-	p.ready()
+	p.waitReady()
 	return p
 }
 
-func (p *pair) publish(base int64) {
+// publish publishes p.cfg as the revision that follows base.
+func (p *boxPair) publish(base int64) {
 	p.t.Helper()
-	log := logc.New(p.plat.LogAddr, time.Second)
+	log := logc.New(p.platform.LogAddr, time.Second)
 	if _, err := revs.Publish(p.t.Context(), log, p.keys.Operator, revs.Keys(p.keys.Public()), revs.Draft{Base: base, Config: p.cfg}); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// ready waits until both boxes are ready and own all slots between them.
-func (p *pair) ready() {
+// waitReady waits until both boxes are ready and together own all slots.
+func (p *boxPair) waitReady() {
 	p.t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		owned := 0
 		for _, set := range p.sets {
 			var st types.BoxStatus
@@ -135,16 +139,16 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.t.Fatal("the boxes were not ready in time")
+	p.t.Fatal("the boxes were not ready or did not own all slots in time")
 }
 
-// request is one call of a caller.
+// request is an HTTP request of a caller; key is the idempotency key.
 type request struct {
 	method, path, token, key, body string
 }
 
-// send sends it to box i and returns status, body and, if it failed, the problem.
-func (p *pair) send(i int, r request) (int, []byte, fault.Problem) {
+// send sends r to box i and returns the status, the body and, for an error, the decoded problem.
+func (p *boxPair) send(i int, r request) (int, []byte, fault.Problem) {
 	p.t.Helper()
 	req, err := http.NewRequestWithContext(p.t.Context(), r.method, "http://"+p.sets[i].Listen.Callers.String()+r.path, strings.NewReader(r.body))
 	if err != nil {
@@ -168,15 +172,16 @@
 	var problem fault.Problem
 	if resp.StatusCode >= http.StatusBadRequest {
 		_ = json.Unmarshal(raw, &problem)
-		p.seen.Write(raw)
+		p.problems.Write(raw)
 	}
 	return resp.StatusCode, raw, problem
 }
 
+// token authenticates the workspace flanders.
 var token = sample.Token("flanders")
 
-// begin makes a program through box 0.
-func (p *pair) begin(body string) types.ProgramState {
+// createProgram creates a program through box 0.
+func (p *boxPair) createProgram(body string) types.ProgramState {
 	p.t.Helper()
 	code, raw, problem := p.send(0, request{method: http.MethodPost, path: "/v1/programs", token: token, body: body})
 	var state types.ProgramState
@@ -186,4 +191,5 @@
 	return state
 }
 
-const plainProgram = `{"model":"planner","data_class":"personal","kind":"booking","budget":100000}`
+// programBody is a valid body for creating a program.
+const programBody = `{"model":"planner","data_class":"personal","kind":"booking","budget":100000}`
--- a/gate/parts/front.go
+++ b/gate/parts/front.go
@@ -25,25 +25,26 @@
 	"mulleingate.dev/gate/trail"
 )
 
-// listener serves routes on one address.
+// listener is a kernel.Service that serves a handler on one address.
 type listener struct {
 	addr    netip.AddrPort
 	tlsConf *tls.Config
 	handler http.Handler
-	srv     *server.Server
+	server  *server.Server
 }
 
 func (l *listener) Start(context.Context) error {
 	srv, err := server.Listen(l.addr, l.handler, l.tlsConf)
-	l.srv = srv
+	l.server = srv
 	return err
 }
 
 func (l *listener) Stop(ctx context.Context) error {
-	return l.srv.Stop(ctx)
+	return l.server.Stop(ctx)
 }
 
-func listen(addr netip.AddrPort, routes []rest.Route, tlsConf *tls.Config) (*listener, error) {
+// newListener returns a listener for the routes. It binds the address when it is started.
+func newListener(addr netip.AddrPort, routes []rest.Route, tlsConf *tls.Config) (*listener, error) {
 	handler, err := server.Handler(routes)
 	if err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 		set := env.Settings.Limits
 		opts := front.Options{Zone: env.Self.Zone, BodyBytes: set.BodyBytes, BodyTimeout: time.Duration(set.BodyTimeout), OwnerWait: time.Duration(set.OwnerWait)}
 		return front.New(opts, k.Find("prog").(*prog.Prog), k.Find("plain").(*plain.Plain), k.Find("slots").(*slots.Slots),
-			k.Find("dialer").(dialer), k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger), nil
+			k.Find("dialer").(dialerService), k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger), nil
 	}}
 }
 
@@ -74,7 +75,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return listen(env.Settings.Listen.Callers, k.Find("front").(*front.Front).Routes(), tlsConf)
+		return newListener(env.Settings.Listen.Callers, k.Find("front").(*front.Front).Routes(), tlsConf)
 	}}
 }
 
@@ -84,7 +85,7 @@
 		if err != nil {
 			return nil, err
 		}
-		ln, err := listen(env.Settings.Listen.Peers, k.Find("front").(*front.Front).PeerRoutes(), tlsConf)
+		ln, err := newListener(env.Settings.Listen.Peers, k.Find("front").(*front.Front).PeerRoutes(), tlsConf)
 		if err != nil {
 			return nil, err
 		}
@@ -106,6 +107,6 @@
 	return kernel.Part{Needs: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 		adm := admin.New(env.Self, Version, k.Find("meter").(*meter.Meter), k.Find("trail").(*trail.Trail),
 			k.Find("slots").(*slots.Slots), k.Find("member").(*member.View), k.Find("policy").(*policy.Store), k.Find("admit").(*admit.Loop))
-		return listen(env.Settings.Listen.Admin, adm.Routes(), nil)
+		return newListener(env.Settings.Listen.Admin, adm.Routes(), nil)
 	}}
 }
--- a/gate/parts/member.go
+++ b/gate/parts/member.go
@@ -13,13 +13,14 @@
 	"mulleingate.dev/gate/member"
 )
 
-// lister reads the platform's list. A list that has not changed is not sent again.
+// lister reads the platform's list. It keeps the last list and its ETag, so that the platform
+// sends a list only if it has changed.
 type lister struct {
 	addr netip.AddrPort
 	http *client.Client
 
 	mu   sync.Mutex
-	tag  string
+	etag string
 	last types.List
 }
 
@@ -31,8 +32,8 @@
 	if err != nil {
 		return types.List{}, err
 	}
-	if l.tag != "" {
-		req.Header.Set("If-None-Match", l.tag)
+	if l.etag != "" {
+		req.Header.Set("If-None-Match", l.etag)
 	}
 	resp, err := l.http.Do(req)
 	if err != nil {
@@ -46,7 +47,7 @@
 	if err := client.Decode(resp, &list); err != nil {
 		return list, err
 	}
-	l.last, l.tag = list, resp.Header.Get("ETag")
+	l.last, l.etag = list, resp.Header.Get("ETag")
 	return list, nil
 }
 
@@ -58,7 +59,7 @@
 				Beat: time.Duration(set.Beat), Suspect: time.Duration(set.Suspect), List: time.Duration(set.List), Fanout: set.Fanout,
 			}
 			list := &lister{addr: env.Settings.Platform.List, http: client.New("list", nil)}
-			return member.New(env.Self, env.Incarnation, list, k.Find("dialer").(dialer), timing, env.Logger), nil
+			return member.New(env.Self, env.Incarnation, list, k.Find("dialer").(dialerService), timing, env.Logger), nil
 		}}
 	})
 }
--- a/gate/parts/peer.go
+++ b/gate/parts/peer.go
@@ -7,11 +7,11 @@
 	"mulleingate.dev/gate/peer"
 )
 
-// dialer is the client side of boxes as a service.
-type dialer struct{ *peer.Dialer }
+// dialerService makes peer.Dialer, the client for requests to other boxes, a kernel.Service.
+type dialerService struct{ *peer.Dialer }
 
-func (dialer) Start(context.Context) error { return nil }
-func (dialer) Stop(context.Context) error  { return nil }
+func (dialerService) Start(context.Context) error { return nil }
+func (dialerService) Stop(context.Context) error  { return nil }
 
 func init() {
 	register("dialer", func(env *Env) kernel.Part {
@@ -20,7 +20,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return dialer{peer.New(tlsConf)}, nil
+			return dialerService{peer.New(tlsConf)}, nil
 		}}
 	})
 }
--- a/gate/parts/policy.go
+++ b/gate/parts/policy.go
@@ -18,7 +18,7 @@
 			plat := env.Settings.Platform
 			timing := policy.Timing{Poll: time.Duration(plat.ConfigPoll), Retention: time.Duration(plat.Retention)}
 			return policy.New(env.Self.Name, root, env.Settings.Security.Operators(), env.Log,
-				k.Find("dialer").(dialer), k.Find("member").(*member.View), timing, env.Logger), nil
+				k.Find("dialer").(dialerService), k.Find("member").(*member.View), timing, env.Logger), nil
 		}}
 	})
 }
--- a/gate/parts/prog.go
+++ b/gate/parts/prog.go
@@ -16,11 +16,11 @@
 	"mulleingate.dev/gate/trail"
 )
 
-// pools is the routing to plain services as a service.
-type pools struct{ *plain.Pools }
+// poolsService makes plain.Pools, which routes calls to plain services, a kernel.Service.
+type poolsService struct{ *plain.Pools }
 
-func (pools) Start(context.Context) error { return nil }
-func (pools) Stop(context.Context) error  { return nil }
+func (poolsService) Start(context.Context) error { return nil }
+func (poolsService) Stop(context.Context) error  { return nil }
 
 func init() {
 	register("prog", func(env *Env) kernel.Part {
@@ -45,13 +45,13 @@
 					p.Leaving(name)
 				}
 			})
-			return pools{p}, nil
+			return poolsService{p}, nil
 		}}
 	})
 	register("plain", func(env *Env) kernel.Part {
 		needs := []string{"slots", "pools", "policy", "meter"}
 		return kernel.Part{Needs: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			return plain.New(k.Find("slots").(*slots.Slots), k.Find("pools").(pools), k.Find("policy").(*policy.Store),
+			return plain.New(k.Find("slots").(*slots.Slots), k.Find("pools").(poolsService), k.Find("policy").(*policy.Store),
 				k.Find("meter").(*meter.Meter), env.Logger), nil
 		}}
 	})
--- a/gate/parts/slow_test.go
+++ b/gate/parts/slow_test.go
@@ -12,10 +12,10 @@
 	"mulleingate.dev/base/sample"
 )
 
-// TestSlowCallersAreCutOff sends a header and a body that never end: neither holds a
-// connection for long, and both leave the box serving.
-func TestSlowCallersAreCutOff(t *testing.T) {
-	p := start(t, nil)
+// TestSlowCallersAreDisconnected sends a header and a body that never end. The box must answer
+// with an error or close the connection, and must still serve other callers.
+func TestSlowCallersAreDisconnected(t *testing.T) {
+	p := startPair(t, nil)
 	addr := p.sets[0].Listen.Callers.String()
 	head := "POST /v1/programs HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + sample.Token("flanders") + "\r\n"
 	for name, text := range map[string]string{
@@ -37,12 +37,12 @@
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				t.Fatal("the connection was held")
+				t.Fatal("the box neither answered nor closed the connection")
 			}
 			if err == nil && resp.StatusCode < http.StatusBadRequest {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("unfinished request got status %d, want an error", resp.StatusCode)
 			}
 		})
 	}
-	p.begin(plainProgram)
+	p.createProgram(programBody)
 }
--- a/gate/parts/tls.go
+++ b/gate/parts/tls.go
@@ -11,62 +11,66 @@
 	"mulleingate.dev/gate/conf"
 )
 
-// reload looks at the certificate files at most this often.
-const reload = 5 * time.Second
+// reloadInterval is the minimum time between two checks of a certificate file for changes.
+const reloadInterval = 5 * time.Second
 
-// keeper reads certificate files again when they change, so that keys rotate without a
-// restart.
-type keeper struct {
-	conf conf.Cert
+// certReloader reads the certificate, key and CA files again when the modification time of the
+// certificate file changes, so that certificates can be replaced without a restart.
+type certReloader struct {
+	files conf.Cert
 
-	mu     sync.Mutex
-	looked time.Time
-	stamp  time.Time
-	cert   *tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	checkedAt time.Time
+	modTime   time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-func newKeeper(set conf.Cert) (*keeper, error) {
-	k := &keeper{conf: set}
-	_, _, err := k.get()
-	return k, err
+func newCertReloader(set conf.Cert) (*certReloader, error) {
+	r := &certReloader{files: set}
+	_, _, err := r.get()
+	return r, err
 }
 
-func (k *keeper) get() (*tls.Certificate, *x509.CertPool, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cert != nil && time.Since(k.looked) < reload {
-		return k.cert, k.pool, nil
-	}
-	k.looked = time.Now()
-	info, err := os.Stat(k.conf.Cert)
+// get returns the current certificate and the pool of CA certificates, which is nil without a
+// CA file.
+func (r *certReloader) get() (*tls.Certificate, *x509.CertPool, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cert != nil && time.Since(r.checkedAt) < reloadInterval {
+		return r.cert, r.pool, nil
+	}
+	r.checkedAt = time.Now()
+	info, err := os.Stat(r.files.Cert)
 	if err != nil {
-		return k.old(err)
+		return r.keepOld(err)
 	}
-	if k.cert != nil && info.ModTime().Equal(k.stamp) {
-		return k.cert, k.pool, nil
+	if r.cert != nil && info.ModTime().Equal(r.modTime) {
+		return r.cert, r.pool, nil
 	}
-	cert, err := tls.LoadX509KeyPair(k.conf.Cert, k.conf.Key)
+	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
-		return k.old(err)
+		return r.keepOld(err)
 	}
-	pool, err := readPool(k.conf.CA)
+	pool, err := readCertPool(r.files.CA)
 	if err != nil {
-		return k.old(err)
+		return r.keepOld(err)
 	}
-	k.cert, k.pool, k.stamp = &cert, pool, info.ModTime()
-	return k.cert, k.pool, nil
+	r.cert, r.pool, r.modTime = &cert, pool, info.ModTime()
+	return r.cert, r.pool, nil
 }
 
-// old keeps the certificate in force when the files cannot be read.
-func (k *keeper) old(err error) (*tls.Certificate, *x509.CertPool, error) {
-	if k.cert != nil {
-		return k.cert, k.pool, nil
+// keepOld returns the last valid certificate when the files cannot be read, and an error if
+// there is none.
+func (r *certReloader) keepOld(err error) (*tls.Certificate, *x509.CertPool, error) {
+	if r.cert != nil {
+		return r.cert, r.pool, nil
 	}
 	return nil, nil, fault.Refuse(fault.BadSettings, "certificate cannot be read").Because(err)
 }
 
-func readPool(path string) (*x509.CertPool, error) {
+// readCertPool reads CA certificates from a PEM file. Without a path it returns nil.
+func readCertPool(path string) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -81,32 +85,33 @@
 	return pool, nil
 }
 
-// callerTLS serves callers; nil without certificates.
+// callerTLS returns the server configuration for callers, or nil if no certificate is set.
 func callerTLS(set conf.Cert) (*tls.Config, error) {
 	if !set.Set() {
 		return nil, nil
 	}
-	k, err := newKeeper(set)
+	r, err := newCertReloader(set)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		cert, _, err := k.get()
+		cert, _, err := r.get()
 		return cert, err
 	}}, nil
 }
 
-// peerServerTLS takes only boxes whose certificate the CA has signed.
+// peerServerTLS returns the server configuration for other boxes, or nil if no certificate is
+// set. It accepts only clients with a certificate signed by the CA.
 func peerServerTLS(set conf.Cert) (*tls.Config, error) {
 	if !set.Set() {
 		return nil, nil
 	}
-	k, err := newKeeper(set)
+	r, err := newCertReloader(set)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		cert, pool, err := k.get()
+		cert, pool, err := r.get()
 		if err != nil {
 			return nil, err
 		}
@@ -117,38 +122,40 @@
 	}}, nil
 }
 
-// peerClientTLS shows this box's certificate and checks that the other side's is signed
-// by the CA. Boxes are known by number, so names are not compared.
+// peerClientTLS returns the client configuration for other boxes, or nil if no certificate is
+// set. It presents this box's certificate and requires that the server's is signed by the CA.
+// It does not verify the host name, because boxes are addressed by IP address.
 func peerClientTLS(set conf.Cert) (*tls.Config, error) {
 	if !set.Set() {
 		return nil, nil
 	}
-	k, err := newKeeper(set)
+	r, err := newCertReloader(set)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The chain is verified below; only the host name is not.
+		// VerifyConnection verifies the certificate chain, but not the host name.
 		InsecureSkipVerify: true, //nolint:gosec // see VerifyConnection
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			cert, _, err := k.get()
+			cert, _, err := r.get()
 			return cert, err
 		},
-		VerifyConnection: func(state tls.ConnectionState) error { return verify(k, state) },
+		VerifyConnection: func(state tls.ConnectionState) error { return verifyPeer(r, state) },
 	}, nil
 }
 
-func verify(k *keeper, state tls.ConnectionState) error {
-	_, pool, err := k.get()
+// verifyPeer returns an error unless the server's certificate chain leads to the CA.
+func verifyPeer(r *certReloader, state tls.ConnectionState) error {
+	_, pool, err := r.get()
 	if err != nil {
 		return err
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
-	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: between})
+	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: intermediates})
 	if err != nil {
 		return fault.Refuse(fault.BadKey, "the box's certificate is not signed by the CA").Because(err)
 	}
--- a/gate/parts/tls_test.go
+++ b/gate/parts/tls_test.go
@@ -23,15 +23,15 @@
 	"mulleingate.dev/gate/peer"
 )
 
-// authority signs certificates for boxes.
-type authority struct {
+// testCA is a certificate authority that issues certificates for boxes.
+type testCA struct {
 	t    *testing.T
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -49,12 +49,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &authority{t: t, cert: cert, key: key, dir: t.TempDir()}
+	a := &testCA{t: t, cert: cert, key: key, dir: t.TempDir()}
 	a.write("ca.crt", "CERTIFICATE", der)
 	return a
 }
 
-func (a *authority) write(name, kind string, der []byte) {
+// write writes a PEM file of the given block type to the CA's directory.
+func (a *testCA) write(name, kind string, der []byte) {
 	a.t.Helper()
 	raw := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	if err := os.WriteFile(filepath.Join(a.dir, name), raw, 0o600); err != nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// issue writes a certificate that lasts until the given time.
-func (a *authority) issue(name string, until time.Time) conf.Cert {
+// issue writes a certificate and key that are valid until expiry and returns their paths.
+func (a *testCA) issue(name string, expiry time.Time) conf.Cert {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 	tmpl := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-2 * time.Hour),
-		NotAfter: until, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		NotAfter: expiry, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &key.PublicKey, a.key)
@@ -88,30 +89,32 @@
 	return conf.Cert{Cert: path(name + ".crt"), Key: path(name + ".key"), CA: path("ca.crt")}
 }
 
-// echo answers heartbeats.
-type echo struct{}
+// echoPeer answers each heartbeat with the same heartbeat.
+type echoPeer struct{}
 
-func (echo) Beat(_ context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error) {
+func (echoPeer) Beat(_ context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error) {
 	return &wire.BeatReply{Self: beat}, nil
 }
 
-func (echo) Newer(int64) []byte { return nil }
+func (echoPeer) Newer(int64) []byte { return nil }
 
-func TestOnlyBoxesOfTheSameAuthorityTalk(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	soon := time.Now().Add(time.Hour)
-	tlsConf, err := peerServerTLS(ours.issue("server", soon))
+// TestPeersRequireCertificateFromSameCA checks that a box rejects peers without a valid
+// certificate from its own CA.
+func TestPeersRequireCertificateFromSameCA(t *testing.T) {
+	ownCA, otherCA := newTestCA(t), newTestCA(t)
+	expiry := time.Now().Add(time.Hour)
+	tlsConf, err := peerServerTLS(ownCA.issue("server", expiry))
 	if err != nil {
 		t.Fatal(err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/", peer.NewServer(echo{}, echo{}))
+	mux.Handle("/", peer.NewServer(echoPeer{}, echoPeer{}))
 	srv, err := server.Listen(netip.MustParseAddrPort("127.0.0.1:0"), mux, tlsConf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = srv.Stop(t.Context()) })
-	beat := func(cert conf.Cert) error {
+	sendBeat := func(cert conf.Cert) error {
 		clientConf, err := peerClientTLS(cert)
 		if err != nil {
 			return err
@@ -119,16 +122,16 @@
 		_, err = peer.New(clientConf).Beat(t.Context(), srv.Addr(), &wire.BeatRequest{Box: "a"})
 		return err
 	}
-	if err := beat(ours.issue("client", soon)); err != nil {
-		t.Errorf("a box of the same authority was refused: %v", err)
+	if err := sendBeat(ownCA.issue("client", expiry)); err != nil {
+		t.Errorf("a box with a certificate from the same CA was rejected: %v", err)
 	}
-	if beat(theirs.issue("stranger", soon)) == nil {
-		t.Error("a box of another authority was let in")
+	if sendBeat(otherCA.issue("stranger", expiry)) == nil {
+		t.Error("a box with a certificate from another CA was accepted")
 	}
-	if beat(ours.issue("expired", time.Now().Add(-time.Hour))) == nil {
-		t.Error("an expired certificate was let in")
+	if sendBeat(ownCA.issue("expired", time.Now().Add(-time.Hour))) == nil {
+		t.Error("an expired certificate was accepted")
 	}
 	if _, err := peer.New(nil).Beat(t.Context(), srv.Addr(), &wire.BeatRequest{Box: "a"}); err == nil {
-		t.Error("a box without a certificate was let in")
+		t.Error("a box without a certificate was accepted")
 	}
 }
