--- a/gate/conf/security.go
+++ b/gate/conf/security.go
@@ -26,8 +26,8 @@
 type Cert struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA holds the certificates that the other side's certificate is verified against. It is
-	// required for peers.
+	// CA is the file with the certificates that the other side's certificate is verified
+	// against. It is required for peers.
 	CA string `json:"ca"`
 }
 
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -11,7 +11,8 @@
 type Member struct {
 	// Beat is the interval between heartbeats to other boxes.
 	Beat types.Duration `json:"beat"`
-	// Suspect is how long a box may be silent before it no longer counts as live.
+	// Suspect is how long a box may be silent before it no longer counts as live. It must be at
+	// least three times Beat.
 	Suspect types.Duration `json:"suspect"`
 	// List is the interval between reads of the platform's list.
 	List types.Duration `json:"list"`
