--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -32,7 +32,7 @@
 	Log         *logc.Log
 }
 
-// partBuilder returns the description of a service. register sets its name.
+// partBuilder returns the description of a service. Box.Start sets its name.
 type partBuilder func(env *Env) kernel.Part
 
 // partBuilders holds the builder of each service by the service's name.
