--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -17,18 +17,18 @@
 
 // Figures reads the box's metrics: all counters and histograms.
 type Figures interface {
-	Report() types.Figures
+	Report() types.Metrics
 }
 
 // Steps finds the recorded decision steps of a program or request.
 type Steps interface {
-	Find(id string) []types.Step
+	Find(id string) []types.TraceEvent
 }
 
 // Owners provides the slots that this box owns and their state.
 type Owners interface {
-	// Held maps each owned slot to its epoch.
-	Held() map[ident.Slot]int64
+	// Owned maps each owned slot to its epoch.
+	Owned() map[ident.Slot]int64
 	// Describe fills in the state of an owned slot.
 	Describe(ctx context.Context, id ident.Slot, st *types.SlotStatus)
 }
@@ -93,29 +93,29 @@
 		{Method: http.MethodGet, Path: "/live", Handler: a.handleLive},
 		{Method: http.MethodGet, Path: "/ready", Handler: a.handleReady},
 		{Method: http.MethodGet, Path: "/metrics", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, a.metrics.Report())
+			server.WriteJSON(w, http.StatusOK, a.metrics.Report())
 		}},
 		{Method: http.MethodGet, Path: "/status", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, a.Status(r.Context()))
+			server.WriteJSON(w, http.StatusOK, a.Status(r.Context()))
 		}},
 		{Method: http.MethodGet, Path: "/explain/:id", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, a.trail.Find(pathvar.Vars(r)["id"]))
+			server.WriteJSON(w, http.StatusOK, a.trail.Find(pathvar.Vars(r)["id"]))
 		}},
 	}
 }
 
 // handleLive reports that the process is running.
 func (a *Admin) handleLive(w http.ResponseWriter, _ *http.Request) {
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 // handleReady reports whether the box can serve callers.
 func (a *Admin) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if err := a.checkReady(); err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 // checkReady returns an error until the configuration is usable and the view has settled.
@@ -124,7 +124,7 @@
 		return err
 	}
 	if !a.view.Settled() {
-		return fault.Refuse(fault.OwnerUnknown, "the view of the other boxes has not settled yet").After(time.Second)
+		return fault.Refuse(fault.OwnerUnavailable, "the view of the other boxes has not settled yet").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -133,13 +133,13 @@
 func (a *Admin) Status(ctx context.Context) types.BoxStatus {
 	status := types.BoxStatus{
 		Box: a.self.Name, Zone: a.self.Zone, Version: a.version, Ready: true,
-		Up: types.Duration(time.Since(a.startedAt)), Revision: a.policies.Number(),
+		Uptime: types.Duration(time.Since(a.startedAt)), Revision: a.policies.Number(),
 		RevisionAge: types.Duration(a.policies.Age()), Targets: a.targets.Status(),
 	}
 	if err := a.checkReady(); err != nil {
-		status.Ready, status.Why = false, fault.From(err).Detail
+		status.Ready, status.NotReadyReason = false, fault.From(err).Detail
 	}
-	for id, epoch := range a.owners.Held() {
+	for id, epoch := range a.owners.Owned() {
 		slot := types.SlotStatus{Slot: id.String(), Epoch: epoch}
 		a.owners.Describe(ctx, id, &slot)
 		status.Slots = append(status.Slots, slot)
@@ -151,7 +151,7 @@
 	}
 	for name, lastSeen := range a.view.All() {
 		m, ok := live[name]
-		status.Boxes = append(status.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, Heard: lastSeen})
+		status.Boxes = append(status.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, LastHeartbeat: lastSeen})
 	}
 	sort.Slice(status.Boxes, func(i, j int) bool { return status.Boxes[i].Name < status.Boxes[j].Name })
 	return status
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -87,7 +87,7 @@
 }
 
 // publishConfig publishes the first revision of the sample configuration to the log.
-func publishConfig(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys) error {
+func publishConfig(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys) error {
 	cfg, err := sample.Config(shape, keys)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 
 // startBoxes starts one box per zone. On an error it also returns the boxes that it started,
 // which the caller must stop.
-func startBoxes(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
+func startBoxes(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
 	ports, err := plat.FreePorts(portsPerBox * len(shape.Zones))
 	if err != nil {
 		return nil, nil, err
@@ -151,7 +151,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Refuse(fault.OwnerUnknown, "the boxes were not ready or did not own all slots in time")
+			return fault.Refuse(fault.OwnerUnavailable, "the boxes were not ready or did not own all slots in time")
 		case <-time.After(readyPollInterval):
 		}
 	}
--- a/gate/conf/security.go
+++ b/gate/conf/security.go
@@ -62,16 +62,16 @@
 }
 
 // Root returns the root key from RootKeyFile if that is set, and from RootKey otherwise.
-func (s Security) Root() (*seal.Root, error) {
+func (s Security) Root() (*seal.RootKey, error) {
 	key := s.RootKey
 	if s.RootKeyFile != "" {
 		raw, err := os.ReadFile(s.RootKeyFile)
 		if err != nil {
-			return nil, fault.Refuse(fault.BadSettings, "security.root_key_file: cannot be read").Because(err)
+			return nil, fault.Refuse(fault.BadSettings, "security.root_key_file: cannot be read").WithCause(err)
 		}
 		key = raw
 	}
-	return seal.NewRoot(key)
+	return seal.NewRootKey(key)
 }
 
 // Operators returns OperatorKeys as public keys.
--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -16,7 +16,7 @@
 
 // Lister reads the platform's list.
 type Lister interface {
-	List(ctx context.Context) (types.List, error)
+	List(ctx context.Context) (types.PlatformList, error)
 }
 
 // Beater sends a heartbeat to a box.
@@ -63,11 +63,11 @@
 	mu    sync.Mutex
 	self  types.Member
 	boxes map[string]*box
-	list  types.List
+	list  types.PlatformList
 	// beatFillers add the data of other services to each heartbeat that this box sends.
 	beatFillers []func(*wire.BeatRequest)
 	onHeartbeat []func(*wire.BeatRequest)
-	onList      []func(types.List)
+	onList      []func(types.PlatformList)
 	// rounds counts the completed rounds of heartbeats.
 	rounds   int
 	listRead bool
@@ -121,7 +121,7 @@
 }
 
 // OnList registers a callback for each list that is read from the platform.
-func (v *View) OnList(callback func(types.List)) {
+func (v *View) OnList(callback func(types.PlatformList)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.onList = append(v.onList, callback)
@@ -161,7 +161,7 @@
 
 // applyList updates the boxes from the list. It removes unlisted boxes that are silent for
 // longer than Timing.Suspect. The caller must hold v.mu.
-func (v *View) applyList(list types.List) {
+func (v *View) applyList(list types.PlatformList) {
 	v.list = list
 	now := time.Now()
 	listed := map[string]bool{}
@@ -241,7 +241,7 @@
 		return members
 	}
 	var chosen []types.Member
-	for _, i := range ident.Closest(v.self.Name, len(members), func(i int) string { return members[i].Name }, v.timing.Fanout) {
+	for _, i := range ident.RendezvousTop(v.self.Name, len(members), func(i int) string { return members[i].Name }, v.timing.Fanout) {
 		chosen = append(chosen, members[i])
 	}
 	return chosen
--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -29,7 +29,7 @@
 	// Incarnation identifies this run of the box; it is random and differs after a restart.
 	Incarnation string
 	Self        types.Member
-	Log         *logc.Log
+	Log         *logc.Client
 }
 
 // partBuilder returns the description of a service. Box.Start sets its name.
@@ -52,7 +52,7 @@
 // New returns a box with the settings. Start starts its services.
 func New(set conf.Settings, logger *slog.Logger) *Box {
 	env := &Env{
-		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.Random(),
+		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.RandomID(),
 		Self: types.Member{Name: set.Box.Name, Zone: set.Box.Zone, Peer: set.Listen.Peers},
 		Log:  logc.New(set.Platform.Log, time.Duration(set.Platform.LogTimeout)),
 	}
--- a/gate/parts/errors_test.go
+++ b/gate/parts/errors_test.go
@@ -65,8 +65,8 @@
 		{"unknown model", request{"POST", "/v1/programs", token, "", `{"model":"m","data_class":"personal","budget":1}`}, fault.UnknownModel},
 		{"no data class", request{"POST", "/v1/programs", token, "", `{"model":"planner","budget":1}`}, fault.BadRequest},
 		{"no budget", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"personal"}`}, fault.BadRequest},
-		{"no allowed box", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"secret","budget":1}`}, fault.NoPlace},
-		{"no allowed target", request{"POST", turnsPath(notPlaceable.ID), token, "", firstTurn}, fault.NoPlace},
+		{"no allowed box", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"secret","budget":1}`}, fault.NoAllowedPlace},
+		{"no allowed target", request{"POST", turnsPath(notPlaceable.ID), token, "", firstTurn}, fault.NoAllowedPlace},
 		{"spent budget", request{"POST", turnsPath(lowBudget.ID), token, "", turnBody("1", strings.Repeat("w ", 40), "")}, fault.BudgetSpent},
 		{"missed deadline", request{"POST", turnsPath(pastDeadline.ID), token, "", firstTurn}, fault.DeadlineMissed},
 		{"unknown service", request{"POST", "/v1/services/none/calls", token, "", `{"input":1}`}, fault.UnknownService},
@@ -224,7 +224,7 @@
 	if diff := cmp.Diff(0, len(engine.Items())); diff != "" {
 		t.Errorf("caches under the stricter policy (-want +got):\n%s", diff)
 	}
-	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoPlace) {
+	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoAllowedPlace) {
 		t.Errorf("turn 2: %+v", problem)
 	}
 }
--- a/gate/parts/tls.go
+++ b/gate/parts/tls.go
@@ -66,7 +66,7 @@
 	if r.cert != nil {
 		return r.cert, r.pool, nil
 	}
-	return nil, nil, fault.Refuse(fault.BadSettings, "certificate cannot be read").Because(err)
+	return nil, nil, fault.Refuse(fault.BadSettings, "certificate cannot be read").WithCause(err)
 }
 
 // readCertPool reads CA certificates from a PEM file. Without a path it returns nil.
@@ -76,7 +76,7 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadSettings, "CA file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadSettings, "CA file cannot be read").WithCause(err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
@@ -157,7 +157,7 @@
 	}
 	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: intermediates})
 	if err != nil {
-		return fault.Refuse(fault.BadKey, "the box's certificate is not signed by the CA").Because(err)
+		return fault.Refuse(fault.BadKey, "the box's certificate is not signed by the CA").WithCause(err)
 	}
 	return nil
 }
