--- a/ctl/conn/conn.go
+++ b/ctl/conn/conn.go
@@ -16,44 +16,45 @@
 
 // File is mgctl's settings file.
 type File struct {
+	// Log is the log's address, Boxes the admin addresses of the boxes.
 	Log    netip.AddrPort   `json:"log"`
 	Boxes  []netip.AddrPort `json:"boxes"`
 	Author string           `json:"author"`
-	// OperatorKeys are the public keys that the boxes' settings have.
+	// OperatorKeys are all operators' public keys, the same as in the boxes' settings.
 	OperatorKeys [][]byte `json:"operator_keys"`
-	// OperatorKeyFile holds this operator's private key (the 32-byte seed), RootKeyFile
-	// the root key; both are needed for publishing and for keys only.
+	// OperatorKeyFile contains this operator's private key as a 32-byte seed; publishing
+	// needs it. RootKeyFile contains the root key; only creating a data key needs it.
 	OperatorKeyFile string `json:"operator_key_file,omitempty"`
 	RootKeyFile     string `json:"root_key_file,omitempty"`
 }
 
 const logTimeout = 5 * time.Second
 
-// Load reads a settings file.
+// Load reads and checks a settings file. It rejects unknown fields.
 func Load(path string) (File, error) {
-	var f File
+	var s File
 	file, err := os.Open(path)
 	if err != nil {
-		return f, fault.Refuse(fault.BadSettings, "settings file cannot be read").Because(err)
+		return s, fault.Refuse(fault.BadSettings, "settings file cannot be read").Because(err)
 	}
 	defer func() { _ = file.Close() }()
 	dec := json.NewDecoder(file)
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(&f); err != nil {
-		return f, fault.Refuse(fault.BadSettings, "settings file: "+err.Error())
+	if err := dec.Decode(&s); err != nil {
+		return s, fault.Refuse(fault.BadSettings, "settings file: "+err.Error())
 	}
-	return f, f.check()
+	return s, s.check()
 }
 
-func (f File) check() error {
+func (s File) check() error {
 	var errs []error
-	if !f.Log.IsValid() {
+	if !s.Log.IsValid() {
 		errs = append(errs, fault.Refuse(fault.BadSettings, "log: missing"))
 	}
-	if len(f.OperatorKeys) == 0 {
+	if len(s.OperatorKeys) == 0 {
 		errs = append(errs, fault.Refuse(fault.BadSettings, "operator_keys: missing"))
 	}
-	for _, key := range f.OperatorKeys {
+	for _, key := range s.OperatorKeys {
 		if len(key) != ed25519.PublicKeySize {
 			errs = append(errs, fault.Refuse(fault.BadSettings, "operator_keys: not an Ed25519 public key in base64"))
 		}
@@ -61,26 +62,26 @@
 	return errors.Join(errs...)
 }
 
-// Client is a client of the log.
-func (f File) Client() *logc.Log {
-	return logc.New(f.Log, logTimeout)
+// Client returns a client of the log.
+func (s File) Client() *logc.Log {
+	return logc.New(s.Log, logTimeout)
 }
 
-// Public are the operators' public keys.
-func (f File) Public() []ed25519.PublicKey {
-	out := make([]ed25519.PublicKey, 0, len(f.OperatorKeys))
-	for _, key := range f.OperatorKeys {
+// Public returns the operators' public keys.
+func (s File) Public() []ed25519.PublicKey {
+	out := make([]ed25519.PublicKey, 0, len(s.OperatorKeys))
+	for _, key := range s.OperatorKeys {
 		out = append(out, ed25519.PublicKey(key))
 	}
 	return out
 }
 
-// Private is this operator's private key.
-func (f File) Private() (ed25519.PrivateKey, error) {
-	if f.OperatorKeyFile == "" {
-		return nil, fault.Refuse(fault.BadKey, "operator_key_file is needed to publish")
+// Private reads this operator's private key. The key must belong to one of OperatorKeys.
+func (s File) Private() (ed25519.PrivateKey, error) {
+	if s.OperatorKeyFile == "" {
+		return nil, fault.Refuse(fault.BadKey, "operator_key_file is required to publish")
 	}
-	seed, err := os.ReadFile(f.OperatorKeyFile)
+	seed, err := os.ReadFile(s.OperatorKeyFile)
 	if err != nil {
 		return nil, fault.Refuse(fault.BadKey, "operator_key_file cannot be read").Because(err)
 	}
@@ -89,20 +90,20 @@
 	}
 	key := ed25519.NewKeyFromSeed(seed)
 	public := key.Public().(ed25519.PublicKey)
-	for _, known := range f.Public() {
-		if known.Equal(public) {
+	for _, operatorKey := range s.Public() {
+		if operatorKey.Equal(public) {
 			return key, nil
 		}
 	}
-	return nil, fault.Refuse(fault.BadKey, "operator_key_file is not one of operator_keys")
+	return nil, fault.Refuse(fault.BadKey, "the public key of operator_key_file is not one of operator_keys")
 }
 
-// Root is the root key that seals data keys.
-func (f File) Root() (*seal.Root, error) {
-	if f.RootKeyFile == "" {
-		return nil, fault.Refuse(fault.BadKey, "root_key_file is needed for keys")
+// Root reads the root key, which encrypts data keys.
+func (s File) Root() (*seal.Root, error) {
+	if s.RootKeyFile == "" {
+		return nil, fault.Refuse(fault.BadKey, "root_key_file is required to create a data key")
 	}
-	raw, err := os.ReadFile(f.RootKeyFile)
+	raw, err := os.ReadFile(s.RootKeyFile)
 	if err != nil {
 		return nil, fault.Refuse(fault.BadKey, "root_key_file cannot be read").Because(err)
 	}
--- a/ctl/conn/doc.go
+++ b/ctl/conn/doc.go
@@ -1,2 +1,2 @@
-// Package conn holds where mgctl finds the log, the boxes and the keys.
+// Package conn loads mgctl's settings: the addresses of the log and of the boxes, and the keys.
 package conn
