--- a/ctl/cmds/check.go
+++ b/ctl/cmds/check.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// check checks a file as publishing would, without publishing.
+// check validates a file like publish does, but doesn't publish it.
 type check struct {
-	common
+	commonFlags
 	scope scope
 	file  string
 }
@@ -30,25 +30,25 @@
 func (*check) Help() string      { return "check a file: types, cost limits and samples" }
 
 func (c *check) Flags(cmd *cobra.Command) {
-	c.flags(cmd)
+	c.addFlags(cmd)
 	cmd.Flags().StringVarP(&c.file, "file", "f", "", "file to look at")
 }
 
 func (c *check) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := c.load()
+	settings, err := c.loadSettings()
 	if err != nil {
 		return err
 	}
-	rev, _, err := current(ctx, file)
+	rev, _, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
-	cfg, err := c.scope.read(c.file, rev.Config)
+	cfg, err := c.scope.applyFile(c.file, rev.Config)
 	if err != nil {
 		return err
 	}
 	if len(cfg.Keys) == 0 {
-		// Publishing makes the first data key.
+		// publish creates the first data key; check uses a placeholder.
 		cfg.Keys = []types.DataKey{{ID: "k1"}}
 	}
 	if err := revs.Check(cfg); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// diff shows what a file would change.
+// diff shows what publishing a file would change.
 type diff struct {
 	check
 }
@@ -67,25 +67,25 @@
 func (*diff) Help() string      { return "show what publishing a file would change" }
 
 func (d *diff) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := d.load()
+	settings, err := d.loadSettings()
 	if err != nil {
 		return err
 	}
-	rev, _, err := current(ctx, file)
+	rev, _, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
-	cfg, err := d.scope.read(d.file, rev.Config)
+	cfg, err := d.scope.applyFile(d.file, rev.Config)
 	if err != nil {
 		return err
 	}
-	changes := compare(text(d.scope.pick(rev.Config)), text(d.scope.pick(cfg)))
+	changes := unifiedDiff(indentedJSON(d.scope.extract(rev.Config)), indentedJSON(d.scope.extract(cfg)))
 	if changes == "" {
 		changes = "no change\n"
 	}
 	_, err = fmt.Fprint(out, changes)
 	if err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").Because(err)
 	}
 	return nil
 }
--- a/ctl/cmds/cmds.go
+++ b/ctl/cmds/cmds.go
@@ -16,7 +16,6 @@
 	"mulleingate.dev/ctl/conn"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
 const (
@@ -28,9 +27,9 @@
 	groupKeys    = "keys"
 )
 
-var commands = describe(shell.New())
+var commands = describeGroups(shell.New())
 
-func describe(set *shell.Set) *shell.Set {
+func describeGroups(set *shell.Set) *shell.Set {
 	set.Describe(groupConfig, "the whole configuration: check, diff, publish, show, history, revert")
 	set.Describe(groupPolicy, "the policy programs alone: check, diff, publish, show, history, revert")
 	set.Describe(groupProgram, "why a program's calls went where they went")
@@ -40,56 +39,57 @@
 	return set
 }
 
-// Run runs the command line and returns the exit code.
+// Run parses and runs the command line and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	return commands.Run("mgctl", "Operates mulleingate by publishing configuration and policies", version, args, out, errOut)
 }
 
-// common are the flags that all commands share.
-type common struct {
-	settings string
-	output   string
+// commonFlags are the flags shared by the commands that read the settings file.
+type commonFlags struct {
+	settingsPath string
+	output       string
 }
 
-func (c *common) flags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&c.settings, "settings", "mgctl.json", "settings file")
+func (c *commonFlags) addFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&c.settingsPath, "settings", "mgctl.json", "settings file")
 	cmd.Flags().StringVarP(&c.output, "output", "o", "table", "table or json")
 }
 
-func (c *common) load() (conn.File, error) {
+func (c *commonFlags) loadSettings() (conn.File, error) {
 	if c.output != "table" && c.output != "json" {
 		return conn.File{}, fault.Refuse(fault.BadRequest, "output: not table or json")
 	}
-	return conn.Load(c.settings)
+	return conn.Load(c.settingsPath)
 }
 
-// current reads the stream and returns the revision in force.
-func current(ctx context.Context, file conn.File) (types.Revision, []revs.Seen, error) {
-	fold, all, err := revs.History(ctx, file.Client(), file.Public())
+// currentRevision reads the configuration stream and returns the revision in force, which is
+// the zero value if there is none, and all entries that the log still holds.
+func currentRevision(ctx context.Context, settings conn.File) (types.Revision, []revs.Seen, error) {
+	state, entries, err := revs.History(ctx, settings.Client(), settings.Public())
 	if err != nil {
 		return types.Revision{}, nil, err
 	}
-	if fold.Current == nil {
-		return types.Revision{}, all, nil
+	if state.Current == nil {
+		return types.Revision{}, entries, nil
 	}
-	return *fold.Current, all, nil
+	return *state.Current, entries, nil
 }
 
-// print writes v as JSON, or as a table by rows.
-func (c *common) print(out io.Writer, v any, head string, rows func(w io.Writer)) error {
+// print writes v as JSON, or as a table of the header and the rows that writeRows writes.
+func (c *commonFlags) print(out io.Writer, v any, header string, writeRows func(w io.Writer)) error {
 	if c.output == "json" {
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
 		if err := enc.Encode(v); err != nil {
-			return fault.Fail(fault.Internal, "output does not encode").Because(err)
+			return fault.Fail(fault.Internal, "cannot encode output").Because(err)
 		}
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, head)
-	rows(w)
+	_, _ = fmt.Fprintln(w, header)
+	writeRows(w)
 	if err := w.Flush(); err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").Because(err)
 	}
 	return nil
 }
--- a/ctl/cmds/cmds_test.go
+++ b/ctl/cmds/cmds_test.go
@@ -18,14 +18,14 @@
 	"mulleingate.dev/stand/applog"
 )
 
-// desk is an operator's folder: settings, keys, and a log to publish to.
-type desk struct {
-	t        *testing.T
-	dir      string
-	settings string
+// operatorDir is a directory with an operator's settings and keys, for a log that runs in the test.
+type operatorDir struct {
+	t            *testing.T
+	dir          string
+	settingsPath string
 }
 
-func newDesk(t *testing.T) *desk {
+func newOperatorDir(t *testing.T) *operatorDir {
 	t.Helper()
 	handler, err := server.Handler(applog.New(applog.Faults{}).Routes())
 	if err != nil {
@@ -36,21 +36,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = srv.Stop(t.Context()) })
-	d := &desk{t: t, dir: t.TempDir()}
+	d := &operatorDir{t: t, dir: t.TempDir()}
 	keys := sample.NewKeys("ctl")
-	file := conn.File{
+	settings := conn.File{
 		Log: srv.Addr(), Author: "tester", OperatorKeys: [][]byte{keys.Public()},
 		OperatorKeyFile: d.write("operator.key", keys.Operator.Seed()), RootKeyFile: d.write("root.key", keys.Root),
 	}
-	raw, err := json.Marshal(file)
+	raw, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.settings = d.write("mgctl.json", raw)
+	d.settingsPath = d.write("mgctl.json", raw)
 	return d
 }
 
-func (d *desk) write(name string, raw []byte) string {
+func (d *operatorDir) write(name string, raw []byte) string {
 	d.t.Helper()
 	path := filepath.Join(d.dir, name)
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
@@ -59,15 +59,15 @@
 	return path
 }
 
-func (d *desk) run(args ...string) (int, string) {
+func (d *operatorDir) run(args ...string) (int, string) {
 	d.t.Helper()
 	var out, errOut bytes.Buffer
-	code := Run(append(args, "--settings", d.settings), &out, &errOut)
+	code := Run(append(args, "--settings", d.settingsPath), &out, &errOut)
 	return code, out.String() + errOut.String()
 }
 
 func TestPublishRaceRevertAndRotate(t *testing.T) {
-	d := newDesk(t)
+	d := newOperatorDir(t)
 	config := "../../examples/ghent/config.json"
 	policy := d.write("policy.json", []byte(`{"place":"true","order":"0","spend":"budget","samples":[]}`))
 	steps := []struct {
@@ -97,8 +97,8 @@
 	}
 }
 
-func TestForeignKeyCannotPublish(t *testing.T) {
-	d := newDesk(t)
+func TestPublishRejectsUnknownOperatorKey(t *testing.T) {
+	d := newOperatorDir(t)
 	d.write("operator.key", sample.NewKeys("somebody").Operator.Seed())
 	code, out := d.run("config", "publish", "-f", "../../examples/ghent/config.json")
 	if code != shell.ExitFailed || !strings.Contains(out, "not one of operator_keys") {
--- a/ctl/cmds/compare.go
+++ b/ctl/cmds/compare.go
@@ -4,11 +4,10 @@
 	"github.com/pmezard/go-difflib/difflib"
 )
 
-// contextLines stand around each change.
-const contextLines = 2
+const contextLines = 2 // unchanged lines shown before and after each change
 
-// compare is the unified difference of two texts, "" if there is none.
-func compare(before, after string) string {
+// unifiedDiff returns the unified diff of two texts, or "" if they are equal.
+func unifiedDiff(before, after string) string {
 	out, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A: difflib.SplitLines(before), B: difflib.SplitLines(after),
 		FromFile: "in force", ToFile: "file", Context: contextLines,
--- a/ctl/cmds/doc.go
+++ b/ctl/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds holds mgctl's commands, one a file. None of them steers a single request.
+// Package cmds implements the commands of mgctl. No command changes the routing of a single request.
 package cmds
--- a/ctl/cmds/explain.go
+++ b/ctl/cmds/explain.go
@@ -22,56 +22,56 @@
 	commands.RegisterIn(groupRequest, &explain{})
 }
 
-// explain collects the decisions on a program or request from all boxes.
+// explain collects the trace events of a program or request from all boxes, in order of time.
 type explain struct {
-	common
+	commonFlags
 }
 
 func (*explain) Aliases() []string          { return []string{"explain"} }
 func (*explain) Help() string               { return "tell why: targets weighed, retries, refusals; takes an id" }
-func (e *explain) Flags(cmd *cobra.Command) { e.flags(cmd) }
+func (e *explain) Flags(cmd *cobra.Command) { e.addFlags(cmd) }
 
-// step is one decision, and the box that took it.
-type step struct {
+// boxEvent is a trace event and the box that recorded it.
+type boxEvent struct {
 	Box string `json:"box"`
 	types.Step
 }
 
 func (e *explain) Execute(ctx context.Context, out io.Writer, args []string) error {
 	if len(args) != 1 {
-		return fault.Refuse(fault.BadRequest, "one id is needed")
+		return fault.Refuse(fault.BadRequest, "exactly one program or request id is required")
 	}
-	file, err := e.load()
+	settings, err := e.loadSettings()
 	if err != nil {
 		return err
 	}
 	cli := client.New("mgctl", nil)
-	var all []step
-	silent := 0
-	for _, box := range file.Boxes {
-		var steps []types.Step
-		if err := cli.Call(ctx, http.MethodGet, "http://"+box.String()+"/explain/"+url.PathEscape(args[0]), nil, &steps); err != nil {
-			silent++
+	var events []boxEvent
+	unreachable := 0
+	for _, box := range settings.Boxes {
+		var boxEvents []types.Step
+		if err := cli.Call(ctx, http.MethodGet, "http://"+box.String()+"/explain/"+url.PathEscape(args[0]), nil, &boxEvents); err != nil {
+			unreachable++
 			continue
 		}
-		for _, s := range steps {
-			all = append(all, step{Box: box.String(), Step: s})
+		for _, s := range boxEvents {
+			events = append(events, boxEvent{Box: box.String(), Step: s})
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].At.Before(all[j].At) })
-	if silent > 0 {
-		_, _ = fmt.Fprintf(out, "# %d of %d boxes did not answer\n", silent, len(file.Boxes))
+	sort.Slice(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
+	if unreachable > 0 {
+		_, _ = fmt.Fprintf(out, "# %d of %d boxes did not answer\n", unreachable, len(settings.Boxes))
 	}
-	return e.print(out, all, "AT\tBOX\tREQUEST\tWHAT\tWHY\tTARGET\tWEIGHED", func(w io.Writer) {
-		for _, s := range all {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.What, s.Why, s.Target, scores(s.Weighed))
+	return e.print(out, events, "AT\tBOX\tREQUEST\tWHAT\tWHY\tTARGET\tWEIGHED", func(w io.Writer) {
+		for _, s := range events {
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.What, s.Why, s.Target, formatCandidates(s.Weighed))
 		}
 	})
 }
 
-func scores(all []types.Weighed) string {
-	parts := make([]string, 0, len(all))
-	for _, c := range all {
+func formatCandidates(candidates []types.Weighed) string {
+	parts := make([]string, 0, len(candidates))
+	for _, c := range candidates {
 		text := fmt.Sprintf("%s=%s(load %d, cached %d)", c.Name, c.Score.Round(time.Millisecond), c.Load, c.Cached)
 		if !c.Room {
 			text += " full"
--- a/ctl/cmds/figures.go
+++ b/ctl/cmds/figures.go
@@ -15,51 +15,51 @@
 	"mulleingate.dev/base/types"
 )
 
-// figures prints the boxes' counters and histograms.
-type figures struct {
-	common
+// metrics prints the boxes' counters and histograms.
+type metrics struct {
+	commonFlags
 	match string
 }
 
-func (*figures) Aliases() []string { return []string{"figures", "metrics"} }
-func (*figures) Help() string {
+func (*metrics) Aliases() []string { return []string{"figures", "metrics"} }
+func (*metrics) Help() string {
 	return "print counters and histograms: budgets, claims, log lag, latency per workspace and class"
 }
 
-func (f *figures) Flags(cmd *cobra.Command) {
-	f.flags(cmd)
-	cmd.Flags().StringVar(&f.match, "match", "", "print only names that hold this text")
+func (m *metrics) Flags(cmd *cobra.Command) {
+	m.addFlags(cmd)
+	cmd.Flags().StringVar(&m.match, "match", "", "print only names that hold this text")
 }
 
-// boxFigures is a box's answer.
-type boxFigures struct {
+// boxMetrics is the metrics of one box.
+type boxMetrics struct {
 	Addr netip.AddrPort `json:"addr"`
 	types.Figures
 }
 
-func (f *figures) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := f.load()
+func (m *metrics) Execute(ctx context.Context, out io.Writer, _ []string) error {
+	settings, err := m.loadSettings()
 	if err != nil {
 		return err
 	}
 	cli := client.New("mgctl", nil)
-	var all []boxFigures
-	for _, addr := range file.Boxes {
-		b := boxFigures{Addr: addr}
+	var answers []boxMetrics
+	for _, addr := range settings.Boxes {
+		b := boxMetrics{Addr: addr}
 		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil, &b.Figures); err != nil {
 			_, _ = fmt.Fprintf(out, "# %s does not answer\n", addr)
 			continue
 		}
-		all = append(all, b)
+		answers = append(answers, b)
 	}
-	return f.print(out, all, "BOX\tNAME\tCOUNT\tP50\tP95\tP99", func(w io.Writer) {
-		for _, b := range all {
-			f.rows(w, b)
+	return m.print(out, answers, "BOX\tNAME\tCOUNT\tP50\tP95\tP99", func(w io.Writer) {
+		for _, b := range answers {
+			m.writeRows(w, b)
 		}
 	})
 }
 
-func (f *figures) rows(w io.Writer, b boxFigures) {
+func (m *metrics) writeRows(w io.Writer, b boxMetrics) {
 	var lines []string
 	for name, n := range b.Counters {
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%d", b.Addr, name, n))
@@ -72,7 +72,7 @@
 	}
 	sort.Strings(lines)
 	for _, line := range lines {
-		if strings.Contains(line, f.match) {
+		if strings.Contains(line, m.match) {
 			_, _ = fmt.Fprintln(w, line)
 		}
 	}
--- a/ctl/cmds/keys.go
+++ b/ctl/cmds/keys.go
@@ -23,7 +23,7 @@
 	commands.RegisterIn(groupKeys, &hash{})
 }
 
-// makeKey makes a root key or an operator's key.
+// makeKey generates a root key or an operator's key pair.
 type makeKey struct {
 	kind, file string
 }
@@ -46,11 +46,11 @@
 	}
 	file, err := os.OpenFile(m.file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fault.Refuse(fault.BadRequest, "file: cannot be made").Because(err)
+		return fault.Refuse(fault.BadRequest, "file: cannot be created").Because(err)
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Write(raw); err != nil {
-		return fault.Fail(fault.Internal, "key cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write key").Because(err)
 	}
 	if m.kind == "root" {
 		_, _ = fmt.Fprintln(out, "root_key_file:", m.file)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// rotate publishes a new data key; old ones still open.
+// rotate publishes a new data key. The newest previous keys stay valid for decryption.
 type rotate struct {
 	publish
 	keep int
@@ -71,21 +71,21 @@
 func (*rotate) Help() string      { return "publish a new data key; the newest ones stay able to open" }
 
 func (r *rotate) Flags(cmd *cobra.Command) {
-	r.flags(cmd)
-	r.shared(cmd)
+	r.addFlags(cmd)
+	r.addPublishFlags(cmd)
 	cmd.Flags().IntVar(&r.keep, "keep", 3, "how many data keys stay in force")
 }
 
 func (r *rotate) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := r.load()
+	settings, err := r.loadSettings()
 	if err != nil {
 		return err
 	}
-	root, err := file.Root()
+	root, err := settings.Root()
 	if err != nil {
 		return err
 	}
-	rev, _, err := current(ctx, file)
+	rev, _, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
@@ -94,10 +94,10 @@
 	key := root.NewKey("k" + now.Format("20060102t150405"))
 	key.Made = now
 	cfg.Keys = append(cfg.Keys[max(0, len(cfg.Keys)-max(1, r.keep)+1):len(cfg.Keys):len(cfg.Keys)], key)
-	return r.send(ctx, out, file, rev.Number, cfg)
+	return r.submit(ctx, out, settings, rev.Number, cfg)
 }
 
-// hash prints the form in which configuration stores a bearer token.
+// hash prints the hash of a bearer token, as the configuration stores it.
 type hash struct{}
 
 func (*hash) Aliases() []string    { return []string{"hash"} }
--- a/ctl/cmds/manual.go
+++ b/ctl/cmds/manual.go
@@ -14,7 +14,7 @@
 	commands.Register(&manual{})
 }
 
-// manual writes the manual pages from the command tree.
+// manual generates the manual pages from the command tree.
 type manual struct {
 	dir, format string
 }
@@ -28,7 +28,7 @@
 }
 
 func (m *manual) Execute(_ context.Context, out io.Writer, _ []string) error {
-	// Building the tree declares the flags anew, which resets them.
+	// Building the command tree registers the flags again, which resets their values.
 	dir, format := m.dir, m.format
 	root := commands.Root("mgctl", "Operates mulleingate by publishing configuration and policies", version, out)
 	root.DisableAutoGenTag = true
@@ -42,7 +42,7 @@
 		return fault.Refuse(fault.BadRequest, "format: not markdown or man")
 	}
 	if err != nil {
-		return fault.Fail(fault.Internal, "manual cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write manual").Because(err)
 	}
 	return nil
 }
--- a/ctl/cmds/publish.go
+++ b/ctl/cmds/publish.go
@@ -24,13 +24,13 @@
 }
 
 const (
-	publishWait = 30 * time.Second
-	spreadPoll  = 200 * time.Millisecond
+	publishTimeout = 30 * time.Second // covers waiting for the rollout too
+	rolloutPoll    = 200 * time.Millisecond
 )
 
-// publish makes a file's content the next revision.
+// publish publishes the content of a file as the next revision.
 type publish struct {
-	common
+	commonFlags
 	scope scope
 	file  string
 	note  string
@@ -44,41 +44,42 @@
 }
 
 func (p *publish) Flags(cmd *cobra.Command) {
-	p.flags(cmd)
+	p.addFlags(cmd)
 	cmd.Flags().StringVarP(&p.file, "file", "f", "", "file to publish")
-	p.shared(cmd)
+	p.addPublishFlags(cmd)
 }
 
-func (p *publish) shared(cmd *cobra.Command) {
+func (p *publish) addPublishFlags(cmd *cobra.Command) {
 	cmd.Flags().StringVarP(&p.note, "message", "m", "", "why")
 	cmd.Flags().Int64Var(&p.base, "base", -1, "revision that the change was made from; default: the one in force now")
 	cmd.Flags().BoolVar(&p.wait, "wait", false, "wait until the revision is in force on every box of the settings")
 }
 
 func (p *publish) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := p.load()
+	settings, err := p.loadSettings()
 	if err != nil {
 		return err
 	}
-	rev, _, err := current(ctx, file)
+	rev, _, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
-	cfg, err := p.scope.read(p.file, rev.Config)
+	cfg, err := p.scope.applyFile(p.file, rev.Config)
 	if err != nil {
 		return err
 	}
-	return p.send(ctx, out, file, rev.Number, cfg)
+	return p.submit(ctx, out, settings, rev.Number, cfg)
 }
 
-// send publishes on the base that was asked for, and tells how it went.
-func (p *publish) send(ctx context.Context, out io.Writer, file conn.File, have int64, cfg types.Config) error {
-	key, err := file.Private()
+// submit publishes cfg as the successor of the --base revision, or of current without that flag,
+// and prints the result. It creates the first data key if cfg has none.
+func (p *publish) submit(ctx context.Context, out io.Writer, settings conn.File, current int64, cfg types.Config) error {
+	key, err := settings.Private()
 	if err != nil {
 		return err
 	}
 	if len(cfg.Keys) == 0 {
-		root, err := file.Root()
+		root, err := settings.Root()
 		if err != nil {
 			return err
 		}
@@ -86,12 +87,12 @@
 	}
 	base := p.base
 	if base < 0 {
-		base = have
+		base = current
 	}
-	ctx, stop := context.WithTimeout(ctx, publishWait)
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
-	draft := revs.Draft{Base: base, Author: file.Author, Note: p.note, Config: cfg}
-	rev, err := revs.Publish(ctx, file.Client(), key, file.Public(), draft)
+	draft := revs.Draft{Base: base, Author: settings.Author, Note: p.note, Config: cfg}
+	rev, err := revs.Publish(ctx, settings.Client(), key, settings.Public(), draft)
 	if err != nil {
 		return err
 	}
@@ -99,33 +100,33 @@
 	if !p.wait {
 		return nil
 	}
-	return spread(ctx, out, file, rev.Number)
+	return waitForRollout(ctx, out, settings, rev.Number)
 }
 
-// spread shows the boxes that have the revision until all do.
-func spread(ctx context.Context, out io.Writer, file conn.File, number int64) error {
+// waitForRollout polls the boxes and prints how many have the revision in force, until all have.
+func waitForRollout(ctx context.Context, out io.Writer, settings conn.File, number int64) error {
 	cli := client.New("mgctl", nil)
-	last := -1
+	lastPrinted := -1
 	for {
-		have := 0
-		for _, box := range file.Boxes {
+		updated := 0
+		for _, box := range settings.Boxes {
 			var st types.BoxStatus
 			err := cli.Call(ctx, http.MethodGet, "http://"+box.String()+"/status", nil, &st)
 			if err == nil && st.Revision >= number {
-				have++
+				updated++
 			}
 		}
-		if have != last {
-			_, _ = fmt.Fprintf(out, "in force on %d of %d boxes\n", have, len(file.Boxes))
-			last = have
+		if updated != lastPrinted {
+			_, _ = fmt.Fprintf(out, "in force on %d of %d boxes\n", updated, len(settings.Boxes))
+			lastPrinted = updated
 		}
-		if have == len(file.Boxes) {
+		if updated == len(settings.Boxes) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Fail(fault.StaleConfig, "not in force everywhere in time")
-		case <-time.After(spreadPoll):
+			return fault.Fail(fault.StaleConfig, "stopped waiting before the revision was in force on all boxes")
+		case <-time.After(rolloutPoll):
 		}
 	}
 }
@@ -140,32 +141,32 @@
 func (*revert) Help() string      { return "publish the content of an earlier revision as a new one" }
 
 func (r *revert) Flags(cmd *cobra.Command) {
-	r.flags(cmd)
-	r.shared(cmd)
+	r.addFlags(cmd)
+	r.addPublishFlags(cmd)
 	cmd.Flags().Int64Var(&r.to, "to", 0, "revision to go back to")
 }
 
 func (r *revert) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := r.load()
+	settings, err := r.loadSettings()
 	if err != nil {
 		return err
 	}
-	rev, all, err := current(ctx, file)
+	rev, entries, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
-	for _, seen := range all {
-		if seen.Revision.Number != r.to || (seen.Verdict != revs.Accepted && seen.Verdict != revs.Known) {
+	for _, entry := range entries {
+		if entry.Revision.Number != r.to || (entry.Verdict != revs.Accepted && entry.Verdict != revs.Known) {
 			continue
 		}
-		cfg := seen.Revision.Config
+		cfg := entry.Revision.Config
 		if r.scope.group == groupPolicy {
 			cfg = rev.Config
-			cfg.Policy = seen.Revision.Config.Policy
+			cfg.Policy = entry.Revision.Config.Policy
 		}
-		// Keys never go back: content sealed since then must still open.
+		// Keep the current data keys: content encrypted since that revision must stay readable.
 		cfg.Keys = rev.Config.Keys
-		return r.send(ctx, out, file, rev.Number, cfg)
+		return r.submit(ctx, out, settings, rev.Number, cfg)
 	}
 	return fault.Refuse(fault.BadRequest, "the log no longer holds that revision")
 }
--- a/ctl/cmds/scope.go
+++ b/ctl/cmds/scope.go
@@ -8,54 +8,54 @@
 	"mulleingate.dev/base/types"
 )
 
-// scope is the part of a configuration that a group of commands works on.
+// scope is the part of the configuration that a command group edits.
 type scope struct {
 	group string
-	// pick takes the part out of a configuration, put reads a file's part into one.
-	pick func(cfg types.Config) any
-	put  func(cfg *types.Config, raw []byte) error
+	// extract returns the part of a configuration; decode sets the part from a file's content.
+	extract func(cfg types.Config) any
+	decode  func(cfg *types.Config, raw []byte) error
 }
 
-// scopes are the whole configuration and the policy alone.
+// scopes returns the scopes of the config and policy groups: everything, and the policy only.
 func scopes() []scope {
 	return []scope{
 		{
-			group: groupConfig,
-			pick:  func(cfg types.Config) any { return cfg },
-			put:   func(cfg *types.Config, raw []byte) error { return strict(raw, cfg) },
+			group:   groupConfig,
+			extract: func(cfg types.Config) any { return cfg },
+			decode:  func(cfg *types.Config, raw []byte) error { return decodeStrict(raw, cfg) },
 		},
 		{
-			group: groupPolicy,
-			pick:  func(cfg types.Config) any { return cfg.Policy },
-			put: func(cfg *types.Config, raw []byte) error {
+			group:   groupPolicy,
+			extract: func(cfg types.Config) any { return cfg.Policy },
+			decode: func(cfg *types.Config, raw []byte) error {
 				cfg.Policy = types.Policy{}
-				return strict(raw, &cfg.Policy)
+				return decodeStrict(raw, &cfg.Policy)
 			},
 		},
 	}
 }
 
-// read puts a file's part into a copy of the configuration in force.
-func (s scope) read(path string, base types.Config) (types.Config, error) {
+// applyFile returns a copy of base with its part replaced by the content of a file.
+func (s scope) applyFile(path string, base types.Config) (types.Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return base, fault.Refuse(fault.BadRequest, "file cannot be read").Because(err)
+		return base, fault.Refuse(fault.BadRequest, "cannot read file").Because(err)
 	}
 	cfg := base
 	if s.group == groupConfig {
 		cfg = types.Config{}
 	}
-	if err := s.put(&cfg, raw); err != nil {
+	if err := s.decode(&cfg, raw); err != nil {
 		return base, err
 	}
-	// Keys are made by mgctl keys; a file that leaves them out keeps those in force.
+	// Data keys are created by "mgctl keys"; a file without any keeps those in force.
 	if len(cfg.Keys) == 0 {
 		cfg.Keys = base.Keys
 	}
 	return cfg, nil
 }
 
-func text(v any) string {
+func indentedJSON(v any) string {
 	raw, _ := json.MarshalIndent(v, "", "  ")
 	return string(raw)
 }
--- a/ctl/cmds/show.go
+++ b/ctl/cmds/show.go
@@ -18,57 +18,57 @@
 	}
 }
 
-// show prints what is in force.
+// show prints the configuration or policy in force.
 type show struct {
-	common
+	commonFlags
 	scope scope
 }
 
 func (*show) Aliases() []string          { return []string{"show"} }
 func (*show) Help() string               { return "print what is in force" }
-func (s *show) Flags(cmd *cobra.Command) { s.flags(cmd) }
+func (s *show) Flags(cmd *cobra.Command) { s.addFlags(cmd) }
 
 func (s *show) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := s.load()
+	settings, err := s.loadSettings()
 	if err != nil {
 		return err
 	}
-	rev, _, err := current(ctx, file)
+	rev, _, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
 	if rev.Number == 0 {
-		return fault.Refuse(fault.BadRequest, "nothing is published")
+		return fault.Refuse(fault.BadRequest, "no revision has been published")
 	}
-	_, err = fmt.Fprintln(out, text(s.scope.pick(rev.Config)))
+	_, err = fmt.Fprintln(out, indentedJSON(s.scope.extract(rev.Config)))
 	if err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").Because(err)
 	}
 	return nil
 }
 
-// history lists the entries of the configuration stream with their verdicts.
+// history lists the entries of the configuration stream and whether each was accepted.
 type history struct {
-	common
+	commonFlags
 }
 
 func (*history) Aliases() []string          { return []string{"history", "log"} }
 func (*history) Help() string               { return "list the revisions that the log still holds, with who won" }
-func (h *history) Flags(cmd *cobra.Command) { h.flags(cmd) }
+func (h *history) Flags(cmd *cobra.Command) { h.addFlags(cmd) }
 
 func (h *history) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := h.load()
+	settings, err := h.loadSettings()
 	if err != nil {
 		return err
 	}
-	_, all, err := current(ctx, file)
+	_, entries, err := currentRevision(ctx, settings)
 	if err != nil {
 		return err
 	}
-	return h.print(out, all, "OFFSET\tREVISION\tVERDICT\tAT\tAUTHOR\tNOTE", func(w io.Writer) {
-		for _, seen := range all {
-			rev := seen.Revision
-			_, _ = fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\n", seen.Offset, rev.Number, seen.Verdict, rev.At.Format(time.RFC3339), rev.Author, rev.Note)
+	return h.print(out, entries, "OFFSET\tREVISION\tVERDICT\tAT\tAUTHOR\tNOTE", func(w io.Writer) {
+		for _, entry := range entries {
+			rev := entry.Revision
+			_, _ = fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\n", entry.Offset, rev.Number, entry.Verdict, rev.At.Format(time.RFC3339), rev.Author, rev.Note)
 		}
 	})
 }
--- a/ctl/cmds/status.go
+++ b/ctl/cmds/status.go
@@ -15,69 +15,69 @@
 )
 
 func init() {
-	commands.RegisterIn(groupStatus, &status{name: "boxes", help: "list the boxes", head: "BOX\tZONE\tREADY\tUP\tREVISION\tCONFIRMED\tSLOTS\tWHY", rows: boxRows})
-	commands.RegisterIn(groupStatus, &status{name: "slots", help: "list the owned slots", head: "SLOT\tEPOCH\tBOX", rows: slotRows})
+	commands.RegisterIn(groupStatus, &status{name: "boxes", help: "list the boxes", header: "BOX\tZONE\tREADY\tUP\tREVISION\tCONFIRMED\tSLOTS\tWHY", writeRows: boxRows})
+	commands.RegisterIn(groupStatus, &status{name: "slots", help: "list the owned slots", header: "SLOT\tEPOCH\tBOX", writeRows: slotRows})
 	commands.RegisterIn(groupStatus, &status{
 		name: "targets", help: "list the engines as each box believes them to be",
-		head: "BOX\tTARGET\tZONE\tSTATE\tMINE\tLIMIT\tRUNNING\tQUEUED\tSLOW\tCACHED\tREPORT", rows: targetRows,
+		header: "BOX\tTARGET\tZONE\tSTATE\tMINE\tLIMIT\tRUNNING\tQUEUED\tSLOW\tCACHED\tREPORT", writeRows: targetRows,
 	})
 	commands.RegisterIn(groupStatus, &status{
 		name: "budgets", help: "list budgets, grants and spending by slot, in tokens",
-		head: "SLOT\tBOX\tLOG\tPROGRAMS\tTURNS\tCALLS\tKEYS\tBUDGET\tGRANTED\tSPENT", rows: budgetRows,
+		header: "SLOT\tBOX\tLOG\tPROGRAMS\tTURNS\tCALLS\tKEYS\tBUDGET\tGRANTED\tSPENT", writeRows: budgetRows,
 	})
-	commands.RegisterIn(groupStatus, &figures{})
+	commands.RegisterIn(groupStatus, &metrics{})
 }
 
-// status shows one side of the boxes' status.
+// status prints one table of the boxes' status: boxes, slots, targets or budgets.
 type status struct {
-	common
-	name, help, head string
-	rows             func(w io.Writer, b boxStatus)
+	commonFlags
+	name, help, header string
+	writeRows          func(w io.Writer, b boxStatus)
 }
 
 func (s *status) Aliases() []string        { return []string{s.name} }
 func (s *status) Help() string             { return s.help }
-func (s *status) Flags(cmd *cobra.Command) { s.flags(cmd) }
+func (s *status) Flags(cmd *cobra.Command) { s.addFlags(cmd) }
 
-// boxStatus is a box's answer, or why there is none.
+// boxStatus is the status of a box, or the error of the attempt to get it.
 type boxStatus struct {
-	Addr   netip.AddrPort `json:"addr"`
-	Failed string         `json:"failed,omitempty"`
+	Addr  netip.AddrPort `json:"addr"`
+	Error string         `json:"failed,omitempty"`
 	types.BoxStatus
 }
 
 func (s *status) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	file, err := s.load()
+	settings, err := s.loadSettings()
 	if err != nil {
 		return err
 	}
 	cli := client.New("mgctl", nil)
-	all := make([]boxStatus, 0, len(file.Boxes))
-	for _, addr := range file.Boxes {
+	answers := make([]boxStatus, 0, len(settings.Boxes))
+	for _, addr := range settings.Boxes {
 		b := boxStatus{Addr: addr}
 		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/status", nil, &b.BoxStatus); err != nil {
-			b.Failed = err.Error()
+			b.Error = err.Error()
 		}
-		all = append(all, b)
+		answers = append(answers, b)
 	}
-	return s.print(out, all, s.head, func(w io.Writer) {
-		for _, b := range all {
-			if b.Failed != "" {
+	return s.print(out, answers, s.header, func(w io.Writer) {
+		for _, b := range answers {
+			if b.Error != "" {
 				_, _ = fmt.Fprintf(w, "%s\tdoes not answer\n", b.Addr)
 				continue
 			}
-			s.rows(w, b)
+			s.writeRows(w, b)
 		}
 	})
 }
 
-func short(d time.Duration) string {
+func roundToMillis(d time.Duration) string {
 	return d.Round(time.Millisecond).String()
 }
 
 func boxRows(w io.Writer, b boxStatus) {
-	_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s ago\t%d\t%s\n", b.Box, b.Zone, b.Ready, short(time.Duration(b.Up)), b.Revision,
-		short(time.Duration(b.RevisionAge)), len(b.Slots), b.Why)
+	_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s ago\t%d\t%s\n", b.Box, b.Zone, b.Ready, roundToMillis(time.Duration(b.Up)), b.Revision,
+		roundToMillis(time.Duration(b.RevisionAge)), len(b.Slots), b.Why)
 }
 
 func slotRows(w io.Writer, b boxStatus) {
@@ -96,17 +96,17 @@
 			state = "ejected"
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%d\t%s ago\n", b.Box, t.Name, t.Zone, state, t.Mine, t.Limit,
-			t.Running, t.Queued, t.Slow, t.Cached, short(t.Age))
+			t.Running, t.Queued, t.Slow, t.Cached, roundToMillis(t.Age))
 	}
 }
 
 func budgetRows(w io.Writer, b boxStatus) {
 	for _, s := range b.Slots {
-		log := "up"
+		logState := "up"
 		if !s.LogUp {
-			log = "away"
+			logState = "away"
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Slot, b.Box, log, s.Programs, s.Turns, s.Calls, s.Keys,
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Slot, b.Box, logState, s.Programs, s.Turns, s.Calls, s.Keys,
 			s.Budget, s.Granted, s.Spent)
 	}
 }
--- a/ctl/cmds/strict.go
+++ b/ctl/cmds/strict.go
@@ -7,8 +7,8 @@
 	"mulleingate.dev/base/fault"
 )
 
-// strict decodes JSON and refuses unknown keys.
-func strict(raw []byte, out any) error {
+// decodeStrict decodes JSON and rejects unknown keys.
+func decodeStrict(raw []byte, out any) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(out); err != nil {
