--- a/ctl/main.go
+++ b/ctl/main.go
@@ -1,4 +1,4 @@
-// Command mgctl is the operators' command line of mulleingate.
+// Command mgctl is the command-line tool that operators manage mulleingate with.
 package main
 
 import (
