--- a/stand/applog/doc.go
+++ b/stand/applog/doc.go
@@ -1,3 +1,3 @@
-// Package applog is a stand-in of the platform's append-only log service: streams with
-// offsets from 1, an append limit, retention, outages, slowness and lost answers.
+// Package applog simulates the platform's append-only log service: streams with offsets from 1,
+// a limit on appends, retention, and injected outages, delays, lost responses and late appends.
 package applog
--- a/stand/applog/serve.go
+++ b/stand/applog/serve.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	maxBody   = 64 << 20
-	maxPage   = 10_000
-	pageStart = 1000
+	maxBodyBytes    = 64 << 20
+	maxPageSize     = 10_000
+	defaultPageSize = 1000
 )
 
-// Routes serves the log over HTTP.
+// Routes returns the HTTP routes of the log and of its fault injection.
 func (s *Store) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/streams/:name", Handler: s.serveAppend},
@@ -38,20 +38,20 @@
 
 func streamName(r *http.Request) string {
 	name := pathvar.Vars(r)["name"]
-	if plain, err := url.PathUnescape(name); err == nil {
-		return plain
+	if unescaped, err := url.PathUnescape(name); err == nil {
+		return unescaped
 	}
 	return name
 }
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) {
 	var in types.LogAppend
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
-	// An append that has arrived takes effect even if its caller has gone.
-	at, err := s.Append(context.WithoutCancel(r.Context()), streamName(r), in.Data)
+	// Perform the append even if the caller disconnects.
+	offset, err := s.Append(context.WithoutCancel(r.Context()), streamName(r), in.Data)
 	if fault.Is(err, fault.LogUnavailable) && !fault.From(err).NotRun {
 		server.Cut(w)
 		return
@@ -60,7 +60,7 @@
 		server.Fail(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, types.LogOffset{Offset: at})
+	server.Write(w, http.StatusOK, types.LogOffset{Offset: offset})
 }
 
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -70,8 +70,8 @@
 		return
 	}
 	limit, err := strconv.Atoi(r.URL.Query().Get("limit"))
-	if err != nil || limit <= 0 || limit > maxPage {
-		limit = pageStart
+	if err != nil || limit <= 0 || limit > maxPageSize {
+		limit = defaultPageSize
 	}
 	page, err := s.Read(r.Context(), streamName(r), from, limit)
 	if err != nil {
@@ -83,7 +83,7 @@
 
 func (s *Store) serveControl(w http.ResponseWriter, r *http.Request) {
 	faults := s.Faults()
-	if err := server.Read(w, r, maxBody, &faults); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &faults); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -13,24 +13,24 @@
 
 const firstOffset = 1
 
-// Faults are the switches of the stand-in.
+// Faults configures the limits and the injected faults of a Store.
 type Faults struct {
-	// Down refuses every call.
+	// Down rejects every append and read.
 	Down bool `json:"down"`
-	// Slow delays every call.
+	// Slow delays every append and read.
 	Slow types.Duration `json:"slow"`
-	// LoseAnswers loses the answers of that many appends after they took effect.
+	// LoseAnswers is how many of the next appends fail after they took effect.
 	LoseAnswers int `json:"lose_answers"`
-	// LateAppends fails that many appends, which then land after Late.
+	// LateAppends is how many of the next appends fail and then take effect after Late.
 	LateAppends int            `json:"late_appends"`
 	Late        types.Duration `json:"late"`
-	// Limit is in appends a second over all streams; 0 is without limit.
+	// Limit is in appends per second over all streams; 0 means no limit.
 	Limit int `json:"limit"`
-	// Keep is how long entries are kept; 0 is for ever.
+	// Keep is the retention of entries; 0 keeps them forever.
 	Keep types.Duration `json:"keep"`
 }
 
-// Stats counts what the log has taken.
+// Stats counts appends, their bytes, reads, and appends over the limit.
 type Stats struct {
 	Appends int64 `json:"appends"`
 	Bytes   int64 `json:"bytes"`
@@ -49,7 +49,7 @@
 	entries []entry
 }
 
-// Store is the log. It is safe for use by many goroutines.
+// Store is an in-memory log. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -58,14 +58,14 @@
 	limiter *rate.Limiter
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New(faults Faults) *Store {
 	s := &Store{streams: map[string]*stream{}}
 	s.Set(faults)
 	return s
 }
 
-// Set switches faults.
+// Set replaces the faults and limits.
 func (s *Store) Set(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return rate.NewLimiter(rate.Limit(limit), limit)
 }
 
-// Faults returns the switches in force.
+// Faults returns the current faults and limits.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,61 +96,63 @@
 	return s.stats
 }
 
-// Append adds data to the stream and returns its offset.
+// Append adds data to the stream and returns its offset. After an error that
+// doesn't have NotRun set, the data may have been added or may be added later.
 func (s *Store) Append(ctx context.Context, name string, data []byte) (int64, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.injectFaults(ctx); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.limiter.Allow() {
 		s.stats.Refused++
-		return 0, fault.Refuse(fault.Overloaded, "append limit").After(time.Second)
+		return 0, fault.Refuse(fault.Overloaded, "append limit reached").After(time.Second)
 	}
 	if s.faults.LateAppends > 0 {
 		s.faults.LateAppends--
-		time.AfterFunc(time.Duration(s.faults.Late), func() { s.land(name, data) })
-		return 0, fault.Fail(fault.LogUnavailable, "append is late")
+		time.AfterFunc(time.Duration(s.faults.Late), func() { s.appendLate(name, data) })
+		return 0, fault.Fail(fault.LogUnavailable, "append is delayed")
 	}
-	at := s.add(name, data)
+	offset := s.appendEntry(name, data)
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		return 0, fault.Fail(fault.LogUnavailable, "answer lost")
+		return 0, fault.Fail(fault.LogUnavailable, "response lost")
 	}
-	return at, nil
+	return offset, nil
 }
 
-func (s *Store) land(name string, data []byte) {
+func (s *Store) appendLate(name string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(name, data)
+	s.appendEntry(name, data)
 }
 
-func (s *Store) add(name string, data []byte) int64 {
-	str := s.stream(name)
-	str.entries = append(str.entries, entry{at: time.Now(), data: data})
+func (s *Store) appendEntry(name string, data []byte) int64 {
+	st := s.prunedStream(name)
+	st.entries = append(st.entries, entry{at: time.Now(), data: data})
 	s.stats.Appends++
 	s.stats.Bytes += int64(len(data))
-	return str.first + int64(len(str.entries)) - 1
+	return st.first + int64(len(st.entries)) - 1
 }
 
-// Read returns up to limit entries from an offset on.
+// Read returns up to limit entries from the given offset on. It starts at the
+// oldest retained entry if that is later.
 func (s *Store) Read(ctx context.Context, name string, from int64, limit int) (types.LogPage, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.injectFaults(ctx); err != nil {
 		return types.LogPage{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Reads++
-	str := s.stream(name)
-	page := types.LogPage{First: str.first, Next: str.first + int64(len(str.entries))}
-	for at := max(from, str.first); at < page.Next && len(page.Entries) < limit; at++ {
-		page.Entries = append(page.Entries, types.LogEntry{Offset: at, Data: str.entries[at-str.first].data})
+	st := s.prunedStream(name)
+	page := types.LogPage{First: st.first, Next: st.first + int64(len(st.entries))}
+	for offset := max(from, st.first); offset < page.Next && len(page.Entries) < limit; offset++ {
+		page.Entries = append(page.Entries, types.LogEntry{Offset: offset, Data: st.entries[offset-st.first].data})
 	}
 	return page, nil
 }
 
-func (s *Store) enter(ctx context.Context) error {
+func (s *Store) injectFaults(ctx context.Context) error {
 	faults := s.Faults()
 	if faults.Down {
 		return fault.Refuse(fault.LogUnavailable, "log is down")
@@ -162,26 +164,27 @@
 	case <-time.After(time.Duration(faults.Slow)):
 		return nil
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "log is slow").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "call ended during the injected delay").Because(ctx.Err())
 	}
 }
 
-// stream finds or makes a stream and drops what is older than retention.
-func (s *Store) stream(name string) *stream {
-	str, ok := s.streams[name]
+// prunedStream returns a stream, creating it if needed, after dropping expired entries.
+// The caller holds s.mu.
+func (s *Store) prunedStream(name string) *stream {
+	st, ok := s.streams[name]
 	if !ok {
-		str = &stream{first: firstOffset}
-		s.streams[name] = str
+		st = &stream{first: firstOffset}
+		s.streams[name] = st
 	}
 	if s.faults.Keep == 0 {
-		return str
+		return st
 	}
-	oldest := time.Now().Add(-time.Duration(s.faults.Keep))
-	drop := 0
-	for drop < len(str.entries) && str.entries[drop].at.Before(oldest) {
-		drop++
+	cutoff := time.Now().Add(-time.Duration(s.faults.Keep))
+	expired := 0
+	for expired < len(st.entries) && st.entries[expired].at.Before(cutoff) {
+		expired++
 	}
-	str.entries = str.entries[drop:]
-	str.first += int64(drop)
-	return str
+	st.entries = st.entries[expired:]
+	st.first += int64(expired)
+	return st
 }
