--- a/stand/model/cache.go
+++ b/stand/model/cache.go
@@ -6,18 +6,18 @@
 	"mulleingate.dev/base/types"
 )
 
-// cache is a prefix cache by program, evicting the least recently used that is not held.
+// cache is a prefix cache keyed by program. It evicts the least recently used items that aren't held.
 type cache struct {
-	size  int64
-	used  int64
-	items map[string]*list.Element
-	// order has the least recently used item in front.
-	order *list.List
-	// events are numbered from 1 without gaps; publishing may lose some.
-	events []types.CacheEvent
-	seq    int64
-	// evictedHeld counts tokens of held items lost for lack of room.
-	evicted int64
+	capacity int64
+	used     int64
+	items    map[string]*list.Element
+	// lru has the least recently used item first.
+	lru *list.List
+	// events are the newest maxEvents changes, numbered from 1 without gaps.
+	events  []types.CacheEvent
+	lastSeq int64
+	// evictedTokens counts the tokens of items that were evicted to make room.
+	evictedTokens int64
 }
 
 type item struct {
@@ -28,68 +28,71 @@
 
 const maxEvents = 4096
 
-func newCache(size int64) *cache {
-	return &cache{size: size, items: map[string]*list.Element{}, order: list.New()}
+func newCache(capacity int64) *cache {
+	return &cache{capacity: capacity, items: map[string]*list.Element{}, lru: list.New()}
 }
 
-// prefix is how many tokens of the key's prompt are held.
-func (c *cache) prefix(key string, prompt int) int {
+// cachedTokens returns how many tokens of the key's prompt are cached, and marks the item as used.
+func (c *cache) cachedTokens(key string, prompt int) int {
 	el, ok := c.items[key]
 	if !ok {
 		return 0
 	}
-	c.order.MoveToBack(el)
+	c.lru.MoveToBack(el)
 	return min(el.Value.(*item).tokens, prompt)
 }
 
+// put replaces the key's item. If it doesn't fit, the key is left without an item.
 func (c *cache) put(key string, tokens int, held bool) {
-	c.drop(key)
-	if !c.room(int64(tokens)) {
-		c.note(key, 0, true)
+	c.remove(key)
+	if !c.makeRoom(int64(tokens)) {
+		c.recordEvent(key, 0, true)
 		return
 	}
-	c.items[key] = c.order.PushBack(&item{key: key, tokens: tokens, held: held})
+	c.items[key] = c.lru.PushBack(&item{key: key, tokens: tokens, held: held})
 	c.used += int64(tokens)
-	c.note(key, tokens, false)
+	c.recordEvent(key, tokens, false)
 }
 
-func (c *cache) room(tokens int64) bool {
-	for el := c.order.Front(); el != nil && c.used+tokens > c.size; {
+// makeRoom evicts items that aren't held until tokens more fit, and reports whether they do.
+func (c *cache) makeRoom(tokens int64) bool {
+	for el := c.lru.Front(); el != nil && c.used+tokens > c.capacity; {
 		next := el.Next()
 		if it := el.Value.(*item); !it.held {
-			c.evicted += int64(it.tokens)
-			c.drop(it.key)
-			c.note(it.key, 0, true)
+			c.evictedTokens += int64(it.tokens)
+			c.remove(it.key)
+			c.recordEvent(it.key, 0, true)
 		}
 		el = next
 	}
-	return c.used+tokens <= c.size
+	return c.used+tokens <= c.capacity
 }
 
-func (c *cache) drop(key string) {
+// remove deletes an item without recording an event.
+func (c *cache) remove(key string) {
 	el, ok := c.items[key]
 	if !ok {
 		return
 	}
 	c.used -= int64(el.Value.(*item).tokens)
-	c.order.Remove(el)
+	c.lru.Remove(el)
 	delete(c.items, key)
 }
 
 func (c *cache) release(key string) {
-	c.drop(key)
-	c.note(key, 0, true)
+	c.remove(key)
+	c.recordEvent(key, 0, true)
 }
 
-func (c *cache) hold(key string, held bool) {
+func (c *cache) setHeld(key string, held bool) {
 	if el, ok := c.items[key]; ok {
 		el.Value.(*item).held = held
 	}
 }
 
-func (c *cache) note(key string, tokens int, gone bool) {
-	c.seq++
-	c.events = append(c.events, types.CacheEvent{Seq: c.seq, Key: key, Tokens: tokens, Gone: gone})
+func (c *cache) recordEvent(key string, tokens int, removed bool) {
+	c.lastSeq++
+	c.events = append(c.events, types.CacheEvent{Seq: c.lastSeq, Key: key, Tokens: tokens, Gone: removed})
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
 	}
--- a/stand/model/doc.go
+++ b/stand/model/doc.go
@@ -1,5 +1,4 @@
-// Package model is a stand-in of a model engine: continuous batching on a token clock, a
-// prefix cache of limited size, priorities, streams that resume and cancel, KV export and
-// import, late and gappy cache events, lagging load reports, and orders with or without
-// fencing.
+// Package model simulates a model engine: continuous batching in timed steps, a prefix cache of
+// limited size, priorities, streams that can be resumed and cancelled, export and import of
+// cached prefixes, lossy cache events, periodic load reports, and orders with or without fencing.
 package model
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -11,22 +11,25 @@
 	"mulleingate.dev/base/types"
 )
 
-// Spec says how fast and how large an engine is.
+// Spec configures the speed and size of an engine.
 type Spec struct {
 	Name     string         `json:"name"`
 	MaxBatch int            `json:"max_batch"`
 	StepTime types.Duration `json:"step_time"`
-	// BatchCost is how much one more stream lengthens a step, as a share of StepTime.
-	BatchCost   float64        `json:"batch_cost"`
-	PrefillRate float64        `json:"prefill_rate"`
-	Chunk       int            `json:"chunk"`
-	CacheSize   int64          `json:"cache_size"`
-	ReportLag   types.Duration `json:"report_lag"`
-	Models      []string       `json:"models"`
-	Fenced      bool           `json:"fenced"`
+	// BatchCost is the time that each running stream adds to a step, as a fraction of StepTime.
+	BatchCost float64 `json:"batch_cost"`
+	// PrefillRate is in tokens per second; Chunk is the limit of prompt tokens computed in a step.
+	PrefillRate float64 `json:"prefill_rate"`
+	Chunk       int     `json:"chunk"`
+	CacheSize   int64   `json:"cache_size"`
+	// ReportLag is the interval between load reports.
+	ReportLag types.Duration `json:"report_lag"`
+	Models    []string       `json:"models"`
+	// Fenced makes the engine reject orders whose fencing number is lower than one seen before.
+	Fenced bool `json:"fenced"`
 }
 
-// DefaultSpec is a small, fast engine.
+// DefaultSpec returns the spec of a small, fast engine.
 func DefaultSpec(name string, models ...string) Spec {
 	return Spec{
 		Name: name, MaxBatch: 16, StepTime: types.Duration(2 * time.Millisecond), BatchCost: 0.03,
@@ -35,20 +38,21 @@
 	}
 }
 
-// Faults are the switches of the stand-in.
+// Faults configures the faults that an engine injects.
 type Faults struct {
-	// SlowBy multiplies the step time; 0 means 1.
+	// SlowBy multiplies the duration of steps; values below 1 count as 1.
 	SlowBy float64 `json:"slow_by"`
-	// LoseEvents is the share of cache events that are never published.
+	// LoseEvents is the probability that an answer to a load query leaves out a cache event.
 	LoseEvents float64 `json:"lose_events"`
-	Leaving    bool    `json:"leaving"`
-	// BreakAfter breaks that many streams once, after their third event.
+	// Leaving makes the engine reject new streams; load reports show it.
+	Leaving bool `json:"leaving"`
+	// BreakStreams is how many of the next streams break once, after their third event.
 	BreakStreams int `json:"break_streams"`
 }
 
-const keepStreams = 30 * time.Second
+const endedRetention = 30 * time.Second // how long ended streams can still be read
 
-// Engine is the stand-in. One loop steps all its streams.
+// Engine is a simulated model engine. One loop steps all its streams. It is safe for concurrent use.
 type Engine struct {
 	spec Spec
 
@@ -70,16 +74,18 @@
 type Stats struct {
 	Calls  int   `json:"calls"`
 	Tokens int64 `json:"tokens"`
-	// Charged is prompt and output tokens by cache key.
+	// Charged counts prompt and output tokens by cache key.
 	Charged map[string]int64 `json:"charged"`
-	// Held is how many cache items are held, Items how many there are.
-	Held     int       `json:"held"`
-	Items    int       `json:"items"`
+	// Items is the number of cached items, Held the number of those that can't be evicted.
+	Held  int `json:"held"`
+	Items int `json:"items"`
+	// Evicted counts the tokens of evicted items.
 	Evicted  int64     `json:"evicted"`
 	LastCall time.Time `json:"last_call"`
-	Loads    int       `json:"loads"`
-	Stale    int       `json:"stale_orders"`
-	// HeldTokenSeconds integrates the tokens kept under a hold.
+	// Loads counts orders to load a model, Stale the orders rejected for an old fencing number.
+	Loads int `json:"loads"`
+	Stale int `json:"stale_orders"`
+	// HeldTokenSeconds is the integral of the tokens of held items, sampled at every load report.
 	HeldTokenSeconds float64 `json:"held_token_seconds"`
 }
 
@@ -87,18 +93,18 @@
 	call   types.EngineCall
 	prompt int
 	cached int
-	// prefill counts the prompt tokens still to be computed.
-	prefill int
-	words   []string
-	events  []types.EngineEvent
-	done    bool
-	cancel  bool
-	broken  bool
-	ended   time.Time
-	seq     int
+	// prefillLeft is the number of prompt tokens still to be computed.
+	prefillLeft  int
+	output       []string
+	events       []types.EngineEvent
+	done         bool
+	cancelled    bool
+	breakPending bool
+	endedAt      time.Time
+	seq          int
 }
 
-// New makes an engine. Run steps it.
+// New returns an engine; Run has to be called for it to make progress.
 func New(spec Spec) *Engine {
 	e := &Engine{
 		spec: spec, cache: newCache(spec.CacheSize), streams: map[string]*stream{},
@@ -112,9 +118,9 @@
 	return e
 }
 
-// Run steps the engine until ctx ends.
+// Run steps the engine until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
-	go e.reports(ctx)
+	go e.publishReports(ctx)
 	stop := context.AfterFunc(ctx, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -128,12 +134,12 @@
 			return
 		}
 		time.Sleep(pause)
-		e.emit()
+		e.emitTokens()
 	}
 }
 
-// reports publishes a load report every ReportLag.
-func (e *Engine) reports(ctx context.Context) {
+// publishReports publishes a load report every ReportLag.
+func (e *Engine) publishReports(ctx context.Context) {
 	lag := max(time.Duration(e.spec.ReportLag), time.Millisecond)
 	tick := time.NewTicker(lag)
 	defer tick.Stop()
@@ -142,12 +148,13 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			e.publish(lag)
+			e.publishReport(lag)
 		}
 	}
 }
 
-func (e *Engine) publish(lag time.Duration) {
+// publishReport updates the load report and deletes streams that ended long ago.
+func (e *Engine) publishReport(lag time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.report = e.snapshot()
@@ -157,7 +164,7 @@
 		}
 	}
 	for id, st := range e.streams {
-		if st.done && time.Since(st.ended) > keepStreams {
+		if st.done && time.Since(st.endedAt) > endedRetention {
 			delete(e.streams, id)
 		}
 	}
@@ -166,8 +173,8 @@
 func (e *Engine) snapshot() types.LoadReport {
 	prefill, output := int64(0), int64(0)
 	for _, st := range append(append([]*stream{}, e.waiting...), e.running...) {
-		prefill += int64(st.prefill)
-		output += int64(len(st.words) - len(st.events))
+		prefill += int64(st.prefillLeft)
+		output += int64(len(st.output) - len(st.events))
 	}
 	models := make([]string, 0, len(e.models))
 	for m := range e.models {
@@ -182,7 +189,8 @@
 	}
 }
 
-// step admits and prefills; it returns how long the step takes.
+// step waits for streams, admits them and computes prompt tokens. It returns the duration of the
+// step, and false once the engine has stopped.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -193,10 +201,10 @@
 		return 0, false
 	}
 	e.admit()
-	computed := e.prefill()
-	slow := max(e.faults.SlowBy, 1)
-	step := float64(e.spec.StepTime) * (1 + e.spec.BatchCost*float64(len(e.running))) * slow
-	step += float64(computed) / e.spec.PrefillRate * float64(time.Second) * slow
+	computed := e.prefillStreams()
+	slowdown := max(e.faults.SlowBy, 1)
+	step := float64(e.spec.StepTime) * (1 + e.spec.BatchCost*float64(len(e.running))) * slowdown
+	step += float64(computed) / e.spec.PrefillRate * float64(time.Second) * slowdown
 	return time.Duration(step), true
 }
 
@@ -205,72 +213,72 @@
 	for len(e.running) < e.spec.MaxBatch && len(e.waiting) > 0 {
 		st := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		st.cached = e.cache.prefix(st.call.CacheKey, st.prompt)
-		st.prefill = st.prompt - st.cached
+		st.cached = e.cache.cachedTokens(st.call.CacheKey, st.prompt)
+		st.prefillLeft = st.prompt - st.cached
 		e.running = append(e.running, st)
 	}
 }
 
-func (e *Engine) prefill() int {
-	left := e.spec.Chunk
+func (e *Engine) prefillStreams() int {
+	remaining := e.spec.Chunk
 	for _, st := range e.running {
-		n := min(st.prefill, left)
-		st.prefill -= n
-		left -= n
+		n := min(st.prefillLeft, remaining)
+		st.prefillLeft -= n
+		remaining -= n
 	}
-	return e.spec.Chunk - left
+	return e.spec.Chunk - remaining
 }
 
-// emit gives every running stream that is through prefill one token.
-func (e *Engine) emit() {
+// emitTokens adds one token to every running stream whose prompt is computed.
+func (e *Engine) emitTokens() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	still := e.running[:0]
+	unfinished := e.running[:0]
 	for _, st := range e.running {
-		e.token(st)
+		e.emitToken(st)
 		if !st.done {
-			still = append(still, st)
+			unfinished = append(unfinished, st)
 		}
 	}
-	e.running = still
+	e.running = unfinished
 	e.wake.Broadcast()
 }
 
-func (e *Engine) token(st *stream) {
-	if st.cancel {
+func (e *Engine) emitToken(st *stream) {
+	if st.cancelled {
 		e.finish(st, "cancelled")
 		return
 	}
-	if st.prefill > 0 {
+	if st.prefillLeft > 0 {
 		return
 	}
 	st.seq++
-	st.events = append(st.events, types.EngineEvent{Attempt: st.call.Attempt, Seq: st.seq, Text: st.words[st.seq-1]})
+	st.events = append(st.events, types.EngineEvent{Attempt: st.call.Attempt, Seq: st.seq, Text: st.output[st.seq-1]})
 	e.stats.Tokens++
-	if st.seq < len(st.words) {
+	if st.seq < len(st.output) {
 		return
 	}
 	reason := "stop"
-	if len(st.words) == st.call.MaxTokens {
+	if len(st.output) == st.call.MaxTokens {
 		reason = "length"
 	}
 	e.finish(st, reason)
 }
 
 func (e *Engine) finish(st *stream, reason string) {
-	made := len(st.events)
-	usage := types.Usage{PromptTokens: st.prompt, CompletionTokens: made, CachedTokens: st.cached}
+	generated := len(st.events)
+	usage := types.Usage{PromptTokens: st.prompt, CompletionTokens: generated, CachedTokens: st.cached}
 	st.seq++
 	st.events = append(st.events, types.EngineEvent{Attempt: st.call.Attempt, Seq: st.seq, End: true, Finish: reason, Usage: usage})
 	st.done = true
-	st.ended = time.Now()
-	e.stats.Charged[st.call.CacheKey] += int64(st.prompt + made)
+	st.endedAt = time.Now()
+	e.stats.Charged[st.call.CacheKey] += int64(st.prompt + generated)
 	if reason != "cancelled" {
-		e.cache.put(st.call.CacheKey, st.prompt+made, st.call.Hold)
+		e.cache.put(st.call.CacheKey, st.prompt+generated, st.call.Hold)
 	}
 }
 
-// Start begins a stream, or finds the one that the attempt began before.
+// Start starts the stream of an attempt. It does nothing if the attempt already has one.
 func (e *Engine) Start(call types.EngineCall) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -279,21 +287,21 @@
 		return nil
 	}
 	if e.faults.Leaving {
-		return fault.Refuse(fault.Stopping, "engine is leaving")
+		return fault.Refuse(fault.Stopping, "engine is draining")
 	}
 	if _, ok := e.models[call.Model]; !ok {
 		return fault.Refuse(fault.UnknownModel, "model is not loaded here")
 	}
 	if call.MaxTokens <= 0 || len(call.Messages) == 0 {
-		return fault.Refuse(fault.BadRequest, "messages and max_tokens are needed")
+		return fault.Refuse(fault.BadRequest, "messages and max_tokens are required")
 	}
 	e.stats.Calls++
-	st := &stream{call: call, prompt: Count(call.Messages), words: Answer(call.Messages, call.MaxTokens)}
-	// What is held already need not be computed when the stream gets its place.
-	st.prefill = st.prompt - e.cache.prefix(call.CacheKey, st.prompt)
+	st := &stream{call: call, prompt: Count(call.Messages), output: Answer(call.Messages, call.MaxTokens)}
+	// Load reports show this estimate until admit computes it anew.
+	st.prefillLeft = st.prompt - e.cache.cachedTokens(call.CacheKey, st.prompt)
 	if e.faults.BreakStreams > 0 {
 		e.faults.BreakStreams--
-		st.broken = true
+		st.breakPending = true
 	}
 	e.streams[call.Attempt] = st
 	e.waiting = append(e.waiting, st)
@@ -301,9 +309,10 @@
 	return nil
 }
 
-const breakAt = 3
+const breakAfterEvents = 3
 
-// Follow calls send with each event after the sequence number, until the end mark.
+// Follow calls send with each event of a stream whose sequence number is greater than after, and
+// returns once the end event is sent.
 func (e *Engine) Follow(ctx context.Context, attempt string, after int, send func(types.EngineEvent) error) error {
 	stop := context.AfterFunc(ctx, func() {
 		e.mu.Lock()
@@ -312,7 +321,7 @@
 	})
 	defer stop()
 	for {
-		events, broken, err := e.next(ctx, attempt, after)
+		events, broken, err := e.nextEvents(ctx, attempt, after)
 		if err != nil {
 			return err
 		}
@@ -324,14 +333,16 @@
 			if ev.End {
 				return nil
 			}
-			if broken && after >= breakAt {
-				return fault.Fail(fault.TargetFailed, "stream broken by order")
+			if broken && after >= breakAfterEvents {
+				return fault.Fail(fault.TargetFailed, "injected stream break")
 			}
 		}
 	}
 }
 
-func (e *Engine) next(ctx context.Context, attempt string, after int) ([]types.EngineEvent, bool, error) {
+// nextEvents waits for events after a sequence number. It also returns whether the injected break
+// is still due; the first read of a stream with breakAfterEvents events clears that.
+func (e *Engine) nextEvents(ctx context.Context, attempt string, after int) ([]types.EngineEvent, bool, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	st, ok := e.streams[attempt]
@@ -342,16 +353,17 @@
 		e.wake.Wait()
 	}
 	if ctx.Err() != nil || e.stopped {
-		return nil, false, fault.Fail(fault.TargetFailed, "reader is gone").Because(ctx.Err())
+		return nil, false, fault.Fail(fault.TargetFailed, "reader has disconnected or engine has stopped").Because(ctx.Err())
 	}
-	broken := st.broken
-	if len(st.events) >= breakAt {
-		st.broken = false
+	broken := st.breakPending
+	if len(st.events) >= breakAfterEvents {
+		st.breakPending = false
 	}
 	return append([]types.EngineEvent{}, st.events[after:]...), broken, nil
 }
 
-// Cancel stops a stream.
+// Cancel ends a stream early: at once if it is waiting, at the end of the
+// current step if it is running.
 func (e *Engine) Cancel(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -359,7 +371,7 @@
 	if !ok || st.done {
 		return
 	}
-	st.cancel = true
+	st.cancelled = true
 	for i, w := range e.waiting {
 		if w == st {
 			e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
@@ -370,7 +382,8 @@
 	e.wake.Broadcast()
 }
 
-// Load is the newest published report and the cache events after a sequence number.
+// Load returns the newest load report and the cache events after a sequence number, of which
+// Faults.LoseEvents may leave out some.
 func (e *Engine) Load(after int64) (types.LoadReport, []types.CacheEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -383,7 +396,7 @@
 	return e.report, events
 }
 
-// Set switches faults.
+// Set replaces the injected faults. If they include Leaving, it updates the load report at once.
 func (e *Engine) Set(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -7,7 +7,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// The operations of cache and engine orders.
+// The operations of cache orders and the kinds of engine orders.
 const (
 	OpRelease = "release"
 	OpHold    = "hold"
@@ -24,7 +24,7 @@
 	Held   bool `json:"held"`
 }
 
-// Cache carries out a cache order; import is done by Import.
+// Cache executes a cache order other than OpImport, for which the caller uses Import.
 func (e *Engine) Cache(order types.CacheOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -33,9 +33,9 @@
 		case OpRelease:
 			e.cache.release(key)
 		case OpHold:
-			e.cache.hold(key, true)
+			e.cache.setHeld(key, true)
 		case OpUnhold:
-			e.cache.hold(key, false)
+			e.cache.setHeld(key, false)
 		default:
 			return fault.Refuse(fault.BadRequest, "unknown cache order")
 		}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Items lists the cached prefixes by key.
+// Items returns the cached prefixes by key.
 func (e *Engine) Items() map[string]Item {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +55,7 @@
 	return out
 }
 
-// Import stores prefixes that another engine exported.
+// Import adds prefixes that another engine exported.
 func (e *Engine) Import(items map[string]Item) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,13 +64,14 @@
 	}
 }
 
-// Order carries out a load or unload order, if its fencing number is not old.
+// Order executes a load or unload order. A fenced engine rejects a fencing number lower than the
+// highest one that it has seen.
 func (e *Engine) Order(order types.EngineOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.spec.Fenced && order.Fence < e.fence {
 		e.stats.Stale++
-		return fault.Refuse(fault.Conflict, "fencing number is old")
+		return fault.Refuse(fault.Conflict, "stale fencing number")
 	}
 	e.fence = max(e.fence, order.Fence)
 	switch order.Kind {
@@ -86,21 +87,21 @@
 	return nil
 }
 
-// Models lists what is loaded, with versions.
+// Models returns the versions of the loaded models by model.
 func (e *Engine) Models() map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.models)
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.stats
 	out.Charged = maps.Clone(e.stats.Charged)
 	out.Items = len(e.cache.items)
-	out.Evicted = e.cache.evicted
+	out.Evicted = e.cache.evictedTokens
 	for _, el := range e.cache.items {
 		if el.Value.(*item).held {
 			out.Held++
--- a/stand/model/serve.go
+++ b/stand/model/serve.go
@@ -14,28 +14,28 @@
 	"mulleingate.dev/base/types"
 )
 
-const maxBody = 64 << 20
+const maxBodyBytes = 64 << 20
 
 // Server serves an engine over HTTP.
 type Server struct {
 	engine *Engine
-	// weights is the weight store's address; the zero address means there is none.
-	weights netip.AddrPort
-	http    *client.Client
+	// weightStore is the address of the weight store; the zero value means there is none.
+	weightStore netip.AddrPort
+	httpClient  *client.Client
 }
 
-// NewServer makes a server that fetches weights from the store for each load order.
-func NewServer(engine *Engine, weights netip.AddrPort) *Server {
-	return &Server{engine: engine, weights: weights, http: client.New("engine-out", nil)}
+// NewServer returns a server that fetches weights from the weight store for each load order.
+func NewServer(engine *Engine, weightStore netip.AddrPort) *Server {
+	return &Server{engine: engine, weightStore: weightStore, httpClient: client.New("engine-out", nil)}
 }
 
-// LoadAnswer is the answer of the load route.
+// LoadAnswer is the response body of the load route.
 type LoadAnswer struct {
 	Load   types.LoadReport   `json:"load"`
 	Events []types.CacheEvent `json:"events"`
 }
 
-// Routes lists the routes.
+// Routes returns the HTTP routes of the engine and of its fault injection.
 func (s *Server) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/chat/completions", Handler: s.serveStart},
@@ -53,7 +53,7 @@
 
 func (s *Server) serveStart(w http.ResponseWriter, r *http.Request) {
 	var call types.EngineCall
-	if err := server.Read(w, r, maxBody, &call); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &call); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
@@ -99,11 +99,11 @@
 
 func (s *Server) serveCache(w http.ResponseWriter, r *http.Request) {
 	var order types.CacheOrder
-	if err := server.Read(w, r, maxBody, &order); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &order); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
-	err := s.cacheOrder(r, order)
+	err := s.applyCacheOrder(r, order)
 	if err != nil {
 		server.Fail(w, "", err)
 		return
@@ -111,13 +111,13 @@
 	server.Write(w, http.StatusOK, struct{}{})
 }
 
-func (s *Server) cacheOrder(r *http.Request, order types.CacheOrder) error {
+func (s *Server) applyCacheOrder(r *http.Request, order types.CacheOrder) error {
 	if order.Op != OpImport {
 		return s.engine.Cache(order)
 	}
 	var items map[string]Item
 	url := "http://" + order.From.String() + "/v1/cache"
-	if err := s.http.Call(r.Context(), http.MethodGet, url, nil, &items); err != nil {
+	if err := s.httpClient.Call(r.Context(), http.MethodGet, url, nil, &items); err != nil {
 		return err
 	}
 	wanted := map[string]Item{}
@@ -136,12 +136,12 @@
 
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order types.EngineOrder
-	if err := server.Read(w, r, maxBody, &order); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &order); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
-	if order.Kind == OrderLoad && s.weights.IsValid() {
-		err := s.http.Call(r.Context(), http.MethodPost, "http://"+s.weights.String()+"/v1/fetch", struct{}{}, nil)
+	if order.Kind == OrderLoad && s.weightStore.IsValid() {
+		err := s.httpClient.Call(r.Context(), http.MethodPost, "http://"+s.weightStore.String()+"/v1/fetch", struct{}{}, nil)
 		if err != nil {
 			server.Fail(w, "", err)
 			return
@@ -164,7 +164,7 @@
 
 func (s *Server) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
--- a/stand/model/text.go
+++ b/stand/model/text.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	lengthMark    = "len="
+	lengthPrefix  = "len="
 	defaultLength = 16
 )
 
-// Count is the stand-in's tokenizer: one token a word, and one a message.
+// Count returns the number of tokens of the messages: one per word and one per message.
 func Count(messages []types.Message) int {
 	n := 0
 	for _, m := range messages {
@@ -22,11 +22,11 @@
 	return n
 }
 
-// Answer is the text that any engine gives to the messages: the first word is a digest
-// of all of them, so that a test can tell whole and own answers from others.
+// Answer returns the words that every engine generates for the messages. Each consists of the
+// digest of the messages and its index, so that tests can detect wrong and incomplete answers.
 func Answer(messages []types.Message, maxTokens int) []string {
 	digest := Digest(messages)
-	n := min(length(messages), maxTokens)
+	n := min(requestedLength(messages), maxTokens)
 	words := make([]string, 0, n)
 	for i := range n {
 		words = append(words, digest+"."+strconv.Itoa(i))
@@ -34,23 +34,23 @@
 	return words
 }
 
-// Digest sums up all messages.
+// Digest returns a checksum of all messages.
 func Digest(messages []types.Message) string {
-	sum := crc32.NewIEEE()
+	hash := crc32.NewIEEE()
 	for _, m := range messages {
-		_, _ = sum.Write([]byte(m.Role + "\x00" + m.Content + "\x00"))
+		_, _ = hash.Write([]byte(m.Role + "\x00" + m.Content + "\x00"))
 	}
-	return strconv.FormatUint(uint64(sum.Sum32()), 16)
+	return strconv.FormatUint(uint64(hash.Sum32()), 16)
 }
 
-// length reads the wanted length, in tokens, from the last message.
-func length(messages []types.Message) int {
+// requestedLength returns the answer length, in tokens, that the last message requests.
+func requestedLength(messages []types.Message) int {
 	if len(messages) == 0 {
 		return defaultLength
 	}
 	for word := range strings.FieldsSeq(messages[len(messages)-1].Content) {
-		text, ok := strings.CutPrefix(word, lengthMark)
-		if n, err := strconv.Atoi(text); ok && err == nil && n > 0 {
+		number, ok := strings.CutPrefix(word, lengthPrefix)
+		if n, err := strconv.Atoi(number); ok && err == nil && n > 0 {
 			return n
 		}
 	}
