--- a/stand/tool/doc.go
+++ b/stand/tool/doc.go
@@ -1,2 +1,2 @@
-// Package tool is a stand-in of a tool or plain service. It counts every effect by key.
+// Package tool simulates a tool or plain service. It counts the effects of calls by key.
 package tool
--- a/stand/tool/tool.go
+++ b/stand/tool/tool.go
@@ -13,68 +13,68 @@
 	"mulleingate.dev/base/types"
 )
 
-const maxBody = 4 << 20
+const maxBodyBytes = 4 << 20
 
-// Faults are the switches of the stand-in.
+// Faults configures the faults that a Tool injects.
 type Faults struct {
-	// Delay is before the effect, Hang after it.
+	// Delay is the wait before the effect, Hang the wait after it.
 	Delay types.Duration `json:"delay"`
 	Hang  types.Duration `json:"hang"`
-	// DropAnswers breaks that many connections after the effect.
+	// DropAnswers is how many of the next calls lose their connection after the effect.
 	DropAnswers int `json:"drop_answers"`
-	// Refuse answers 503 with not_run before any effect.
+	// Refuse and Leaving reject calls with status 503 and not_run, before any effect.
 	Refuse  bool `json:"refuse"`
 	Leaving bool `json:"leaving"`
-	// Slots bounds how many calls run at once; 0 is without bound.
+	// Slots limits how many calls may wait for their effect at once; 0 means no limit.
 	Slots int `json:"slots"`
 }
 
-// Run is the body of a call.
+// Run is the request body of a call.
 type Run struct {
 	Key   string          `json:"key"`
 	Input json.RawMessage `json:"input"`
 }
 
-// Result is the answer of a call or probe.
+// Result is the response body of a call or probe.
 type Result struct {
 	Done   bool            `json:"done"`
 	Output json.RawMessage `json:"output,omitempty"`
 }
 
-// Effects tells how often each key took effect.
+// Effects counts the effects of each key, and all calls, rejected ones included.
 type Effects struct {
 	Counts map[string]int `json:"counts"`
 	Calls  int            `json:"calls"`
-	// LastCall is when the newest call arrived.
+	// LastCall is when the latest call arrived.
 	LastCall time.Time `json:"last_call"`
 }
 
-// Tool is the service. It is safe for use by many goroutines.
+// Tool is a simulated service. It is safe for concurrent use.
 type Tool struct {
 	name string
 
-	mu      sync.Mutex
-	faults  Faults
-	counts  map[string]int
-	outputs map[string]json.RawMessage
-	calls   int
-	running int
-	last    time.Time
+	mu       sync.Mutex
+	faults   Faults
+	counts   map[string]int
+	outputs  map[string]json.RawMessage
+	calls    int
+	running  int
+	lastCall time.Time
 }
 
-// New makes a tool with no effects.
+// New returns a tool whose counts are zero.
 func New(name string) *Tool {
 	return &Tool{name: name, counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
 }
 
-// Set switches faults.
+// Set replaces the injected faults.
 func (t *Tool) Set(faults Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = faults
 }
 
-// Effects returns the counts.
+// Effects returns a copy of the counts.
 func (t *Tool) Effects() Effects {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,31 +82,32 @@
 	for key, n := range t.counts {
 		counts[key] = n
 	}
-	return Effects{Counts: counts, Calls: t.calls, LastCall: t.last}
+	return Effects{Counts: counts, Calls: t.calls, LastCall: t.lastCall}
 }
 
-// Run takes effect once for every call, whatever its key.
+// Run applies the effect of a call, again if the key has taken effect before. It returns the faults
+// that were set when the call was admitted.
 func (t *Tool) Run(in Run) (Result, Faults, error) {
-	faults, err := t.enter()
+	faults, err := t.admit()
 	if err != nil {
 		return Result{}, faults, err
 	}
 	time.Sleep(time.Duration(faults.Delay))
-	out := t.effect(in)
+	out := t.applyEffect(in)
 	time.Sleep(time.Duration(faults.Hang))
 	return Result{Done: true, Output: out}, faults, nil
 }
 
-func (t *Tool) enter() (Faults, error) {
+func (t *Tool) admit() (Faults, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.calls++
-	t.last = time.Now()
+	t.lastCall = time.Now()
 	if t.faults.Refuse || t.faults.Leaving {
-		return t.faults, fault.Refuse(fault.Stopping, "service takes no work")
+		return t.faults, fault.Refuse(fault.Stopping, "service accepts no calls")
 	}
 	if t.faults.Slots > 0 && t.running >= t.faults.Slots {
-		return t.faults, fault.Refuse(fault.Overloaded, "service is at its limit")
+		return t.faults, fault.Refuse(fault.Overloaded, "service has reached its limit of concurrent calls")
 	}
 	t.running++
 	faults := t.faults
@@ -116,7 +117,7 @@
 	return faults, nil
 }
 
-func (t *Tool) effect(in Run) json.RawMessage {
+func (t *Tool) applyEffect(in Run) json.RawMessage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
@@ -126,14 +127,14 @@
 	return out
 }
 
-// Receipt is the output of a run.
+// Receipt is the output of a call.
 type Receipt struct {
 	Service string          `json:"service"`
 	Key     string          `json:"key"`
 	Input   json.RawMessage `json:"input"`
 }
 
-// Probe tells whether a key took effect.
+// Probe returns whether a key took effect, and the output of its latest call.
 func (t *Tool) Probe(key string) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,7 +142,7 @@
 	return Result{Done: ok, Output: out}
 }
 
-// Routes serves the tool over HTTP.
+// Routes returns the HTTP routes of the tool and of its fault injection.
 func (t *Tool) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/run", Handler: t.serveRun},
@@ -157,7 +158,7 @@
 
 func (t *Tool) serveRun(w http.ResponseWriter, r *http.Request) {
 	var in Run
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
@@ -175,7 +176,7 @@
 
 func (t *Tool) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
