--- a/stand/plat/plat.go
+++ b/stand/plat/plat.go
@@ -19,19 +19,20 @@
 	"mulleingate.dev/stand/weight"
 )
 
-// Spec says what a platform has.
+// Spec configures a platform.
 type Spec struct {
 	Zones []string
-	Lag   time.Duration
-	Log   applog.Faults
-	// Engines is the number of engines, spread over the zones; Model is what they serve.
+	// Lag is the delay after which readers see changes of the platform list.
+	Lag time.Duration
+	Log applog.Faults
+	// Engines is the number of engines, spread over the zones; Model is the model that they serve.
 	Engines int
 	Model   string
-	// Engine changes an engine's speed and size; may be nil.
+	// Engine adjusts the spec of each engine before it starts; it may be nil.
 	Engine func(spec *model.Spec)
-	// Services holds the number of replicas by service.
+	// Services is the number of replicas by service.
 	Services map[string]int
-	// WeightRate is in fetches a second.
+	// WeightRate is the limit of the weight store in fetches per second; at least 1 is used.
 	WeightRate float64
 }
 
@@ -44,83 +45,83 @@
 	LogAddr netip.AddrPort
 	ListAt  netip.AddrPort
 
-	list    types.List
-	servers []*server.Server
-	stop    context.CancelFunc
+	initialList types.List
+	servers     []*server.Server
+	cancel      context.CancelFunc
 }
 
-// New starts a platform.
+// New starts a platform. Stop must be called to release its resources.
 func New(spec Spec) (*Platform, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	r := &Platform{Engines: map[string]*model.Engine{}, Tools: map[string]*tool.Tool{}, stop: stop}
-	if err := r.start(ctx, spec); err != nil {
-		r.Stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	p := &Platform{Engines: map[string]*model.Engine{}, Tools: map[string]*tool.Tool{}, cancel: cancel}
+	if err := p.start(ctx, spec); err != nil {
+		p.Stop()
 		return nil, err
 	}
-	return r, nil
+	return p, nil
 }
 
-func (r *Platform) start(ctx context.Context, spec Spec) error {
-	r.Log = applog.New(spec.Log)
+func (p *Platform) start(ctx context.Context, spec Spec) error {
+	p.Log = applog.New(spec.Log)
 	var err error
-	if r.LogAddr, err = r.serve(r.Log.Routes()); err != nil {
+	if p.LogAddr, err = p.serve(p.Log.Routes()); err != nil {
 		return err
 	}
-	weights, err := r.serve(weight.New(max(spec.WeightRate, 1)).Routes())
+	weights, err := p.serve(weight.New(max(spec.WeightRate, 1)).Routes())
 	if err != nil {
 		return err
 	}
 	for i := range spec.Engines {
-		if err := r.engine(ctx, spec, i, weights); err != nil {
+		if err := p.startEngine(ctx, spec, i, weights); err != nil {
 			return err
 		}
 	}
 	for name, count := range spec.Services {
 		for i := range count {
-			if err := r.tool(spec, name, i); err != nil {
+			if err := p.startTool(spec, name, i); err != nil {
 				return err
 			}
 		}
 	}
-	r.Roster = roster.New(r.list, spec.Lag)
-	r.ListAt, err = r.serve(r.Roster.Routes())
+	p.Roster = roster.New(p.initialList, spec.Lag)
+	p.ListAt, err = p.serve(p.Roster.Routes())
 	return err
 }
 
-func (r *Platform) engine(ctx context.Context, spec Spec, i int, weights netip.AddrPort) error {
-	name := fmt.Sprintf("engine-%d", i)
-	made := model.DefaultSpec(name, spec.Model)
+func (p *Platform) startEngine(ctx context.Context, spec Spec, index int, weights netip.AddrPort) error {
+	name := fmt.Sprintf("engine-%d", index)
+	engineSpec := model.DefaultSpec(name, spec.Model)
 	if spec.Engine != nil {
-		spec.Engine(&made)
+		spec.Engine(&engineSpec)
 	}
-	engine := model.New(made)
+	engine := model.New(engineSpec)
 	go engine.Run(ctx)
-	addr, err := r.serve(model.NewServer(engine, weights).Routes())
+	addr, err := p.serve(model.NewServer(engine, weights).Routes())
 	if err != nil {
 		return err
 	}
-	r.Engines[name] = engine
-	r.list.Targets = append(r.list.Targets, types.Target{
-		Name: name, Kind: types.Engine, Zone: spec.Zones[i%len(spec.Zones)], Addr: addr, Models: []string{spec.Model}, Fenced: made.Fenced,
+	p.Engines[name] = engine
+	p.initialList.Targets = append(p.initialList.Targets, types.Target{
+		Name: name, Kind: types.Engine, Zone: spec.Zones[index%len(spec.Zones)], Addr: addr, Models: []string{spec.Model}, Fenced: engineSpec.Fenced,
 	})
 	return nil
 }
 
-func (r *Platform) tool(spec Spec, service string, i int) error {
-	name := fmt.Sprintf("%s-%d", service, i)
+func (p *Platform) startTool(spec Spec, service string, index int) error {
+	name := fmt.Sprintf("%s-%d", service, index)
 	t := tool.New(service)
-	addr, err := r.serve(t.Routes())
+	addr, err := p.serve(t.Routes())
 	if err != nil {
 		return err
 	}
-	r.Tools[name] = t
-	r.list.Targets = append(r.list.Targets, types.Target{
-		Name: name, Kind: types.Plain, Zone: spec.Zones[i%len(spec.Zones)], Addr: addr, Service: service,
+	p.Tools[name] = t
+	p.initialList.Targets = append(p.initialList.Targets, types.Target{
+		Name: name, Kind: types.Plain, Zone: spec.Zones[index%len(spec.Zones)], Addr: addr, Service: service,
 	})
 	return nil
 }
 
-func (r *Platform) serve(routes []rest.Route) (netip.AddrPort, error) {
+func (p *Platform) serve(routes []rest.Route) (netip.AddrPort, error) {
 	handler, err := server.Handler(routes)
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -129,19 +130,19 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	r.servers = append(r.servers, srv)
+	p.servers = append(p.servers, srv)
 	return srv.Addr(), nil
 }
 
-// Add puts a box on the list at once.
-func (r *Platform) Add(box types.Member) {
-	r.Roster.Change(func(list *types.List) { list.Boxes = append(list.Boxes, box) })
+// Add adds a box to the platform list. Readers see it after the list's lag.
+func (p *Platform) Add(box types.Member) {
+	p.Roster.Change(func(list *types.List) { list.Boxes = append(list.Boxes, box) })
 }
 
-// Effects sums up the effects of all replicas of a service by key.
-func (r *Platform) Effects() map[string]int {
+// Effects returns the number of effects by key, summed over all replicas of all services.
+func (p *Platform) Effects() map[string]int {
 	out := map[string]int{}
-	for _, t := range r.Tools {
+	for _, t := range p.Tools {
 		for key, n := range t.Effects().Counts {
 			out[key] += n
 		}
@@ -149,22 +150,22 @@
 	return out
 }
 
-// Stop ends the platform.
-func (r *Platform) Stop() {
-	r.stop()
-	ctx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
-	for _, srv := range r.servers {
+// Stop stops the engines and all servers.
+func (p *Platform) Stop() {
+	p.cancel()
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	for _, srv := range p.servers {
 		_ = srv.Stop(ctx)
 	}
 }
 
-// Loopback is any free port on loopback.
+// Loopback returns an IPv4 loopback address with port 0, for listening on any free port.
 func Loopback() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 }
 
-// FreePorts finds ports that nobody listens on now.
+// FreePorts returns n different loopback addresses whose ports are not in use at the moment.
 func FreePorts(n int) ([]netip.AddrPort, error) {
 	lns := make([]net.Listener, 0, n)
 	out := make([]netip.AddrPort, 0, n)
