--- a/stand/proxy/doc.go
+++ b/stand/proxy/doc.go
@@ -1,3 +1,3 @@
-// Package proxy is a TCP proxy that injects faults: delay, cuts of one or both
-// directions, half-open connections and resets in mid stream.
+// Package proxy implements a TCP proxy that injects faults: delays, loss of all bytes in one or
+// both directions, refused connections, and resets in the middle of a stream.
 package proxy
--- a/stand/proxy/proxy.go
+++ b/stand/proxy/proxy.go
@@ -15,50 +15,52 @@
 )
 
 const (
-	bufferSize  = 32 << 10
-	dialTimeout = time.Second
-	maxBody     = 64 << 10
+	bufferSize   = 32 << 10
+	dialTimeout  = time.Second
+	maxBodyBytes = 64 << 10
 )
 
-// Faults are the switches of one link.
+// Faults configures the faults that a link injects.
 type Faults struct {
+	// Delay is added before each chunk of bytes is forwarded.
 	Delay types.Duration `json:"delay"`
-	// CutUp and CutDown swallow bytes towards and from the target; connections stay open.
+	// CutUp and CutDown drop the bytes sent to and received from the target; connections stay open.
 	CutUp   bool `json:"cut_up"`
 	CutDown bool `json:"cut_down"`
-	// Refuse closes new connections and those that are open.
+	// Refuse closes new and open connections.
 	Refuse bool `json:"refuse"`
-	// ResetAfter breaks each connection after so many bytes from the target; 0 never does.
+	// ResetAfter resets each connection that would forward more than that many bytes from the
+	// target; 0 never does.
 	ResetAfter int64 `json:"reset_after"`
 }
 
-// Link is one proxied address.
+// Link proxies the connections to one listening address to a target. It is safe for concurrent use.
 type Link struct {
 	ln     net.Listener
 	target netip.AddrPort
 
-	mu     sync.Mutex
-	faults Faults
-	conns  map[net.Conn]bool
+	mu      sync.Mutex
+	faults  Faults
+	clients map[net.Conn]bool
 }
 
-// New listens on addr and forwards to target.
+// New listens on addr and forwards connections to target.
 func New(addr, target netip.AddrPort) (*Link, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, fault.Refuse(fault.BadSettings, "proxy cannot listen").Because(err)
 	}
-	link := &Link{ln: ln, target: target, conns: map[net.Conn]bool{}}
+	link := &Link{ln: ln, target: target, clients: map[net.Conn]bool{}}
 	go link.accept()
 	return link, nil
 }
 
-// Addr is the address that was bound.
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() netip.AddrPort {
 	return l.ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Set switches faults.
+// Set replaces the faults. They apply to open connections too.
 func (l *Link) Set(faults Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,18 +68,18 @@
 	if !faults.Refuse {
 		return
 	}
-	for conn := range l.conns {
+	for conn := range l.clients {
 		_ = conn.Close()
 	}
 }
 
-// Close stops the link.
+// Close stops listening and closes all connections.
 func (l *Link) Close() {
 	_ = l.ln.Close()
 	l.Set(Faults{Refuse: true})
 }
 
-func (l *Link) state() Faults {
+func (l *Link) currentFaults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
@@ -93,21 +95,21 @@
 	}
 }
 
-func (l *Link) serve(down net.Conn) {
-	defer func() { _ = down.Close() }()
-	if l.state().Refuse {
+func (l *Link) serve(client net.Conn) {
+	defer func() { _ = client.Close() }()
+	if l.currentFaults().Refuse {
 		return
 	}
-	up, err := net.DialTimeout("tcp", l.target.String(), dialTimeout)
+	target, err := net.DialTimeout("tcp", l.target.String(), dialTimeout)
 	if err != nil {
 		return
 	}
-	defer func() { _ = up.Close() }()
-	l.track(down, true)
-	defer l.track(down, false)
+	defer func() { _ = target.Close() }()
+	l.track(client, true)
+	defer l.track(client, false)
 	done := make(chan struct{}, 2)
-	go l.pump(up, down, true, done)
-	go l.pump(down, up, false, done)
+	go l.copyBytes(target, client, true, done)
+	go l.copyBytes(client, target, false, done)
 	<-done
 }
 
@@ -115,19 +117,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if open {
-		l.conns[conn] = true
+		l.clients[conn] = true
 		return
 	}
-	delete(l.conns, conn)
+	delete(l.clients, conn)
 }
 
-func (l *Link) pump(dst, src net.Conn, upward bool, done chan<- struct{}) {
+func (l *Link) copyBytes(dst, src net.Conn, toTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, bufferSize)
-	passed := int64(0)
+	forwarded := int64(0)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !l.pass(dst, buf[:n], upward, &passed) {
+		if n > 0 && !l.forward(dst, buf[:n], toTarget, &forwarded) {
 			return
 		}
 		if err != nil {
@@ -136,54 +138,54 @@
 	}
 }
 
-func (l *Link) pass(dst net.Conn, data []byte, upward bool, passed *int64) bool {
-	faults := l.state()
+func (l *Link) forward(dst net.Conn, data []byte, toTarget bool, forwarded *int64) bool {
+	faults := l.currentFaults()
 	time.Sleep(time.Duration(faults.Delay))
-	if (upward && faults.CutUp) || (!upward && faults.CutDown) {
+	if (toTarget && faults.CutUp) || (!toTarget && faults.CutDown) {
 		return true
 	}
-	*passed += int64(len(data))
-	if !upward && faults.ResetAfter > 0 && *passed > faults.ResetAfter {
-		reset(dst)
+	*forwarded += int64(len(data))
+	if !toTarget && faults.ResetAfter > 0 && *forwarded > faults.ResetAfter {
+		resetOnClose(dst)
 		return false
 	}
 	_, err := dst.Write(data)
 	return err == nil
 }
 
-// reset makes the close send RST.
-func reset(conn net.Conn) {
+// resetOnClose makes closing the connection send a TCP reset.
+func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// Group names links for control over HTTP.
+// Group holds links by name, so that their faults can be set over HTTP.
 type Group struct {
 	mu    sync.Mutex
 	links map[string]*Link
 }
 
-// NewGroup makes an empty group.
+// NewGroup returns an empty group.
 func NewGroup() *Group {
 	return &Group{links: map[string]*Link{}}
 }
 
-// Add names a link.
+// Add adds a link under a name, replacing the previous one of that name.
 func (g *Group) Add(name string, link *Link) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.links[name] = link
 }
 
-// Routes serves the switches over HTTP.
+// Routes returns the HTTP route that sets the faults of a link.
 func (g *Group) Routes() []rest.Route {
 	return []rest.Route{{Method: http.MethodPut, Path: "/control", Handler: g.serveControl}}
 }
 
 func (g *Group) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
