--- a/stand/roster/doc.go
+++ b/stand/roster/doc.go
@@ -1,3 +1,2 @@
-// Package roster is a stand-in of the platform's lagging list of live and leaving boxes
-// and targets.
+// Package roster simulates the platform's list of boxes and targets, which readers see with a lag.
 package roster
--- a/stand/roster/roster.go
+++ b/stand/roster/roster.go
@@ -15,52 +15,54 @@
 )
 
 const (
-	maxBody = 16 << 20
-	history = 64
+	maxBodyBytes = 16 << 20
+	maxVersions  = 64
 )
 
-// Roster is the list. It is safe for use by many goroutines.
+// Roster keeps the recent versions of the platform list. It is safe for concurrent use.
 type Roster struct {
 	mu  sync.Mutex
 	lag time.Duration
-	// versions are in order of time; readers get the newest that is older than lag.
+	// versions are in order of time and never empty; readers get the newest that is at least lag old.
 	versions []types.List
-	down     bool
+	// down makes reads fail.
+	down bool
 }
 
-// Control is the body of a control call. Unset fields change nothing.
+// Control is the request body of a control call. Unset fields change nothing.
 type Control struct {
-	Lag    *types.Duration `json:"lag,omitempty"`
-	Down   *bool           `json:"down,omitempty"`
-	List   *types.List     `json:"list,omitempty"`
-	Remove string          `json:"remove,omitempty"`
-	Leave  string          `json:"leave,omitempty"`
+	Lag  *types.Duration `json:"lag,omitempty"`
+	Down *bool           `json:"down,omitempty"`
+	List *types.List     `json:"list,omitempty"`
+	// Remove and Leave name a box or target to remove or to mark as leaving.
+	Remove string `json:"remove,omitempty"`
+	Leave  string `json:"leave,omitempty"`
 }
 
-// New makes a roster with a first list, visible at once.
+// New returns a roster whose first list is visible at once.
 func New(list types.List, lag time.Duration) *Roster {
 	list.At = time.Now().Add(-lag)
 	return &Roster{lag: lag, versions: []types.List{list}}
 }
 
-// List returns the list as of lag ago.
+// List returns the list as it was lag ago, or the oldest version kept if all are newer.
 func (l *Roster) List() (types.List, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return types.List{}, fault.Refuse(fault.TargetFailed, "list is down")
+		return types.List{}, fault.Refuse(fault.TargetFailed, "platform list is down")
 	}
 	cutoff := time.Now().Add(-l.lag)
-	out := l.versions[0]
+	visible := l.versions[0]
 	for _, v := range l.versions {
 		if !v.At.After(cutoff) {
-			out = v
+			visible = v
 		}
 	}
-	return out, nil
+	return visible, nil
 }
 
-// Change edits the newest list; readers see it after the lag.
+// Change adds a version that edit makes from the newest one; readers see it after the lag.
 func (l *Roster) Change(edit func(list *types.List)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,8 +70,8 @@
 	next := types.List{At: time.Now(), Boxes: slices.Clone(last.Boxes), Targets: slices.Clone(last.Targets)}
 	edit(&next)
 	l.versions = append(l.versions, next)
-	if len(l.versions) > history {
-		l.versions = l.versions[len(l.versions)-history:]
+	if len(l.versions) > maxVersions {
+		l.versions = l.versions[len(l.versions)-maxVersions:]
 	}
 }
 
@@ -85,7 +87,7 @@
 	})
 }
 
-// Remove takes a box or target off the list.
+// Remove removes a box or target from the list.
 func (l *Roster) Remove(name string) {
 	l.Change(func(list *types.List) {
 		list.Boxes = slices.DeleteFunc(list.Boxes, func(m types.Member) bool { return m.Name == name })
@@ -93,7 +95,7 @@
 	})
 }
 
-// Routes serves the list over HTTP.
+// Routes returns the HTTP routes of the list and of its control.
 func (l *Roster) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: "/v1/list", Handler: l.serveList},
@@ -118,15 +120,15 @@
 
 func (l *Roster) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Control
-	if err := server.Read(w, r, maxBody, &in); err != nil {
+	if err := server.Read(w, r, maxBodyBytes, &in); err != nil {
 		server.Fail(w, "", err)
 		return
 	}
-	l.control(in)
+	l.apply(in)
 	server.Write(w, http.StatusOK, struct{}{})
 }
 
-func (l *Roster) control(in Control) {
+func (l *Roster) apply(in Control) {
 	l.mu.Lock()
 	if in.Lag != nil {
 		l.lag = time.Duration(*in.Lag)
