--- a/stand/weight/doc.go
+++ b/stand/weight/doc.go
@@ -1,2 +1,2 @@
-// Package weight is a stand-in of the platform's rate-limited weight store.
+// Package weight simulates the platform's store of model weights, which limits the rate of fetches.
 package weight
