--- a/stand/cmds/cmds.go
+++ b/stand/cmds/cmds.go
@@ -14,35 +14,34 @@
 	"mulleingate.dev/base/shell"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
 var commands = shell.New()
 
-// Run runs the command line and returns the exit code.
+// Run parses and runs the command line and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
-	return commands.Run("stand", "Stand-ins of the platform's services", version, args, out, errOut)
+	return commands.Run("stand", "Simulates the platform's services", version, args, out, errOut)
 }
 
-// address is the flag that all stand-ins share.
-type address struct {
-	text string
+// addrFlag is the listening address, a flag of all commands.
+type addrFlag struct {
+	value string
 }
 
-func (a *address) flag(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&a.text, "addr", "127.0.0.1:0", "numeric address to listen on")
+func (a *addrFlag) addFlag(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&a.value, "addr", "127.0.0.1:0", "numeric address to listen on")
 }
 
-func (a *address) parse() (netip.AddrPort, error) {
-	addr, err := netip.ParseAddrPort(a.text)
+func (a *addrFlag) parse() (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(a.value)
 	if err != nil {
 		return addr, fault.Refuse(fault.BadSettings, "addr: not a numeric address with a port")
 	}
 	return addr, nil
 }
 
-// serve serves the routes until ctx ends.
-func (a *address) serve(ctx context.Context, out io.Writer, routes []rest.Route) error {
+// serve serves the routes until ctx is done, after printing the listening address.
+func (a *addrFlag) serve(ctx context.Context, out io.Writer, routes []rest.Route) error {
 	addr, err := a.parse()
 	if err != nil {
 		return err
--- a/stand/cmds/doc.go
+++ b/stand/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds holds stand's commands, one a file.
+// Package cmds implements the commands of stand. Each runs one simulated service.
 package cmds
--- a/stand/cmds/engine.go
+++ b/stand/cmds/engine.go
@@ -12,12 +12,12 @@
 )
 
 func init() {
-	commands.Register(&engine{})
+	commands.Register(&engineCmd{})
 }
 
-// engine runs a model engine.
-type engine struct {
-	address
+// engineCmd runs a simulated model engine.
+type engineCmd struct {
+	addrFlag
 	name    string
 	models  []string
 	weights string
@@ -26,20 +26,20 @@
 	fenced  bool
 }
 
-func (*engine) Aliases() []string { return []string{"engine", "model"} }
-func (*engine) Help() string      { return "run a model engine" }
+func (*engineCmd) Aliases() []string { return []string{"engine", "model"} }
+func (*engineCmd) Help() string      { return "run a model engine" }
 
-func (e *engine) Flags(cmd *cobra.Command) {
-	e.flag(cmd)
-	cmd.Flags().StringVar(&e.name, "name", "engine-0", "name on the list")
+func (e *engineCmd) Flags(cmd *cobra.Command) {
+	e.addFlag(cmd)
+	cmd.Flags().StringVar(&e.name, "name", "engine-0", "name in the platform list")
 	cmd.Flags().StringSliceVar(&e.models, "models", []string{"planner"}, "models it serves")
 	cmd.Flags().StringVar(&e.weights, "weights", "", "address of the weight store")
-	cmd.Flags().IntVar(&e.batch, "batch", 16, "streams in one batch")
-	cmd.Flags().Int64Var(&e.cache, "cache", 100_000, "prefix cache in tokens")
-	cmd.Flags().BoolVar(&e.fenced, "fenced", true, "refuse orders with an old fencing number")
+	cmd.Flags().IntVar(&e.batch, "batch", 16, "maximum number of streams in a batch")
+	cmd.Flags().Int64Var(&e.cache, "cache", 100_000, "size of the prefix cache, in tokens")
+	cmd.Flags().BoolVar(&e.fenced, "fenced", true, "reject orders with an old fencing number")
 }
 
-func (e *engine) Execute(ctx context.Context, out io.Writer, _ []string) error {
+func (e *engineCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	var weights netip.AddrPort
 	if e.weights != "" {
 		addr, err := netip.ParseAddrPort(e.weights)
@@ -50,7 +50,7 @@
 	}
 	spec := model.DefaultSpec(e.name, e.models...)
 	spec.MaxBatch, spec.CacheSize, spec.Fenced = e.batch, e.cache, e.fenced
-	made := model.New(spec)
-	go made.Run(ctx)
-	return e.serve(ctx, out, model.NewServer(made, weights).Routes())
+	engine := model.New(spec)
+	go engine.Run(ctx)
+	return e.serve(ctx, out, model.NewServer(engine, weights).Routes())
 }
--- a/stand/cmds/list.go
+++ b/stand/cmds/list.go
@@ -15,35 +15,35 @@
 )
 
 func init() {
-	commands.Register(&list{})
+	commands.Register(&listCmd{})
 }
 
-// list runs the platform's list.
-type list struct {
-	address
+// listCmd runs the simulated platform list.
+type listCmd struct {
+	addrFlag
 	file string
 	lag  time.Duration
 }
 
-func (*list) Aliases() []string { return []string{"list", "roster"} }
-func (*list) Help() string      { return "run the list of boxes and targets" }
+func (*listCmd) Aliases() []string { return []string{"list", "roster"} }
+func (*listCmd) Help() string      { return "run the list of boxes and targets" }
 
-func (l *list) Flags(cmd *cobra.Command) {
-	l.flag(cmd)
-	cmd.Flags().StringVar(&l.file, "file", "", "JSON file with the first list")
-	cmd.Flags().DurationVar(&l.lag, "lag", time.Second, "how far readers are behind")
+func (l *listCmd) Flags(cmd *cobra.Command) {
+	l.addFlag(cmd)
+	cmd.Flags().StringVar(&l.file, "file", "", "JSON file with the initial list")
+	cmd.Flags().DurationVar(&l.lag, "lag", time.Second, "delay after which readers see a change")
 }
 
-func (l *list) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	var first types.List
+func (l *listCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
+	var initial types.List
 	if l.file != "" {
 		raw, err := os.ReadFile(l.file)
 		if err != nil {
 			return fault.Refuse(fault.BadSettings, "file: cannot be read").Because(err)
 		}
-		if err := json.Unmarshal(raw, &first); err != nil {
+		if err := json.Unmarshal(raw, &initial); err != nil {
 			return fault.Refuse(fault.BadSettings, "file: not a list in JSON").Because(err)
 		}
 	}
-	return l.serve(ctx, out, roster.New(first, l.lag).Routes())
+	return l.serve(ctx, out, roster.New(initial, l.lag).Routes())
 }
--- a/stand/cmds/log.go
+++ b/stand/cmds/log.go
@@ -15,9 +15,9 @@
 	commands.Register(&logCmd{})
 }
 
-// logCmd runs the log service.
+// logCmd runs the simulated log service.
 type logCmd struct {
-	address
+	addrFlag
 	limit int
 	keep  time.Duration
 }
@@ -26,9 +26,9 @@
 func (*logCmd) Help() string      { return "run the append-only log" }
 
 func (l *logCmd) Flags(cmd *cobra.Command) {
-	l.flag(cmd)
-	cmd.Flags().IntVar(&l.limit, "limit", 0, "appends a second; 0 is without limit")
-	cmd.Flags().DurationVar(&l.keep, "keep", 0, "how long entries are kept; 0 is for ever")
+	l.addFlag(cmd)
+	cmd.Flags().IntVar(&l.limit, "limit", 0, "appends per second; 0 means no limit")
+	cmd.Flags().DurationVar(&l.keep, "keep", 0, "how long entries are kept; 0 keeps them forever")
 }
 
 func (l *logCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
--- a/stand/cmds/proxy.go
+++ b/stand/cmds/proxy.go
@@ -19,7 +19,7 @@
 
 // proxyCmd runs the fault-injecting proxy.
 type proxyCmd struct {
-	address
+	addrFlag
 	links []string
 }
 
@@ -29,8 +29,8 @@
 }
 
 func (p *proxyCmd) Flags(cmd *cobra.Command) {
-	p.flag(cmd)
-	cmd.Flags().StringArrayVar(&p.links, "link", nil, "NAME=LISTEN=TARGET; may stand several times")
+	p.addFlag(cmd)
+	cmd.Flags().StringArrayVar(&p.links, "link", nil, "NAME=LISTEN=TARGET; may be repeated")
 }
 
 func (p *proxyCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
--- a/stand/cmds/tool.go
+++ b/stand/cmds/tool.go
@@ -12,12 +12,12 @@
 
 func init() {
 	commands.Register(&toolCmd{})
-	commands.Register(&weights{})
+	commands.Register(&weightsCmd{})
 }
 
-// toolCmd runs a tool or plain service.
+// toolCmd runs a simulated tool or plain service.
 type toolCmd struct {
-	address
+	addrFlag
 	name string
 }
 
@@ -25,7 +25,7 @@
 func (*toolCmd) Help() string      { return "run a tool that counts its effects by key" }
 
 func (t *toolCmd) Flags(cmd *cobra.Command) {
-	t.flag(cmd)
+	t.addFlag(cmd)
 	cmd.Flags().StringVar(&t.name, "name", "booking", "name of the service")
 }
 
@@ -33,20 +33,20 @@
 	return t.serve(ctx, out, tool.New(t.name).Routes())
 }
 
-// weights runs the weight store.
-type weights struct {
-	address
+// weightsCmd runs the simulated weight store.
+type weightsCmd struct {
+	addrFlag
 	rate float64
 }
 
-func (*weights) Aliases() []string { return []string{"weights"} }
-func (*weights) Help() string      { return "run the rate-limited weight store" }
+func (*weightsCmd) Aliases() []string { return []string{"weights"} }
+func (*weightsCmd) Help() string      { return "run the rate-limited weight store" }
 
-func (w *weights) Flags(cmd *cobra.Command) {
-	w.flag(cmd)
-	cmd.Flags().Float64Var(&w.rate, "rate", 1, "fetches a second")
+func (w *weightsCmd) Flags(cmd *cobra.Command) {
+	w.addFlag(cmd)
+	cmd.Flags().Float64Var(&w.rate, "rate", 1, "fetches per second")
 }
 
-func (w *weights) Execute(ctx context.Context, out io.Writer, _ []string) error {
+func (w *weightsCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	return w.serve(ctx, out, weight.New(w.rate).Routes())
 }
