--- a/stand/main.go
+++ b/stand/main.go
@@ -1,4 +1,4 @@
-// Command stand runs stand-ins of the platform's services.
+// Command stand simulates the platform's services for development and tests.
 package main
 
 import (
