--- a/stand/model/cache.go
+++ b/stand/model/cache.go
@@ -54,7 +54,7 @@
 	c.recordEvent(key, tokens, false)
 }
 
-// makeRoom evicts items that aren't held until tokens more fit, and reports whether they do.
+// makeRoom evicts items that aren't held until that many tokens fit, and returns whether they do.
 func (c *cache) makeRoom(tokens int64) bool {
 	for el := c.lru.Front(); el != nil && c.used+tokens > c.capacity; {
 		next := el.Next()
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -114,7 +114,7 @@
 	for _, m := range spec.Models {
 		e.models[m] = ""
 	}
-	e.report = e.snapshot()
+	e.report = e.buildReport()
 	return e
 }
 
@@ -138,29 +138,29 @@
 	}
 }
 
-// publishReports publishes a load report every ReportLag.
+// publishReports publishes a load report every ReportLag until ctx is done.
 func (e *Engine) publishReports(ctx context.Context) {
-	lag := max(time.Duration(e.spec.ReportLag), time.Millisecond)
-	tick := time.NewTicker(lag)
+	interval := max(time.Duration(e.spec.ReportLag), time.Millisecond)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			e.publishReport(lag)
+			e.publishReport(interval)
 		}
 	}
 }
 
 // publishReport updates the load report and deletes streams that ended long ago.
-func (e *Engine) publishReport(lag time.Duration) {
+func (e *Engine) publishReport(interval time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.report = e.snapshot()
+	e.report = e.buildReport()
 	for _, el := range e.cache.items {
 		if it := el.Value.(*item); it.held {
-			e.stats.HeldTokenSeconds += float64(it.tokens) * lag.Seconds()
+			e.stats.HeldTokenSeconds += float64(it.tokens) * interval.Seconds()
 		}
 	}
 	for id, st := range e.streams {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (e *Engine) snapshot() types.LoadReport {
+func (e *Engine) buildReport() types.LoadReport {
 	prefill, output := int64(0), int64(0)
 	for _, st := range append(append([]*stream{}, e.waiting...), e.running...) {
 		prefill += int64(st.prefillLeft)
@@ -402,6 +402,6 @@
 	defer e.mu.Unlock()
 	e.faults = faults
 	if faults.Leaving {
-		e.report = e.snapshot()
+		e.report = e.buildReport()
 	}
 }
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -83,7 +83,7 @@
 	default:
 		return fault.Refuse(fault.BadRequest, "unknown order")
 	}
-	e.report = e.snapshot()
+	e.report = e.buildReport()
 	return nil
 }
 
