--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func oneZone(s *sample.Shape) {
+func oneZone(s *sample.Deployment) {
 	s.Zones = s.Zones[:1]
 }
 
@@ -298,7 +298,7 @@
 // revisions: configurations with growing numbers of workspaces, published again and again.
 func (c *capacityCmd) revisions(ctx context.Context, b *builder, all *slopes) error {
 	for _, workspaces := range []int{10, 200, 460} {
-		f, err := b.fleet(ctx, want{boxes: 1, engines: 1, edit: quickConfig, shape: func(s *sample.Shape) {
+		f, err := b.fleet(ctx, want{boxes: 1, engines: 1, edit: quickConfig, shape: func(s *sample.Deployment) {
 			oneZone(s)
 			s.Workspaces = nil
 			for i := range workspaces {
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -92,11 +92,11 @@
 
 func (e *experiment) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	if err := os.MkdirAll(e.dir, 0o755); err != nil {
-		return fault.Fail(fault.Internal, "folder cannot be made").Because(err)
+		return fault.Fail(fault.Internal, "folder cannot be made").WithCause(err)
 	}
 	work, err := os.MkdirTemp("", "experiment")
 	if err != nil {
-		return fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "no temporary folder").WithCause(err)
 	}
 	defer func() { _ = os.RemoveAll(work) }()
 	gate, err := fleet.Build(ctx, work)
@@ -172,7 +172,7 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-func shapeOf(mix string) sample.Shape {
+func shapeOf(mix string) sample.Deployment {
 	if mix == string(load.Ndokwa) {
 		return sample.Ndokwa()
 	}
@@ -189,7 +189,7 @@
 	look, book := shape.Services[1].Name, shape.Services[0].Name
 	dir, err := os.MkdirTemp(work, "run")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "no temporary folder").WithCause(err)
 	}
 	f, err := fleet.New(ctx, fleet.Spec{
 		Shape: shape, Boxes: e.boxes, Gate: gate, Dir: dir, Proxied: true,
--- a/bench/cmds/figures.go
+++ b/bench/cmds/figures.go
@@ -76,7 +76,7 @@
 func newBuilder(ctx context.Context) (*builder, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "no temporary folder").WithCause(err)
 	}
 	gate, err := fleet.Build(ctx, dir)
 	if err != nil {
@@ -95,14 +95,14 @@
 	proxied        bool
 	env            []string
 	engine         func(*model.Spec)
-	shape          func(*sample.Shape)
+	shape          func(*sample.Deployment)
 	edit           func(*conf.Settings)
 }
 
 func (b *builder) fleet(ctx context.Context, w want) (*fleet.Fleet, error) {
 	dir, err := os.MkdirTemp(b.dir, "fleet")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "no temporary folder").WithCause(err)
 	}
 	shape := sample.Ghent()
 	if w.shape != nil {
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -201,7 +201,7 @@
 		for _, keyed := range []bool{true, false} {
 			key, hist := "", without
 			if keyed {
-				key, hist = ident.Random(), with
+				key, hist = ident.RandomID(), with
 			}
 			began := time.Now()
 			var answer types.ServiceAnswer
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -27,7 +27,7 @@
 
 // Spec says what to run.
 type Spec struct {
-	Shape    sample.Shape
+	Shape    sample.Deployment
 	Platform plat.Spec
 	Boxes    int
 	// Gate is the built program; Dir takes settings and logs.
@@ -83,7 +83,7 @@
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", path, "mulleingate.dev/gate")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "gate does not build: "+string(out)).Because(err)
+		return "", fault.Fail(fault.Internal, "gate does not build: "+string(out)).WithCause(err)
 	}
 	return path, nil
 }
@@ -206,21 +206,21 @@
 	b := f.boxes[i]
 	raw, err := json.MarshalIndent(b.Settings, "", "  ")
 	if err != nil {
-		return fault.Fail(fault.Internal, "settings do not encode").Because(err)
+		return fault.Fail(fault.Internal, "settings do not encode").WithCause(err)
 	}
 	path := filepath.Join(f.spec.Dir, b.Name+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		return fault.Fail(fault.Internal, "settings cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "settings cannot be written").WithCause(err)
 	}
 	logFile, err := os.OpenFile(filepath.Join(f.spec.Dir, b.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fault.Fail(fault.Internal, "log cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "log cannot be written").WithCause(err)
 	}
 	cmd := exec.Command(f.spec.Gate, "run", "--settings", path)
 	cmd.Env = append(os.Environ(), f.spec.Env...)
 	cmd.Stderr, cmd.Stdout = logFile, logFile
 	if err := cmd.Start(); err != nil {
-		return fault.Fail(fault.Internal, "box does not start").Because(err)
+		return fault.Fail(fault.Internal, "box does not start").WithCause(err)
 	}
 	done := make(chan struct{})
 	f.mu.Lock()
@@ -334,8 +334,8 @@
 }
 
 // Metrics asks box i for its figures.
-func (f *Fleet) Metrics(ctx context.Context, i int) (types.Figures, error) {
-	var rep types.Figures
+func (f *Fleet) Metrics(ctx context.Context, i int) (types.Metrics, error) {
+	var rep types.Metrics
 	err := f.admin(ctx, i, "/metrics", &rep)
 	return rep, err
 }
@@ -363,7 +363,7 @@
 			}
 		}
 	}
-	return 0, fault.Refuse(fault.OwnerUnknown, "no box holds the slot")
+	return 0, fault.Refuse(fault.OwnerUnavailable, "no box holds the slot")
 }
 
 // Owned counts the slots that each box says it owns.
@@ -396,7 +396,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Refuse(fault.OwnerUnknown, fmt.Sprintf("fleet not ready: %d of %d slots owned by %d boxes", owned, want, ready))
+			return fault.Refuse(fault.OwnerUnavailable, fmt.Sprintf("fleet not ready: %d of %d slots owned by %d boxes", owned, want, ready))
 		case <-time.After(poll):
 		}
 	}
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -62,7 +62,7 @@
 // again reports whether the same request may be sent once more.
 func again(f *fault.Fault) bool {
 	switch f.Kind {
-	case fault.OwnerUnknown, fault.NotOwner, fault.PeerLost, fault.LogUnavailable, fault.TargetFailed, fault.NoTarget,
+	case fault.OwnerUnavailable, fault.NotOwner, fault.PeerUnreachable, fault.LogUnavailable, fault.TargetFailed, fault.NoTarget,
 		fault.Stopping, fault.DeadlineMissed, fault.StaleConfig, fault.TailTooLong:
 		return true
 	}
--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -42,7 +42,7 @@
 func Run(ctx context.Context, opts Options, mutants []Mutant, each func(Result)) error {
 	dir, err := os.MkdirTemp("", "mutants")
 	if err != nil {
-		return fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "no temporary folder").WithCause(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	if err := copyTree(ctx, opts.Root, dir); err != nil {
@@ -63,7 +63,7 @@
 	list.Dir = from
 	out, err := list.Output()
 	if err != nil {
-		return fault.Fail(fault.Internal, "the files cannot be listed").Because(err)
+		return fault.Fail(fault.Internal, "the files cannot be listed").WithCause(err)
 	}
 	for name := range strings.SplitSeq(strings.TrimRight(string(out), "\x00"), "\x00") {
 		if err := copyFile(filepath.Join(from, name), filepath.Join(to, name)); err != nil {
@@ -76,13 +76,13 @@
 func copyFile(from, to string) error {
 	raw, err := os.ReadFile(from)
 	if err != nil {
-		return fault.Fail(fault.Internal, "a file cannot be read").Because(err)
+		return fault.Fail(fault.Internal, "a file cannot be read").WithCause(err)
 	}
 	if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
-		return fault.Fail(fault.Internal, "a folder cannot be made").Because(err)
+		return fault.Fail(fault.Internal, "a folder cannot be made").WithCause(err)
 	}
 	if err := os.WriteFile(to, raw, 0o644); err != nil {
-		return fault.Fail(fault.Internal, "a file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "a file cannot be written").WithCause(err)
 	}
 	return nil
 }
@@ -91,14 +91,14 @@
 	path := filepath.Join(dir, m.File)
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Result{}, fault.Fail(fault.Internal, "a file cannot be read").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "a file cannot be read").WithCause(err)
 	}
 	if bytes.Count(raw, []byte(m.Old)) != 1 {
 		return Result{}, fault.Refuse(fault.BadRequest, "mutant "+m.Name+" does not fit "+m.File)
 	}
 	mutated := bytes.Replace(raw, []byte(m.Old), []byte(m.New), 1)
 	if err := os.WriteFile(path, mutated, 0o644); err != nil {
-		return Result{}, fault.Fail(fault.Internal, "a file cannot be written").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "a file cannot be written").WithCause(err)
 	}
 	defer func() { _ = os.WriteFile(path, raw, 0o644) }()
 	return fuzz(ctx, opts, dir, m), nil
--- a/bench/probe/proc.go
+++ b/bench/probe/proc.go
@@ -27,7 +27,7 @@
 	use := Usage{At: time.Now()}
 	stat, err := os.ReadFile(base + "/stat")
 	if err != nil {
-		return use, fault.Fail(fault.Internal, "process cannot be read").Because(err)
+		return use, fault.Fail(fault.Internal, "process cannot be read").WithCause(err)
 	}
 	// The fields after the command's closing bracket start with the state, field 3.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
@@ -35,7 +35,7 @@
 	use.RSS = number(fields[21]) * int64(os.Getpagesize())
 	counts, err := os.ReadFile(base + "/io")
 	if err != nil {
-		return use, fault.Fail(fault.Internal, "process cannot be read").Because(err)
+		return use, fault.Fail(fault.Internal, "process cannot be read").WithCause(err)
 	}
 	for line := range strings.Lines(string(counts)) {
 		name, val, _ := strings.Cut(strings.TrimSpace(line), ": ")
--- a/bench/report/table.go
+++ b/bench/report/table.go
@@ -34,12 +34,12 @@
 func (t Table) CSV(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fault.Fail(fault.Internal, "file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "file cannot be written").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	w := csv.NewWriter(file)
 	if err := w.WriteAll(append([][]string{t.Head}, t.Rows...)); err != nil {
-		return fault.Fail(fault.Internal, "file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "file cannot be written").WithCause(err)
 	}
 	return nil
 }
@@ -69,10 +69,10 @@
 		args = append(args, s.Name, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
-		return fault.Fail(fault.Internal, "plot failed").Because(err)
+		return fault.Fail(fault.Internal, "plot failed").WithCause(err)
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
-		return fault.Fail(fault.Internal, "plot cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "plot cannot be written").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/check.go
+++ b/ctl/cmds/check.go
@@ -85,7 +85,7 @@
 	}
 	_, err = fmt.Fprint(out, changes)
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot write output").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/cmds.go
+++ b/ctl/cmds/cmds.go
@@ -29,7 +29,7 @@
 
 var commands = describeGroups(shell.New())
 
-func describeGroups(set *shell.Set) *shell.Set {
+func describeGroups(set *shell.CommandSet) *shell.CommandSet {
 	set.Describe(groupConfig, "the whole configuration: check, diff, publish, show, history, revert")
 	set.Describe(groupPolicy, "the policy programs alone: check, diff, publish, show, history, revert")
 	set.Describe(groupProgram, "why a program's calls went where they went")
@@ -64,7 +64,7 @@
 
 // currentRevision reads the configuration stream and returns the revision in force, which is
 // the zero value if there is none, and all entries that the log still holds.
-func currentRevision(ctx context.Context, settings conn.File) (types.Revision, []revs.Seen, error) {
+func currentRevision(ctx context.Context, settings conn.File) (types.Revision, []revs.HistoryEntry, error) {
 	state, entries, err := revs.History(ctx, settings.Client(), settings.Public())
 	if err != nil {
 		return types.Revision{}, nil, err
@@ -81,7 +81,7 @@
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
 		if err := enc.Encode(v); err != nil {
-			return fault.Fail(fault.Internal, "cannot encode output").Because(err)
+			return fault.Fail(fault.Internal, "cannot encode output").WithCause(err)
 		}
 		return nil
 	}
@@ -89,7 +89,7 @@
 	_, _ = fmt.Fprintln(w, header)
 	writeRows(w)
 	if err := w.Flush(); err != nil {
-		return fault.Fail(fault.Internal, "cannot write output").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/explain.go
+++ b/ctl/cmds/explain.go
@@ -34,7 +34,7 @@
 // boxEvent is a trace event and the box that recorded it.
 type boxEvent struct {
 	Box string `json:"box"`
-	types.Step
+	types.TraceEvent
 }
 
 func (e *explain) Execute(ctx context.Context, out io.Writer, args []string) error {
@@ -49,13 +49,13 @@
 	var events []boxEvent
 	unreachable := 0
 	for _, box := range settings.Boxes {
-		var boxEvents []types.Step
+		var boxEvents []types.TraceEvent
 		if err := cli.Call(ctx, http.MethodGet, "http://"+box.String()+"/explain/"+url.PathEscape(args[0]), nil, &boxEvents); err != nil {
 			unreachable++
 			continue
 		}
 		for _, s := range boxEvents {
-			events = append(events, boxEvent{Box: box.String(), Step: s})
+			events = append(events, boxEvent{Box: box.String(), TraceEvent: s})
 		}
 	}
 	sort.Slice(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
@@ -64,16 +64,16 @@
 	}
 	return e.print(out, events, "AT\tBOX\tREQUEST\tWHAT\tWHY\tTARGET\tWEIGHED", func(w io.Writer) {
 		for _, s := range events {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.What, s.Why, s.Target, formatCandidates(s.Weighed))
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.Event, s.Reason, s.Target, formatCandidates(s.Candidates))
 		}
 	})
 }
 
-func formatCandidates(candidates []types.Weighed) string {
+func formatCandidates(candidates []types.ScoredTarget) string {
 	parts := make([]string, 0, len(candidates))
 	for _, c := range candidates {
-		text := fmt.Sprintf("%s=%s(load %d, cached %d)", c.Name, c.Score.Round(time.Millisecond), c.Load, c.Cached)
-		if !c.Room {
+		text := fmt.Sprintf("%s=%s(load %d, cached %d)", c.Name, c.Score.Round(time.Millisecond), c.Load, c.CachedTokens)
+		if !c.HasRoom {
 			text += " full"
 		}
 		parts = append(parts, text)
--- a/ctl/cmds/figures.go
+++ b/ctl/cmds/figures.go
@@ -34,7 +34,7 @@
 // boxMetrics is the metrics of one box.
 type boxMetrics struct {
 	Addr netip.AddrPort `json:"addr"`
-	types.Figures
+	types.Metrics
 }
 
 func (m *metrics) Execute(ctx context.Context, out io.Writer, _ []string) error {
@@ -46,7 +46,7 @@
 	var answers []boxMetrics
 	for _, addr := range settings.Boxes {
 		b := boxMetrics{Addr: addr}
-		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil, &b.Figures); err != nil {
+		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil, &b.Metrics); err != nil {
 			_, _ = fmt.Fprintf(out, "# %s does not answer\n", addr)
 			continue
 		}
--- a/ctl/cmds/publish.go
+++ b/ctl/cmds/publish.go
@@ -156,7 +156,7 @@
 		return err
 	}
 	for _, entry := range entries {
-		if entry.Revision.Number != r.to || (entry.Verdict != revs.Accepted && entry.Verdict != revs.Known) {
+		if entry.Revision.Number != r.to || (entry.Verdict != revs.Accepted && entry.Verdict != revs.AlreadyKnown) {
 			continue
 		}
 		cfg := entry.Revision.Config
--- a/ctl/cmds/scope.go
+++ b/ctl/cmds/scope.go
@@ -39,7 +39,7 @@
 func (s scope) applyFile(path string, base types.Config) (types.Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return base, fault.Refuse(fault.BadRequest, "cannot read file").Because(err)
+		return base, fault.Refuse(fault.BadRequest, "cannot read file").WithCause(err)
 	}
 	cfg := base
 	if s.group == groupConfig {
--- a/ctl/cmds/show.go
+++ b/ctl/cmds/show.go
@@ -42,7 +42,7 @@
 	}
 	_, err = fmt.Fprintln(out, indentedJSON(s.scope.extract(rev.Config)))
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot write output").Because(err)
+		return fault.Fail(fault.Internal, "cannot write output").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/conn/conn.go
+++ b/ctl/conn/conn.go
@@ -35,7 +35,7 @@
 	var s File
 	file, err := os.Open(path)
 	if err != nil {
-		return s, fault.Refuse(fault.BadSettings, "settings file cannot be read").Because(err)
+		return s, fault.Refuse(fault.BadSettings, "settings file cannot be read").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	dec := json.NewDecoder(file)
@@ -63,7 +63,7 @@
 }
 
 // Client returns a client of the log.
-func (s File) Client() *logc.Log {
+func (s File) Client() *logc.Client {
 	return logc.New(s.Log, logTimeout)
 }
 
@@ -83,7 +83,7 @@
 	}
 	seed, err := os.ReadFile(s.OperatorKeyFile)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "operator_key_file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "operator_key_file cannot be read").WithCause(err)
 	}
 	if len(seed) != ed25519.SeedSize {
 		return nil, fault.Refuse(fault.BadKey, "operator_key_file does not hold 32 bytes")
@@ -99,13 +99,13 @@
 }
 
 // Root reads the root key, which encrypts data keys.
-func (s File) Root() (*seal.Root, error) {
+func (s File) Root() (*seal.RootKey, error) {
 	if s.RootKeyFile == "" {
 		return nil, fault.Refuse(fault.BadKey, "root_key_file is required to create a data key")
 	}
 	raw, err := os.ReadFile(s.RootKeyFile)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "root_key_file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "root_key_file cannot be read").WithCause(err)
 	}
-	return seal.NewRoot(raw)
+	return seal.NewRootKey(raw)
 }
--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -106,7 +106,7 @@
 	defer s.mu.Unlock()
 	if !s.limiter.Allow() {
 		s.stats.Refused++
-		return 0, fault.Refuse(fault.Overloaded, "append limit reached").After(time.Second)
+		return 0, fault.Refuse(fault.Overloaded, "append limit reached").WithRetryAfter(time.Second)
 	}
 	if s.faults.LateAppends > 0 {
 		s.faults.LateAppends--
@@ -164,7 +164,7 @@
 	case <-time.After(time.Duration(faults.Slow)):
 		return nil
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "call ended during the injected delay").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "call ended during the injected delay").WithCause(ctx.Err())
 	}
 }
 
--- a/stand/cmds/list.go
+++ b/stand/cmds/list.go
@@ -35,14 +35,14 @@
 }
 
 func (l *listCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	var initial types.List
+	var initial types.PlatformList
 	if l.file != "" {
 		raw, err := os.ReadFile(l.file)
 		if err != nil {
-			return fault.Refuse(fault.BadSettings, "file: cannot be read").Because(err)
+			return fault.Refuse(fault.BadSettings, "file: cannot be read").WithCause(err)
 		}
 		if err := json.Unmarshal(raw, &initial); err != nil {
-			return fault.Refuse(fault.BadSettings, "file: not a list in JSON").Because(err)
+			return fault.Refuse(fault.BadSettings, "file: not a list in JSON").WithCause(err)
 		}
 	}
 	return l.serve(ctx, out, roster.New(initial, l.lag).Routes())
--- a/stand/model/cache.go
+++ b/stand/model/cache.go
@@ -92,7 +92,7 @@
 
 func (c *cache) recordEvent(key string, tokens int, removed bool) {
 	c.lastSeq++
-	c.events = append(c.events, types.CacheEvent{Seq: c.lastSeq, Key: key, Tokens: tokens, Gone: removed})
+	c.events = append(c.events, types.CacheEvent{Seq: c.lastSeq, Key: key, Tokens: tokens, Removed: removed})
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
 	}
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -353,7 +353,7 @@
 		e.wake.Wait()
 	}
 	if ctx.Err() != nil || e.stopped {
-		return nil, false, fault.Fail(fault.TargetFailed, "reader has disconnected or engine has stopped").Because(ctx.Err())
+		return nil, false, fault.Fail(fault.TargetFailed, "reader has disconnected or engine has stopped").WithCause(ctx.Err())
 	}
 	broken := st.breakPending
 	if len(st.events) >= breakAfterEvents {
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -71,7 +71,7 @@
 	defer e.mu.Unlock()
 	if e.spec.Fenced && order.Fence < e.fence {
 		e.stats.Stale++
-		return fault.Refuse(fault.Conflict, "stale fencing number")
+		return fault.Refuse(fault.RevisionConflict, "stale fencing number")
 	}
 	e.fence = max(e.fence, order.Fence)
 	switch order.Kind {
--- a/stand/plat/plat.go
+++ b/stand/plat/plat.go
@@ -45,7 +45,7 @@
 	LogAddr netip.AddrPort
 	ListAt  netip.AddrPort
 
-	initialList types.List
+	initialList types.PlatformList
 	servers     []*server.Server
 	cancel      context.CancelFunc
 }
@@ -136,7 +136,7 @@
 
 // Add adds a box to the platform list. Readers see it after the list's lag.
 func (p *Platform) Add(box types.Member) {
-	p.Roster.Change(func(list *types.List) { list.Boxes = append(list.Boxes, box) })
+	p.Roster.Change(func(list *types.PlatformList) { list.Boxes = append(list.Boxes, box) })
 }
 
 // Effects returns the number of effects by key, summed over all replicas of all services.
@@ -177,7 +177,7 @@
 	for range n {
 		ln, err := net.Listen("tcp", Loopback().String())
 		if err != nil {
-			return nil, fault.Refuse(fault.BadSettings, "no free port").Because(err)
+			return nil, fault.Refuse(fault.BadSettings, "no free port").WithCause(err)
 		}
 		lns = append(lns, ln)
 		out = append(out, ln.Addr().(*net.TCPAddr).AddrPort())
