--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -11,13 +11,12 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Entries chooses the box that a call goes to, as the platform's balancer would.
+// Entries picks the box that receives each call, as the platform's load balancer does.
 type Entries interface {
 	Entry(rng *rand.Rand) string
 }
 
-// caller sends calls and tries again what was refused as not run, and what may be
-// repeated: turns and keyed calls.
+// caller sends the calls of one program and retries those that fail with a retryable fault.
 type caller struct {
 	http    *client.Client
 	entries Entries
@@ -27,28 +26,28 @@
 }
 
 const (
-	tries     = 6
-	tryPause  = 150 * time.Millisecond
-	callWait  = 30 * time.Second
-	longPause = 2 * time.Second
+	maxAttempts   = 6
+	firstBackoff  = 150 * time.Millisecond
+	callTimeout   = 30 * time.Second
+	maxRetryAfter = 2 * time.Second
 )
 
 func (c *caller) call(ctx context.Context, method, path, key string, in, out any) error {
 	var err error
-	for try := range tries {
-		err = c.once(ctx, method, path, key, in, out)
+	for try := range maxAttempts {
+		err = c.attempt(ctx, method, path, key, in, out)
 		if err == nil {
 			return nil
 		}
 		f := fault.From(err)
-		c.stats.refusal(f)
-		if !again(f) || ctx.Err() != nil {
+		c.stats.countFault(f)
+		if !retryable(f) || ctx.Err() != nil {
 			return err
 		}
-		c.stats.add(func(s *Stats) { s.Retries++ })
-		pause := tryPause << try
+		c.stats.update(func(s *Stats) { s.Retries++ })
+		pause := firstBackoff << try
 		if f.RetryAfter > 0 {
-			pause = min(f.RetryAfter, longPause)
+			pause = min(f.RetryAfter, maxRetryAfter)
 		}
 		select {
 		case <-ctx.Done():
@@ -59,8 +58,8 @@
 	return err
 }
 
-// again reports whether the same request may be sent once more.
-func again(f *fault.Fault) bool {
+// retryable reports whether the same request may be sent again after the fault.
+func retryable(f *fault.Fault) bool {
 	switch f.Kind {
 	case fault.OwnerUnknown, fault.NotOwner, fault.PeerLost, fault.LogUnavailable, fault.TargetFailed, fault.NoTarget,
 		fault.Stopping, fault.DeadlineMissed, fault.StaleConfig, fault.TailTooLong:
@@ -69,8 +68,8 @@
 	return false
 }
 
-func (c *caller) once(ctx context.Context, method, path, key string, in, out any) error {
-	ctx, stop := context.WithTimeout(ctx, callWait)
+func (c *caller) attempt(ctx context.Context, method, path, key string, in, out any) error {
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	return c.http.CallAs(ctx, client.Auth{Token: c.token, Key: key}, method, c.entries.Entry(c.rng)+path, in, out)
 }
@@ -79,7 +78,7 @@
 	return c.call(ctx, http.MethodPost, path, key, in, out)
 }
 
-func raw(v any) json.RawMessage {
+func marshal(v any) json.RawMessage {
 	out, _ := json.Marshal(v)
 	return out
 }
--- a/bench/load/doc.go
+++ b/bench/load/doc.go
@@ -1,3 +1,3 @@
-// Package load plays programs against a fleet in open loop and holds every answer and
-// every effect against an oracle.
+// Package load runs programs against a fleet in open loop and compares every answer with
+// the one that the stand-in model or service must give.
 package load
--- a/bench/load/plan.go
+++ b/bench/load/plan.go
@@ -10,16 +10,17 @@
 // Mix names a workload.
 type Mix string
 
-// The workloads of the brief.
+// The known workloads, named after the sample deployments whose traffic they model.
 const (
 	Ghent  Mix = "ghent"
 	Ndokwa Mix = "ndokwa"
 )
 
-// StepKind says what a step does.
+// StepKind is the kind of a program's step.
 type StepKind int
 
-// The kinds of step.
+// A program's step is a turn with the model, a call of the repeatable service, a call of the
+// service that may not be repeated, or a sub-agent.
 const (
 	TurnStep StepKind = iota
 	LookStep
@@ -27,51 +28,52 @@
 	AgentStep
 )
 
-// Step is one step of a program, after a pause.
+// Step is one step of a program; it begins after Pause.
 type Step struct {
 	Kind  StepKind
 	Pause time.Duration
-	// Words and Tokens are the length of the question and of the answer.
+	// Words is the length of the question in words, Tokens that of the answer in tokens.
 	Words, Tokens int
 	// Agent holds the steps of a sub-agent.
 	Agent []Step
 }
 
-// Plan is a program that arrives at a time after the start.
+// Plan is a program that arrives at the time At after the start of the run.
 type Plan struct {
 	At    time.Duration
 	Kind  string
 	Long  bool
 	Steps []Step
-	// Seed makes the program's texts its own.
+	// Seed makes the program's texts differ from those of other programs.
 	Seed uint64
 }
 
-// shape is the distribution of one kind of program.
+// shape is the distribution from which programs of one kind are drawn: ranges with both ends
+// included, and the probabilities that a turn is followed by each other kind of step.
 type shape struct {
-	kind               string
-	long               bool
-	turns, words       [2]int
-	first              [2]int
-	tokens             [2]int
-	pause              [2]time.Duration
-	look, book, agents float64
+	kind                                  string
+	long                                  bool
+	turns, words                          [2]int
+	firstWords                            [2]int
+	tokens                                [2]int
+	pause                                 [2]time.Duration
+	lookupShare, bookingShare, agentShare float64
 }
 
 const ms = time.Millisecond
 
 func shapes(mix Mix) (short, long shape, longShare float64) {
 	if mix == Ndokwa {
-		return shape{kind: "recharge", turns: [2]int{2, 4}, words: [2]int{5, 20}, first: [2]int{30, 60}, tokens: [2]int{8, 24}, pause: [2]time.Duration{50 * ms, 250 * ms}, look: 0.3, book: 0.5},
-			shape{kind: "dispute", long: true, turns: [2]int{8, 14}, words: [2]int{20, 80}, first: [2]int{1500, 4000}, tokens: [2]int{15, 35}, pause: [2]time.Duration{100 * ms, 500 * ms}, look: 0.4, book: 0.1},
+		return shape{kind: "recharge", turns: [2]int{2, 4}, words: [2]int{5, 20}, firstWords: [2]int{30, 60}, tokens: [2]int{8, 24}, pause: [2]time.Duration{50 * ms, 250 * ms}, lookupShare: 0.3, bookingShare: 0.5},
+			shape{kind: "dispute", long: true, turns: [2]int{8, 14}, words: [2]int{20, 80}, firstWords: [2]int{1500, 4000}, tokens: [2]int{15, 35}, pause: [2]time.Duration{100 * ms, 500 * ms}, lookupShare: 0.4, bookingShare: 0.1},
 			0.2
 	}
-	return shape{kind: "booking", turns: [2]int{2, 4}, words: [2]int{5, 25}, first: [2]int{40, 80}, tokens: [2]int{8, 24}, pause: [2]time.Duration{50 * ms, 250 * ms}, look: 0.4, book: 0.5},
-		shape{kind: "planning", long: true, turns: [2]int{6, 12}, words: [2]int{30, 120}, first: [2]int{800, 2500}, tokens: [2]int{20, 50}, pause: [2]time.Duration{50 * ms, 300 * ms}, look: 0.3, book: 0.3, agents: 0.1},
+	return shape{kind: "booking", turns: [2]int{2, 4}, words: [2]int{5, 25}, firstWords: [2]int{40, 80}, tokens: [2]int{8, 24}, pause: [2]time.Duration{50 * ms, 250 * ms}, lookupShare: 0.4, bookingShare: 0.5},
+		shape{kind: "planning", long: true, turns: [2]int{6, 12}, words: [2]int{30, 120}, firstWords: [2]int{800, 2500}, tokens: [2]int{20, 50}, pause: [2]time.Duration{50 * ms, 300 * ms}, lookupShare: 0.3, bookingShare: 0.3, agentShare: 0.1},
 		0.25
 }
 
-// Plans draws the programs of a run: arrivals are Poisson with rate programs a second.
+// Plans draws the programs of a run, with Poisson arrivals at rate programs per second.
 func Plans(mix Mix, rate float64, length time.Duration, seed uint64) []Plan {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	short, long, share := shapes(mix)
@@ -86,47 +88,48 @@
 		if rng.Float64() < share {
 			sh = long
 		}
-		out = append(out, Plan{At: when, Kind: sh.kind, Long: sh.long, Steps: steps(rng, sh, true), Seed: rng.Uint64()})
+		out = append(out, Plan{At: when, Kind: sh.kind, Long: sh.long, Steps: drawSteps(rng, sh, true), Seed: rng.Uint64()})
 	}
 }
 
-func steps(rng *rand.Rand, sh shape, root bool) []Step {
+func drawSteps(rng *rand.Rand, sh shape, root bool) []Step {
 	var out []Step
-	turns := between(rng, sh.turns)
+	turns := drawInt(rng, sh.turns)
 	for i := range turns {
-		words := between(rng, sh.words)
+		words := drawInt(rng, sh.words)
 		if i == 0 && root {
-			words = between(rng, sh.first)
+			words = drawInt(rng, sh.firstWords)
 		}
-		out = append(out, Step{Kind: TurnStep, Pause: pauseOf(rng, sh, i == 0), Words: words, Tokens: between(rng, sh.tokens)})
-		if rng.Float64() < sh.look {
+		out = append(out, Step{Kind: TurnStep, Pause: drawPause(rng, sh, i == 0), Words: words, Tokens: drawInt(rng, sh.tokens)})
+		if rng.Float64() < sh.lookupShare {
 			out = append(out, Step{Kind: LookStep})
 		}
-		if rng.Float64() < sh.book {
+		if rng.Float64() < sh.bookingShare {
 			out = append(out, Step{Kind: BookStep})
 		}
-		if root && rng.Float64() < sh.agents {
+		if root && rng.Float64() < sh.agentShare {
 			sub := sh
 			sub.turns = [2]int{1, 3}
-			out = append(out, Step{Kind: AgentStep, Agent: steps(rng, sub, false)})
+			out = append(out, Step{Kind: AgentStep, Agent: drawSteps(rng, sub, false)})
 		}
 	}
 	return out
 }
 
-func pauseOf(rng *rand.Rand, sh shape, first bool) time.Duration {
+func drawPause(rng *rand.Rand, sh shape, first bool) time.Duration {
 	if first {
 		return 0
 	}
 	return sh.pause[0] + time.Duration(rng.Int64N(int64(sh.pause[1]-sh.pause[0])))
 }
 
-func between(rng *rand.Rand, r [2]int) int {
+func drawInt(rng *rand.Rand, r [2]int) int {
 	return r[0] + rng.IntN(r[1]-r[0]+1)
 }
 
-// question is a text of words that is the program's own and asks for so many tokens.
-func question(seed uint64, turn, words, tokens int) string {
+// questionText returns a text of the given number of words that depends on the seed and the turn
+// and asks the stand-in model for an answer of the given number of tokens.
+func questionText(seed uint64, turn, words, tokens int) string {
 	var b strings.Builder
 	for i := range words {
 		b.WriteString("w" + strconv.FormatUint((seed+uint64(turn*1000+i))%9973, 36) + " ")
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -17,24 +17,25 @@
 	"mulleingate.dev/stand/tool"
 )
 
-// Spec says what to play.
+// Spec describes a run.
 type Spec struct {
 	Plans      []Plan
 	Workspaces []string
 	Model      string
-	// Look is a repeatable service, Book one that may not be repeated.
+	// Look is the name of a service that may be repeated, Book of one that may not.
 	Look, Book string
 	Entries    Entries
 	Deadline   time.Duration
 }
 
 const (
-	budget    = 2_000_000
-	maxTokens = 200
-	dataClass = "personal"
+	tokenBudget = 2_000_000
+	maxTokens   = 200
+	dataClass   = "personal"
 )
 
-// Run plays all plans and returns when every program has ended.
+// Run starts each program at its arrival time and returns when all have ended. If ctx ends
+// first, no further programs start.
 func Run(ctx context.Context, spec Spec) *Stats {
 	stats := newStats()
 	stats.Planned = len(spec.Plans)
@@ -49,9 +50,9 @@
 			rng := rand.New(rand.NewPCG(plan.Seed, 11))
 			workspace := spec.Workspaces[i%len(spec.Workspaces)]
 			c := &caller{http: shared, entries: spec.Entries, token: sample.Token(workspace), rng: rng, stats: stats}
-			player := &player{spec: spec, c: c, plan: plan, stats: stats, workspace: workspace}
-			err := player.program(ctx)
-			player.note(err, start)
+			r := &runner{spec: spec, caller: c, plan: plan, stats: stats, workspace: workspace}
+			err := r.runProgram(ctx)
+			r.recordOutcome(err, start)
 		})
 	}
 	group.Wait()
@@ -67,25 +68,25 @@
 	}
 }
 
-// player plays one program and knows all that it must see.
-type player struct {
+// runner runs one program and checks its answers.
+type runner struct {
 	spec      Spec
-	c         *caller
+	caller    *caller
 	plan      Plan
 	stats     *Stats
 	workspace string
-	booked    int
+	bookings  int
 }
 
-// note files how the program ended.
-func (p *player) note(err error, start time.Time) {
+// recordOutcome records how the program ended.
+func (r *runner) recordOutcome(err error, start time.Time) {
 	if err == nil {
 		now := time.Since(start)
-		p.stats.finished(p.plan.Kind, now-p.plan.At, now)
+		r.stats.countFinished(r.plan.Kind, now-r.plan.At, now)
 		return
 	}
 	f := fault.From(err)
-	p.stats.add(func(s *Stats) {
+	r.stats.update(func(s *Stats) {
 		if f.NotRun && (f.Kind == fault.Overloaded || f.Kind == fault.DeadlineTooNear) {
 			s.Refused++
 			return
@@ -94,114 +95,116 @@
 	})
 }
 
-// thread is a program or sub-agent as its caller knows it.
-type thread struct {
+// conversation is the caller's state of a program or sub-agent.
+type conversation struct {
 	id      string
 	token   string
 	turn    int
 	history []types.Message
-	prior   int
+	// computedTokens is the number of tokens that are computed so far, those of the last answer included.
+	computedTokens int
 }
 
-func (p *player) program(ctx context.Context) error {
+func (r *runner) runProgram(ctx context.Context) error {
 	var state types.ProgramState
 	body := types.NewProgram{
-		Model: p.spec.Model, DataClass: dataClass, Kind: p.plan.Kind, Budget: budget, Deadline: types.Duration(p.spec.Deadline),
+		Model: r.spec.Model, DataClass: dataClass, Kind: r.plan.Kind, Budget: tokenBudget, Deadline: types.Duration(r.spec.Deadline),
 	}
-	if err := p.c.post(ctx, "/v1/programs", "", body, &state); err != nil {
+	if err := r.caller.post(ctx, "/v1/programs", "", body, &state); err != nil {
 		return err
 	}
-	th := &thread{id: state.ID, token: state.Continuation}
-	err := p.steps(ctx, th, p.plan.Steps)
-	if endErr := p.c.call(ctx, "DELETE", "/v1/programs/"+th.id, "", nil, &state); endErr != nil {
-		p.stats.refusal(fault.From(endErr))
+	conv := &conversation{id: state.ID, token: state.Continuation}
+	err := r.runSteps(ctx, conv, r.plan.Steps)
+	if endErr := r.caller.call(ctx, "DELETE", "/v1/programs/"+conv.id, "", nil, &state); endErr != nil {
+		r.stats.countFault(fault.From(endErr))
 	}
 	return err
 }
 
-func (p *player) steps(ctx context.Context, th *thread, steps []Step) error {
+func (r *runner) runSteps(ctx context.Context, conv *conversation, steps []Step) error {
 	for _, step := range steps {
 		if step.Pause > 0 {
 			time.Sleep(step.Pause)
 		}
-		if err := p.step(ctx, th, step); err != nil {
+		if err := r.runStep(ctx, conv, step); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *player) step(ctx context.Context, th *thread, step Step) error {
+func (r *runner) runStep(ctx context.Context, conv *conversation, step Step) error {
 	switch step.Kind {
 	case LookStep:
-		return p.service(ctx, th, p.spec.Look, "")
+		return r.callService(ctx, conv, r.spec.Look, "")
 	case BookStep:
-		p.booked++
-		return p.service(ctx, th, p.spec.Book, fmt.Sprintf("%x-%d", p.plan.Seed, p.booked))
+		r.bookings++
+		return r.callService(ctx, conv, r.spec.Book, fmt.Sprintf("%x-%d", r.plan.Seed, r.bookings))
 	case AgentStep:
-		return p.agent(ctx, th, step)
+		return r.runAgent(ctx, conv, step)
 	default:
-		return p.turn(ctx, th, step)
+		return r.sendTurn(ctx, conv, step)
 	}
 }
 
-func (p *player) turn(ctx context.Context, th *thread, step Step) error {
-	ask := []types.Message{{Role: "user", Content: question(p.plan.Seed, th.turn, step.Words, step.Tokens)}}
-	body := types.TurnRequest{Turn: th.turn + 1, Messages: ask, MaxTokens: maxTokens, Continuation: th.token}
+func (r *runner) sendTurn(ctx context.Context, conv *conversation, step Step) error {
+	ask := []types.Message{{Role: "user", Content: questionText(r.plan.Seed, conv.turn, step.Words, step.Tokens)}}
+	body := types.TurnRequest{Turn: conv.turn + 1, Messages: ask, MaxTokens: maxTokens, Continuation: conv.token}
 	var answer types.TurnAnswer
-	if err := p.c.post(ctx, "/v1/programs/"+th.id+"/turns", "", body, &answer); err != nil {
+	if err := r.caller.post(ctx, "/v1/programs/"+conv.id+"/turns", "", body, &answer); err != nil {
 		return err
 	}
-	th.history = append(th.history, ask...)
-	want := strings.Join(model.Answer(th.history, maxTokens), " ")
+	conv.history = append(conv.history, ask...)
+	want := strings.Join(model.Answer(conv.history, maxTokens), " ")
 	got := answer.Choices[0].Message.Content
-	if got != want || answer.Turn != th.turn+1 || answer.Program != th.id {
-		p.stats.violation(fmt.Sprintf("%s turn %d: not its own whole answer", th.id, th.turn+1))
+	if got != want || answer.Turn != conv.turn+1 || answer.Program != conv.id {
+		r.stats.addViolation(fmt.Sprintf("%s turn %d: wrong, incomplete or foreign answer", conv.id, conv.turn+1))
 	}
-	th.history = append(th.history, types.Message{Role: "assistant", Content: got})
-	th.turn++
-	th.token = answer.Continuation
-	p.cache(th, *answer.Usage)
+	conv.history = append(conv.history, types.Message{Role: "assistant", Content: got})
+	conv.turn++
+	conv.token = answer.Continuation
+	r.countRecomputed(conv, *answer.Usage)
 	return nil
 }
 
-// cache counts the prefix tokens that were computed again though some replica had them.
-func (p *player) cache(th *thread, usage types.Usage) {
-	prior := th.prior
-	th.prior = usage.PromptTokens + usage.CompletionTokens
-	p.stats.add(func(s *Stats) {
+// countRecomputed counts the prefix tokens that were computed again although an earlier turn had
+// computed them.
+func (r *runner) countRecomputed(conv *conversation, usage types.Usage) {
+	prior := conv.computedTokens
+	conv.computedTokens = usage.PromptTokens + usage.CompletionTokens
+	r.stats.update(func(s *Stats) {
 		s.Turns++
-		s.Prior[p.plan.Kind] += int64(prior)
-		s.Recomputed[p.plan.Kind] += int64(max(0, prior-usage.CachedTokens))
+		s.Prior[r.plan.Kind] += int64(prior)
+		s.Recomputed[r.plan.Kind] += int64(max(0, prior-usage.CachedTokens))
 	})
 }
 
-func (p *player) service(ctx context.Context, th *thread, service, key string) error {
+func (r *runner) callService(ctx context.Context, conv *conversation, service, key string) error {
 	var answer types.ServiceAnswer
-	body := types.ServiceCall{Input: raw(map[string]string{"key": key, "program": th.id}), Continuation: th.token}
-	err := p.c.post(ctx, "/v1/programs/"+th.id+"/calls/"+service, key, body, &answer)
+	body := types.ServiceCall{Input: marshal(map[string]string{"key": key, "program": conv.id}), Continuation: conv.token}
+	err := r.caller.post(ctx, "/v1/programs/"+conv.id+"/calls/"+service, key, body, &answer)
 	if fault.Is(err, fault.OutcomeUnknown) {
-		// A true answer: the caller asks somebody. The program goes on.
-		p.stats.add(func(s *Stats) { s.Unknown++ })
+		// Not a failure of the system: a real caller would find out the outcome by other means.
+		r.stats.update(func(s *Stats) { s.Unknown++ })
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	p.stats.add(func(s *Stats) { s.Calls++ })
+	r.stats.update(func(s *Stats) { s.Calls++ })
 	var receipt tool.Receipt
 	if json.Unmarshal(answer.Output, &receipt) != nil || string(receipt.Input) != string(body.Input) {
-		p.stats.violation(fmt.Sprintf("%s: the answer of %s is not its own", th.id, service))
+		r.stats.addViolation(fmt.Sprintf("%s: the answer of %s belongs to another call", conv.id, service))
 	}
 	return nil
 }
 
-func (p *player) agent(ctx context.Context, parent *thread, step Step) error {
+func (r *runner) runAgent(ctx context.Context, parent *conversation, step Step) error {
 	var state types.ProgramState
-	body := types.NewProgram{Model: p.spec.Model, DataClass: dataClass, Kind: p.plan.Kind, Continuation: parent.token}
-	if err := p.c.post(ctx, "/v1/programs/"+parent.id+"/agents", "", body, &state); err != nil {
+	body := types.NewProgram{Model: r.spec.Model, DataClass: dataClass, Kind: r.plan.Kind, Continuation: parent.token}
+	if err := r.caller.post(ctx, "/v1/programs/"+parent.id+"/agents", "", body, &state); err != nil {
 		return err
 	}
-	th := &thread{id: state.ID, token: state.Continuation}
-	return p.steps(ctx, th, step.Agent)
+	conv := &conversation{id: state.ID, token: state.Continuation}
+	return r.runSteps(ctx, conv, step.Agent)
 }
--- a/bench/load/stats.go
+++ b/bench/load/stats.go
@@ -9,68 +9,70 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Stats is what a run measured. Latency counts from the intended arrival.
+// Stats holds the counts and latencies of a run. Latency counts from a program's planned
+// arrival, so that a late start adds to it.
 type Stats struct {
 	mu sync.Mutex
-	// Programs by how they ended.
+	// Planned is the number of planned programs; Finished, Refused and Failed count programs
+	// by how they ended. Refused ones were refused for load or deadline before anything ran.
 	Planned, Finished, Refused, Failed int
 	Turns, Calls, Retries              int
-	// Refusals counts failed requests by kind.
+	// Refusals counts failed requests by kind of fault, retried ones included.
 	Refusals map[string]int
-	// Violations are broken promises, at most a few of them.
+	// Violations describes the first wrong answers, at most maxViolations.
 	Violations []string
-	// Recomputed and Prior are prefix tokens computed again, and all prefix tokens that
-	// had been computed before, by kind of program.
+	// Recomputed counts the prefix tokens that were computed again, Prior all those that an
+	// earlier turn had computed, both by kind of program.
 	Recomputed, Prior map[string]int64
-	// Unknown counts calls whose outcome the system could not tell.
+	// Unknown counts calls that failed with an unknown outcome.
 	Unknown int
 
 	latency map[string]*hdrhistogram.Histogram
 	first   *hdrhistogram.Histogram
-	// ends are the finish times of programs after the start, for goodput.
-	ends []time.Duration
+	// finishTimes are the times from the start of the run to the end of each finished program.
+	finishTimes []time.Duration
 }
 
 const (
-	maxMicros     = int64(time.Hour / time.Microsecond)
-	digits        = 3
-	maxViolations = 20
-	allKinds      = "all"
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
+	maxViolations     = 20
+	allKinds          = "all"
 )
 
 func newStats() *Stats {
 	return &Stats{
 		Refusals: map[string]int{}, Recomputed: map[string]int64{}, Prior: map[string]int64{},
-		latency: map[string]*hdrhistogram.Histogram{}, first: hdrhistogram.New(1, maxMicros, digits),
+		latency: map[string]*hdrhistogram.Histogram{}, first: hdrhistogram.New(1, maxMicros, significantDigits),
 	}
 }
 
-func (s *Stats) add(change func(s *Stats)) {
+func (s *Stats) update(change func(s *Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-func (s *Stats) refusal(f *fault.Fault) {
-	s.add(func(s *Stats) { s.Refusals[string(f.Kind)]++ })
+func (s *Stats) countFault(f *fault.Fault) {
+	s.update(func(s *Stats) { s.Refusals[string(f.Kind)]++ })
 }
 
-func (s *Stats) violation(text string) {
-	s.add(func(s *Stats) {
+func (s *Stats) addViolation(text string) {
+	s.update(func(s *Stats) {
 		if len(s.Violations) < maxViolations {
 			s.Violations = append(s.Violations, text)
 		}
 	})
 }
 
-func (s *Stats) finished(kind string, took, end time.Duration) {
-	s.add(func(s *Stats) {
+func (s *Stats) countFinished(kind string, took, end time.Duration) {
+	s.update(func(s *Stats) {
 		s.Finished++
-		s.ends = append(s.ends, end)
+		s.finishTimes = append(s.finishTimes, end)
 		for _, name := range []string{kind, allKinds} {
 			h, ok := s.latency[name]
 			if !ok {
-				h = hdrhistogram.New(1, maxMicros, digits)
+				h = hdrhistogram.New(1, maxMicros, significantDigits)
 				s.latency[name] = h
 			}
 			_ = h.RecordValue(took.Microseconds())
@@ -78,7 +80,7 @@
 	})
 }
 
-// Latency is a percentile of program latency of a kind, or of "all".
+// Latency returns a percentile of the latency of a kind of program, or of "all".
 func (s *Stats) Latency(kind string, percentile float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +91,7 @@
 	return time.Duration(h.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Wasted is the share of prefix tokens of a kind that were computed again.
+// Wasted returns the share of a kind's previously computed prefix tokens that were computed again.
 func (s *Stats) Wasted(kind string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,12 +101,12 @@
 	return float64(s.Recomputed[kind]) / float64(s.Prior[kind])
 }
 
-// Goodput is finished programs a second between two times after the start.
+// Goodput returns the programs finished per second between two times after the start.
 func (s *Stats) Goodput(from, to time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, end := range s.ends {
+	for _, end := range s.finishTimes {
 		if end >= from && end < to {
 			n++
 		}
