--- a/bench/fleet/config.go
+++ b/bench/fleet/config.go
@@ -8,16 +8,16 @@
 	"mulleingate.dev/base/types"
 )
 
-// Publish publishes a configuration on the given base.
+// Publish publishes a configuration as the successor of the revision numbered base.
 func (f *Fleet) Publish(ctx context.Context, base int64, cfg types.Config) (types.Revision, error) {
-	log := logc.New(f.Platform.LogAddr, callWait)
+	log := logc.New(f.Platform.LogAddr, callTimeout)
 	draft := revs.Draft{Base: base, Author: "bench", Config: cfg}
 	return revs.Publish(ctx, log, f.Keys.Operator, revs.Keys(f.Keys.Public()), draft)
 }
 
-// Republish publishes the configuration in force as a new revision, and returns its number.
+// Republish publishes the current configuration as a new revision and returns its number.
 func (f *Fleet) Republish(ctx context.Context) (int64, error) {
-	log := logc.New(f.Platform.LogAddr, callWait)
+	log := logc.New(f.Platform.LogAddr, callTimeout)
 	fold, _, err := revs.History(ctx, log, revs.Keys(f.Keys.Public()))
 	if err != nil {
 		return 0, err
@@ -26,7 +26,8 @@
 	return rev.Number, err
 }
 
-// InForce reports whether every running box has at least the revision.
+// InForce reports whether every running box has applied the revision or a newer one. A running
+// box that doesn't answer counts as one that has not.
 func (f *Fleet) InForce(ctx context.Context, number int64) bool {
 	for i := range f.boxes {
 		if !f.Up(i) {
--- a/bench/fleet/doc.go
+++ b/bench/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet runs boxes as processes against stand-ins in this process, with a proxy
-// on every link between boxes and to the log.
+// Package fleet runs boxes as processes against a stand-in platform in this process, on
+// request with a proxy on every link between boxes and to the log.
 package fleet
--- a/bench/fleet/entry.go
+++ b/bench/fleet/entry.go
@@ -5,28 +5,28 @@
 	"sync"
 )
 
-// Balancer spreads calls over the boxes that it believes to be in service, as the
-// platform's balancer does.
+// Balancer spreads calls at random over the boxes that run and are in service, as the
+// platform's load balancer does. It is safe for concurrent use.
 type Balancer struct {
 	fleet *Fleet
 
-	mu  sync.Mutex
-	out map[int]bool
+	mu           sync.Mutex
+	outOfService map[int]bool
 }
 
-// NewBalancer makes a balancer with all boxes in service.
+// NewBalancer returns a balancer with all boxes in service.
 func NewBalancer(f *Fleet) *Balancer {
-	return &Balancer{fleet: f, out: map[int]bool{}}
+	return &Balancer{fleet: f, outOfService: map[int]bool{}}
 }
 
-// Out takes box i out of service, or back in.
+// Out takes box i out of service if out is set, and puts it back if not.
 func (b *Balancer) Out(i int, out bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.out[i] = out
+	b.outOfService[i] = out
 }
 
-// Entry is the address of a box in service, at random.
+// Entry returns the URL of a random running box in service, or of any box if there is none.
 func (b *Balancer) Entry(rng *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,7 +34,7 @@
 	first := rng.IntN(n)
 	for k := range n {
 		i := (first + k) % n
-		if !b.out[i] && b.fleet.Up(i) {
+		if !b.outOfService[i] && b.fleet.Up(i) {
 			return "http://" + b.fleet.boxes[i].Settings.Listen.Callers.String()
 		}
 	}
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -25,70 +25,73 @@
 	"mulleingate.dev/stand/roster"
 )
 
-// Spec says what to run.
+// Spec describes a fleet.
 type Spec struct {
 	Shape    sample.Shape
 	Platform plat.Spec
 	Boxes    int
-	// Gate is the built program; Dir takes settings and logs.
+	// Gate is the path of the built program, Dir the folder for settings and log files.
 	Gate string
 	Dir  string
-	// Edit changes a box's settings before it starts; may be nil.
+	// Edit changes the settings of each box before it starts; may be nil.
 	Edit func(set *conf.Settings)
-	// Proxied puts a proxy on every link.
+	// Proxied puts a proxy on every link between boxes and to the log. Cuts of links need it.
 	Proxied bool
-	// Env is added to the boxes' environment.
+	// Env holds variables, as NAME=VALUE, that are added to the environment of every box.
 	Env []string
 }
 
-// Fleet is a running fleet.
+// Fleet is a set of boxes, each a process, and the stand-in platform that they use.
 type Fleet struct {
 	Platform *plat.Platform
 	Keys     sample.Keys
 	spec     Spec
 	http     *client.Client
 
+	// mu guards cmd, done and exitCode of every box.
 	mu    sync.Mutex
 	boxes []*Box
-	// peers[i][j] is the link from box i to box j, logs[i] that from box i to the log.
-	peers map[[2]int]*proxy.Link
-	logs  map[int]*proxy.Link
-	// lists[i] is the list that box i reads.
+	// peerLinks holds the link from box i to box j under {i, j}, logLinks[i] is that from box i to the log.
+	peerLinks map[[2]int]*proxy.Link
+	logLinks  map[int]*proxy.Link
+	// lists[i] is the list of boxes and targets that box i reads, with the proxies' addresses for
+	// the other boxes.
 	lists   map[int]*roster.Roster
 	servers []*server.Server
 }
 
-// Box is one process.
+// Box is one box of the fleet with its settings and its latest process.
 type Box struct {
 	Name     string
 	Zone     string
 	Settings conf.Settings
 	index    int
 	cmd      *exec.Cmd
+	// done is closed when the process has ended and exitCode is set.
 	done     chan struct{}
-	code     int
+	exitCode int
 }
 
-// Ready, stop and call bounds.
 const (
-	readyWait = time.Minute
-	callWait  = 2 * time.Second
-	poll      = 10 * time.Millisecond
-	portsEach = 3
+	readyTimeout = time.Minute
+	callTimeout  = 2 * time.Second
+	pollInterval = 10 * time.Millisecond
+	portsPerBox  = 3
 )
 
-// Build builds the gate program into dir.
+// Build builds the gate program into dir and returns its path.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "gate")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", path, "mulleingate.dev/gate")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "gate does not build: "+string(out)).Because(err)
+		return "", fault.Fail(fault.Internal, "go build of gate failed: "+string(out)).Because(err)
 	}
 	return path, nil
 }
 
-// New starts the platform and all boxes, and waits until they are ready.
+// New starts the platform and all boxes, and waits until they are ready. On an error it stops
+// whatever it had started.
 func New(ctx context.Context, spec Spec) (*Fleet, error) {
 	platform, err := plat.New(spec.Platform)
 	if err != nil {
@@ -96,7 +99,7 @@
 	}
 	f := &Fleet{
 		Platform: platform, Keys: sample.NewKeys("bench"), spec: spec, http: client.New("fleet", nil),
-		peers: map[[2]int]*proxy.Link{}, logs: map[int]*proxy.Link{}, lists: map[int]*roster.Roster{},
+		peerLinks: map[[2]int]*proxy.Link{}, logLinks: map[int]*proxy.Link{}, lists: map[int]*roster.Roster{},
 	}
 	if err := f.setup(ctx); err != nil {
 		f.Close()
@@ -113,14 +116,14 @@
 	if _, err := f.Publish(ctx, 0, cfg); err != nil {
 		return err
 	}
-	ports, err := plat.FreePorts(portsEach * f.spec.Boxes)
+	ports, err := plat.FreePorts(portsPerBox * f.spec.Boxes)
 	if err != nil {
 		return err
 	}
 	for i := range f.spec.Boxes {
-		f.boxes = append(f.boxes, f.newBox(i, ports[portsEach*i:]))
+		f.boxes = append(f.boxes, f.newBox(i, ports[portsPerBox*i:]))
 	}
-	if err := f.wire(); err != nil {
+	if err := f.connect(); err != nil {
 		return err
 	}
 	for i := range f.boxes {
@@ -147,9 +150,9 @@
 	return &Box{Name: set.Box.Name, Zone: zone, Settings: set, index: i}
 }
 
-// wire puts proxies between the boxes, gives each box a list of its own that leads
-// through them, and without proxies puts the boxes on the common list.
-func (f *Fleet) wire() error {
+// connect tells the boxes each other's addresses: through proxies, with a list for each box, or
+// without proxies on the platform's list.
+func (f *Fleet) connect() error {
 	if !f.spec.Proxied {
 		for _, b := range f.boxes {
 			f.Platform.Add(types.Member{Name: b.Name, Zone: b.Zone, Peer: b.Settings.Listen.Peers})
@@ -157,19 +160,19 @@
 		return nil
 	}
 	for i, b := range f.boxes {
-		if err := f.wireBox(i, b); err != nil {
+		if err := f.connectThroughProxies(i, b); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) wireBox(i int, b *Box) error {
+func (f *Fleet) connectThroughProxies(i int, b *Box) error {
 	link, err := proxy.New(plat.Loopback(), f.Platform.LogAddr)
 	if err != nil {
 		return err
 	}
-	f.logs[i] = link
+	f.logLinks[i] = link
 	b.Settings.Platform.Log = link.Addr()
 	list, err := f.Platform.Roster.List()
 	if err != nil {
@@ -182,7 +185,7 @@
 			if err != nil {
 				return err
 			}
-			f.peers[[2]int{i, j}] = link
+			f.peerLinks[[2]int{i, j}] = link
 			addr = link.Addr()
 		}
 		list.Boxes = append(list.Boxes, types.Member{Name: other.Name, Zone: other.Zone, Peer: addr})
@@ -201,26 +204,26 @@
 	return nil
 }
 
-// Start starts box i as a new process.
+// Start writes the settings of box i and starts it as a new process.
 func (f *Fleet) Start(i int) error {
 	b := f.boxes[i]
 	raw, err := json.MarshalIndent(b.Settings, "", "  ")
 	if err != nil {
-		return fault.Fail(fault.Internal, "settings do not encode").Because(err)
+		return fault.Fail(fault.Internal, "cannot encode the settings").Because(err)
 	}
 	path := filepath.Join(f.spec.Dir, b.Name+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		return fault.Fail(fault.Internal, "settings cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the settings file").Because(err)
 	}
 	logFile, err := os.OpenFile(filepath.Join(f.spec.Dir, b.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fault.Fail(fault.Internal, "log cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot open the log file").Because(err)
 	}
 	cmd := exec.Command(f.spec.Gate, "run", "--settings", path)
 	cmd.Env = append(os.Environ(), f.spec.Env...)
 	cmd.Stderr, cmd.Stdout = logFile, logFile
 	if err := cmd.Start(); err != nil {
-		return fault.Fail(fault.Internal, "box does not start").Because(err)
+		return fault.Fail(fault.Internal, "cannot start the box process").Because(err)
 	}
 	done := make(chan struct{})
 	f.mu.Lock()
@@ -229,7 +232,7 @@
 	go func() {
 		_ = cmd.Wait()
 		f.mu.Lock()
-		b.code = cmd.ProcessState.ExitCode()
+		b.exitCode = cmd.ProcessState.ExitCode()
 		f.mu.Unlock()
 		_ = logFile.Close()
 		close(done)
@@ -237,12 +240,12 @@
 	return nil
 }
 
-// Boxes lists the boxes.
+// Boxes returns all boxes, running or not.
 func (f *Fleet) Boxes() []*Box {
 	return f.boxes
 }
 
-// Up reports whether the box's process runs.
+// Up reports whether the process of box i runs.
 func (f *Fleet) Up(i int) bool {
 	f.mu.Lock()
 	done := f.boxes[i].done
@@ -271,33 +274,34 @@
 	<-done
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.boxes[i].code
+	return f.boxes[i].exitCode
 }
 
-// Kill ends box i as a crash would.
+// Kill ends box i with SIGKILL, as a crash would, and waits for the end of its process.
 func (f *Fleet) Kill(i int) {
 	f.Signal(i, syscall.SIGKILL)
 	f.Wait(i)
 }
 
-// PID is the process id of box i.
+// PID returns the process ID of box i.
 func (f *Fleet) PID(i int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes[i].cmd.Process.Pid
 }
 
-// CutLog cuts or joins box i and the log.
+// CutLog blocks or restores the link from box i to the log.
 func (f *Fleet) CutLog(i int, cut bool) {
-	f.logs[i].Set(proxy.Faults{Refuse: cut})
+	f.logLinks[i].Set(proxy.Faults{Refuse: cut})
 }
 
-// CutPeers cuts or joins what box i sends to box j; answers are lost too.
+// CutPeers blocks or restores the calls of box i to box j and their answers. Calls of j to i
+// are not affected.
 func (f *Fleet) CutPeers(i, j int, cut bool) {
-	f.peers[[2]int{i, j}].Set(proxy.Faults{CutUp: cut, CutDown: cut})
+	f.peerLinks[[2]int{i, j}].Set(proxy.Faults{CutUp: cut, CutDown: cut})
 }
 
-// CutZone cuts or joins a zone's boxes and all others, the log included.
+// CutZone starts or ends a partition between the boxes of a zone and all other boxes and the log.
 func (f *Fleet) CutZone(zone string, cut bool) {
 	for i, b := range f.boxes {
 		if b.Zone != zone {
@@ -313,12 +317,12 @@
 	}
 }
 
-// LogLink is the link between box i and the log.
+// LogLink returns the proxied link from box i to the log.
 func (f *Fleet) LogLink(i int) *proxy.Link {
-	return f.logs[i]
+	return f.logLinks[i]
 }
 
-// Leave marks a box or target as leaving on every list.
+// Leave marks a box or target as leaving, on the platform's list and on those of the boxes.
 func (f *Fleet) Leave(name string) {
 	f.Platform.Roster.Leave(name)
 	for _, list := range f.lists {
@@ -326,27 +330,27 @@
 	}
 }
 
-// Status asks box i for its status.
+// Status returns the status that box i reports.
 func (f *Fleet) Status(ctx context.Context, i int) (types.BoxStatus, error) {
 	var st types.BoxStatus
-	err := f.admin(ctx, i, "/status", &st)
+	err := f.getAdmin(ctx, i, "/status", &st)
 	return st, err
 }
 
-// Metrics asks box i for its figures.
+// Metrics returns the metrics that box i reports.
 func (f *Fleet) Metrics(ctx context.Context, i int) (types.Figures, error) {
 	var rep types.Figures
-	err := f.admin(ctx, i, "/metrics", &rep)
+	err := f.getAdmin(ctx, i, "/metrics", &rep)
 	return rep, err
 }
 
-func (f *Fleet) admin(ctx context.Context, i int, path string, out any) error {
-	ctx, stop := context.WithTimeout(ctx, callWait)
+func (f *Fleet) getAdmin(ctx context.Context, i int, path string, out any) error {
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	return f.http.Call(ctx, http.MethodGet, "http://"+f.boxes[i].Settings.Listen.Admin.String()+path, nil, out)
 }
 
-// OwnerOf finds the box that holds a program's slot.
+// OwnerOf returns the index of the box that reports a program's slot as its own.
 func (f *Fleet) OwnerOf(ctx context.Context, program string) (int, error) {
 	slot, err := ident.ProgramSlot(program)
 	if err != nil {
@@ -366,7 +370,7 @@
 	return 0, fault.Refuse(fault.OwnerUnknown, "no box holds the slot")
 }
 
-// Owned counts the slots that each box says it owns.
+// Owned returns the number of slots that each running and ready box reports, by its name.
 func (f *Fleet) Owned(ctx context.Context) map[string]int {
 	out := map[string]int{}
 	for i, b := range f.boxes {
@@ -380,9 +384,9 @@
 	return out
 }
 
-// Ready waits until every running box is ready and all slots are owned.
+// Ready waits until every running box is ready and all slots are owned, and fails after readyTimeout.
 func (f *Fleet) Ready(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	want := f.spec.Shape.Slots * len(f.spec.Shape.Zones)
 	for {
@@ -391,18 +395,18 @@
 			owned += n
 			ready++
 		}
-		if owned >= want && ready == f.running() {
+		if owned >= want && ready == f.countRunning() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fault.Refuse(fault.OwnerUnknown, fmt.Sprintf("fleet not ready: %d of %d slots owned by %d boxes", owned, want, ready))
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (f *Fleet) running() int {
+func (f *Fleet) countRunning() int {
 	n := 0
 	for i := range f.boxes {
 		if f.Up(i) {
@@ -412,7 +416,7 @@
 	return n
 }
 
-// Close ends every process that was started here, and the platform.
+// Close kills every running box, paused ones included, and stops the proxies and the platform.
 func (f *Fleet) Close() {
 	for i, b := range f.boxes {
 		if b.cmd != nil && f.Up(i) {
@@ -420,10 +424,10 @@
 			f.Kill(i)
 		}
 	}
-	for _, link := range f.peers {
+	for _, link := range f.peerLinks {
 		link.Close()
 	}
-	for _, link := range f.logs {
+	for _, link := range f.logLinks {
 		link.Close()
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
--- a/bench/fleet/fleet_test.go
+++ b/bench/fleet/fleet_test.go
@@ -17,8 +17,8 @@
 	"mulleingate.dev/stand/plat"
 )
 
-// start runs three boxes in three zones as processes, with a proxy on every link.
-func start(t *testing.T) (*fleet.Fleet, *fleet.Balancer) {
+// startFleet runs three boxes in three zones as processes, with a proxy on every link.
+func startFleet(t *testing.T) (*fleet.Fleet, *fleet.Balancer) {
 	t.Helper()
 	ctx := context.Background()
 	dir := t.TempDir()
@@ -33,7 +33,7 @@
 			Zones: shape.Zones, Engines: 4, Model: "planner", Lag: 300 * time.Millisecond, Log: applog.Faults{Limit: 400},
 			Services: map[string]int{"booking": 3, "calendar": 2},
 		},
-		Edit: quick,
+		Edit: shortenTimeouts,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -42,23 +42,23 @@
 	return f, fleet.NewBalancer(f)
 }
 
-// quick shortens the intervals that a takeover waits for.
-func quick(set *conf.Settings) {
+// shortenTimeouts shortens the intervals that delay a takeover.
+func shortenTimeouts(set *conf.Settings) {
 	set.Member.Beat = types.Duration(100 * time.Millisecond)
 	set.Member.Suspect = types.Duration(1200 * time.Millisecond)
 	set.Member.List = types.Duration(200 * time.Millisecond)
 	set.Slots.AdoptAfter = types.Duration(time.Second)
 }
 
-func play(ctx context.Context, b *fleet.Balancer, plans []load.Plan) *load.Stats {
+func runLoad(ctx context.Context, b *fleet.Balancer, plans []load.Plan) *load.Stats {
 	return load.Run(ctx, load.Spec{
 		Plans: plans, Workspaces: []string{"flanders", "wallonia"}, Model: "planner", Look: "calendar", Book: "booking",
 		Entries: b, Deadline: 2 * time.Minute,
 	})
 }
 
-// judge checks what must hold whatever was broken during the run.
-func judge(t *testing.T, f *fleet.Fleet, stats *load.Stats) {
+// checkInvariants checks what must hold under any fault: no wrong answer, and no key with two effects.
+func checkInvariants(t *testing.T, f *fleet.Fleet, stats *load.Stats) {
 	t.Helper()
 	if diff := cmp.Diff([]string(nil), stats.Violations); diff != "" {
 		t.Errorf("violations (-want +got):\n%s", diff)
@@ -72,23 +72,22 @@
 		stats.Finished, stats.Planned, stats.Refused, stats.Failed, stats.Turns, stats.Calls, stats.Unknown, stats.Retries, stats.Refusals)
 }
 
-// calm checks that nothing failed at all.
-func calm(t *testing.T, stats *load.Stats) {
+// checkAllFinished checks that every planned program finished.
+func checkAllFinished(t *testing.T, stats *load.Stats) {
 	t.Helper()
 	if diff := cmp.Diff(stats.Planned, stats.Finished); diff != "" {
 		t.Errorf("finished programs (-want +got):\n%s", diff)
 	}
 }
 
-func plans(seed uint64) []load.Plan {
+func drawPlans(seed uint64) []load.Plan {
 	return load.Plans(load.Ghent, 25, 8*time.Second, seed)
 }
 
-// TestPrograms runs some two hundred programs and stops one box as planned in the middle. The
-// boxes are told that their settings have changed before and while it stops: every program
-// ends well, and every effect happens exactly once.
-func TestPrograms(t *testing.T) {
-	f, b := start(t)
+// TestPlannedStop checks that no request fails and every booking takes effect exactly once while
+// one box drains and stops, and that SIGHUP disturbs neither a running box nor the stopping one.
+func TestPlannedStop(t *testing.T) {
+	f, b := startFleet(t)
 	ctx := context.Background()
 	go func() {
 		time.Sleep(2 * time.Second)
@@ -100,22 +99,22 @@
 		time.Sleep(200 * time.Millisecond)
 		f.Signal(1, syscall.SIGHUP)
 	}()
-	stats := play(ctx, b, plans(1))
-	judge(t, f, stats)
-	calm(t, stats)
+	stats := runLoad(ctx, b, drawPlans(1))
+	checkInvariants(t, f, stats)
+	checkAllFinished(t, stats)
 	if diff := cmp.Diff(map[string]int{}, stats.Refusals); diff != "" {
-		t.Errorf("refusals at a planned stop (-want +got):\n%s", diff)
+		t.Errorf("failed requests during a planned stop (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(0, f.Wait(1)); diff != "" {
 		t.Errorf("exit code of the stopped box (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(stats.Calls-repeatable(f), len(exactly(f, 1))); diff != "" {
-		t.Errorf("bookings answered and effects (-want +got):\n%s", diff)
+	if diff := cmp.Diff(stats.Calls-repeatableEffects(f), len(keysWithEffects(f, 1))); diff != "" {
+		t.Errorf("answered bookings and keys with one effect (-want +got):\n%s", diff)
 	}
 }
 
-// repeatable counts the calls of the service that may be repeated.
-func repeatable(f *fleet.Fleet) int {
+// repeatableEffects counts the effects at the calendar, the service that may be repeated.
+func repeatableEffects(f *fleet.Fleet) int {
 	n := 0
 	for name, tool := range f.Platform.Tools {
 		if name == "calendar-0" || name == "calendar-1" {
@@ -125,8 +124,8 @@
 	return n
 }
 
-// exactly lists the booking keys that took effect n times.
-func exactly(f *fleet.Fleet, n int) []string {
+// keysWithEffects returns the booking keys that took effect n times.
+func keysWithEffects(f *fleet.Fleet, n int) []string {
 	var keys []string
 	for name, tool := range f.Platform.Tools {
 		if name == "calendar-0" || name == "calendar-1" {
@@ -141,9 +140,9 @@
 	return keys
 }
 
-// TestKill kills a box without warning and starts it again.
+// TestKill checks that every program finishes although a box crashes and is restarted.
 func TestKill(t *testing.T) {
-	f, b := start(t)
+	f, b := startFleet(t)
 	go func() {
 		time.Sleep(2 * time.Second)
 		f.Kill(0)
@@ -152,14 +151,15 @@
 			t.Error(err)
 		}
 	}()
-	stats := play(context.Background(), b, plans(2))
-	judge(t, f, stats)
-	calm(t, stats)
+	stats := runLoad(context.Background(), b, drawPlans(2))
+	checkInvariants(t, f, stats)
+	checkAllFinished(t, stats)
 }
 
-// TestPause stops a box for longer than others wait for it, then lets it go on.
+// TestPause checks that a box that is paused until others have taken over its slots causes no
+// wrong answer and no duplicate effect when it continues.
 func TestPause(t *testing.T) {
-	f, b := start(t)
+	f, b := startFleet(t)
 	go func() {
 		time.Sleep(2 * time.Second)
 		f.Signal(2, syscall.SIGSTOP)
@@ -168,14 +168,14 @@
 		f.Signal(2, syscall.SIGCONT)
 		b.Out(2, false)
 	}()
-	stats := play(context.Background(), b, plans(3))
-	judge(t, f, stats)
+	stats := runLoad(context.Background(), b, drawPlans(3))
+	checkInvariants(t, f, stats)
 }
 
-// TestCuts loses answers of the log, then takes the log away, and cuts one zone off
-// while the log is slow.
-func TestCuts(t *testing.T) {
-	f, b := start(t)
+// TestLogAndZoneOutage checks that lost answers of the log, an outage of the log, and a partition
+// of a zone while the log is slow cause no wrong answer and no duplicate effect.
+func TestLogAndZoneOutage(t *testing.T) {
+	f, b := startFleet(t)
 	go func() {
 		time.Sleep(time.Second)
 		f.Platform.Log.Set(applog.Faults{Limit: 400, LoseAnswers: 8})
@@ -188,25 +188,25 @@
 		f.CutZone("hall-namur", false)
 		f.Platform.Log.Set(applog.Faults{Limit: 400})
 	}()
-	stats := play(context.Background(), b, plans(4))
-	judge(t, f, stats)
+	stats := runLoad(context.Background(), b, drawPlans(4))
+	checkInvariants(t, f, stats)
 }
 
-// TestLeavingEngine takes an engine off the list in mid run: two seconds later no call
-// reaches it any more, and every program ends well.
+// TestLeavingEngine checks that an engine marked as leaving gets no call after two seconds, and
+// that every program finishes.
 func TestLeavingEngine(t *testing.T) {
-	f, b := start(t)
+	f, b := startFleet(t)
 	left := make(chan time.Time, 1)
 	go func() {
 		time.Sleep(3 * time.Second)
 		f.Leave("engine-0")
 		left <- time.Now()
 	}()
-	stats := play(context.Background(), b, plans(5))
-	judge(t, f, stats)
-	calm(t, stats)
+	stats := runLoad(context.Background(), b, drawPlans(5))
+	checkInvariants(t, f, stats)
+	checkAllFinished(t, stats)
 	last := f.Platform.Engines["engine-0"].Stats().LastCall
 	if late := last.Sub(<-left); late > 2*time.Second {
-		t.Errorf("the engine got a call %v after it was leaving", late)
+		t.Errorf("the engine got a call %v after it was marked as leaving", late)
 	}
 }
