--- a/bench/recap/recap.go
+++ b/bench/recap/recap.go
@@ -11,30 +11,30 @@
 	"mulleingate.dev/bench/report"
 )
 
-// Row is what became of a route's calls that ended within one span of time.
+// Row summarizes the calls of one route that ended within one interval.
 type Row struct {
 	Route string
-	// From is the beginning of the span, after the first line of the logs.
+	// From is the start of the interval, counted from the first line of the logs.
 	From time.Duration
-	// Answered, Refused and Failed count calls; a refused one has not run.
+	// Answered, Refused and Failed count calls. A refused one has not run, a failed one may have.
 	Answered, Refused, Failed int
-	// Placed, First, Events and Confirm are the sums of the answered turns' times: until they were
-	// sent to a replica, from there to the first event, from there to the last, and from there
-	// until the log held the answer. Took is the sum for all answered calls.
+	// Placed, First, Events and Confirm are sums over the answered turns of consecutive times: from
+	// arrival until sent to a replica, to the first event, to the last event, and until confirmed
+	// by the log. Took is the sum of the total times of all answered calls.
 	Placed, First, Events, Confirm, Took time.Duration
-	// Causes counts the refusals and failures by kind.
+	// Causes counts the refused and failed calls by kind of fault or other cause.
 	Causes map[string]int
 }
 
-// Recap is the rows of some logs.
+// Recap holds the rows of some logs, one for each route and interval that had calls.
 type Recap struct {
-	// Every is the length of a span.
+	// Every is the length of an interval.
 	Every time.Duration
 	rows  map[string]*Row
 	start time.Time
 }
 
-// Sum sums the lines up in spans of the length.
+// Sum summarizes the lines in intervals of the given length. It sorts lines by time in place.
 func Sum(lines []logs.Line, every time.Duration) *Recap {
 	r := &Recap{Every: every, rows: map[string]*Row{}}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
@@ -42,15 +42,15 @@
 		if r.start.IsZero() {
 			r.start = l.At
 		}
-		r.take(l)
+		r.addLine(l)
 	}
 	return r
 }
 
-func (r *Recap) take(l logs.Line) {
+func (r *Recap) addLine(l logs.Line) {
 	switch l.Text("msg") {
 	case "turns: turn answered":
-		row := r.row(l)
+		row := r.rowOf(l)
 		placed, first, took, confirm := l.Duration("placed"), l.Duration("first"), l.Duration("took"), l.Duration("confirm")
 		row.Answered++
 		row.Placed += placed
@@ -59,33 +59,33 @@
 		row.Events += took - first - confirm
 		row.Took += took
 	case "relay: call answered", "relay: answer passed on":
-		row := r.row(l)
+		row := r.rowOf(l)
 		row.Answered++
 		row.Took += l.Duration("took")
 	case "turns: turn failed":
-		r.row(l).lost(l.Text("kind"), !l.Flag("ran"))
+		r.rowOf(l).countFailure(l.Text("kind"), !l.Flag("ran"))
 	case "relay: call failed":
 		ran, _ := l.Fields["ran"].(fmt.Stringer)
-		r.row(l).lost(l.Text("kind"), ran != nil && ran.String() == "0")
+		r.rowOf(l).countFailure(l.Text("kind"), ran != nil && ran.String() == "0")
 	case "turns: program not begun":
-		r.row(l).lost("not begun", true)
+		r.rowOf(l).countFailure("not begun", true)
 	case "entry: owner not reached":
-		r.row(l).lost("owner not reached", true)
+		r.rowOf(l).countFailure("owner not reached", true)
 	case "entry: turn refused, this box is cut off":
-		r.row(l).lost("cut off", true)
+		r.rowOf(l).countFailure("cut off", true)
 	}
 }
 
-func (w *Row) lost(cause string, refused bool) {
-	w.Causes[cause]++
+func (r *Row) countFailure(cause string, refused bool) {
+	r.Causes[cause]++
 	if refused {
-		w.Refused++
+		r.Refused++
 		return
 	}
-	w.Failed++
+	r.Failed++
 }
 
-func (r *Recap) row(l logs.Line) *Row {
+func (r *Recap) rowOf(l logs.Line) *Row {
 	from := l.At.Sub(r.start).Truncate(r.Every)
 	key := l.Text("route") + " " + from.String()
 	row, ok := r.rows[key]
@@ -111,7 +111,7 @@
 	return rows
 }
 
-// Table is the rows as text; times are means in milliseconds.
+// Table returns the rows as text, with mean times in milliseconds.
 func (r *Recap) Table() report.Table {
 	table := report.Table{Head: []string{
 		"route", "from_s", "answered", "refused", "failed", "placed_ms", "first_ms", "events_ms", "log_ms", "took_ms", "causes",
@@ -128,50 +128,50 @@
 	return table
 }
 
-// causes names the causes, the most frequent first.
-func (w *Row) causes() string {
-	names := make([]string, 0, len(w.Causes))
-	for name := range w.Causes {
+// causes lists the causes with their counts, the most frequent first.
+func (r *Row) causes() string {
+	names := make([]string, 0, len(r.Causes))
+	for name := range r.Causes {
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool {
-		if w.Causes[names[i]] != w.Causes[names[j]] {
-			return w.Causes[names[i]] > w.Causes[names[j]]
+		if r.Causes[names[i]] != r.Causes[names[j]] {
+			return r.Causes[names[i]] > r.Causes[names[j]]
 		}
 		return names[i] < names[j]
 	})
 	for i, name := range names {
-		names[i] = fmt.Sprintf("%s %d", name, w.Causes[name])
+		names[i] = fmt.Sprintf("%s %d", name, r.Causes[name])
 	}
 	return strings.Join(names, ", ")
 }
 
-// Lines are the calls of the busiest routes, so many at most, by time, for a plot: those that were
-// answered, and those that were refused or failed, if any.
+// Lines returns series of calls over time for a plot, for at most the given number of the busiest
+// routes: the answered calls, and the refused or failed ones if there are any.
 func (r *Recap) Lines(routes int) []report.Series {
 	var all []report.Series
 	for _, route := range r.busiest(routes) {
-		answered, lost := report.Series{Name: route + " answered"}, report.Series{Name: route + " refused or failed"}
-		any := false
+		answered, failed := report.Series{Name: route + " answered"}, report.Series{Name: route + " refused or failed"}
+		hasFailures := false
 		for _, row := range r.Rows() {
 			if row.Route != route {
 				continue
 			}
 			at, n := row.From.Seconds(), row.Refused+row.Failed
 			answered.X, answered.Y = append(answered.X, at), append(answered.Y, float64(row.Answered))
-			lost.X, lost.Y = append(lost.X, at), append(lost.Y, float64(n))
-			any = any || n > 0
+			failed.X, failed.Y = append(failed.X, at), append(failed.Y, float64(n))
+			hasFailures = hasFailures || n > 0
 		}
 		all = append(all, answered)
-		if any {
-			all = append(all, lost)
+		if hasFailures {
+			all = append(all, failed)
 		}
 	}
 	return all
 }
 
-// busiest names the routes with most calls, the busiest first.
-func (r *Recap) busiest(most int) []string {
+// busiest returns the names of at most the given number of routes, those with the most calls first.
+func (r *Recap) busiest(limit int) []string {
 	calls := map[string]int{}
 	for _, row := range r.rows {
 		calls[row.Route] += row.Answered + row.Refused + row.Failed
@@ -186,5 +186,5 @@
 		}
 		return names[i] < names[j]
 	})
-	return names[:min(most, len(names))]
+	return names[:min(limit, len(names))]
 }
--- a/bench/recap/recap_test.go
+++ b/bench/recap/recap_test.go
@@ -10,7 +10,7 @@
 	"mulleingate.dev/base/logs"
 )
 
-const text = `  1.0 box-1 {"time":"2026-12-02T10:00:00Z","msg":"node: started"}
+const logText = `  1.0 box-1 {"time":"2026-12-02T10:00:00Z","msg":"node: started"}
 {"time":"2026-12-02T10:00:00.5Z","msg":"turns: turn answered","route":"chat","placed":2000000,"first":40000000,"confirm":8000000,"took":248000000}
 {"time":"2026-12-02T10:00:00.6Z","msg":"turns: turn answered","route":"chat","placed":4000000,"first":80000000,"confirm":12000000,"took":352000000}
 {"time":"2026-12-02T10:00:01.1Z","msg":"turns: turn failed","route":"chat","ran":true,"kind":"log_unavailable"}
@@ -22,9 +22,10 @@
 {"time":"2026-12-02T10:00:00.9Z","msg":"relay: call failed","route":"book","kind":"timed_out","ran":1}
 `
 
-// TestSummary checks the rows of two routes, with the parts of turns' times and the causes.
+// TestSummary checks that calls are counted under their route and interval, with the causes of
+// failures, and that the parts of a turn's time are not mixed up.
 func TestSummary(t *testing.T) {
-	lines, err := logs.Read(strings.NewReader(text))
+	lines, err := logs.Read(strings.NewReader(logText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,6 +43,6 @@
 		names = append(names, line.Name)
 	}
 	if diff := cmp.Diff([]string{"chat answered", "chat refused or failed"}, names); diff != "" {
-		t.Errorf("lines to draw (-want +got):\n%s", diff)
+		t.Errorf("names of the plotted series (-want +got):\n%s", diff)
 	}
 }
