--- a/bench/report/doc.go
+++ b/bench/report/doc.go
@@ -1,2 +1,2 @@
-// Package report writes figures as tables, CSV and plots.
+// Package report writes measurements as Markdown tables, CSV files and plots.
 package report
--- a/bench/report/table.go
+++ b/bench/report/table.go
@@ -15,13 +15,13 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Table is rows under a head.
+// Table is a header and rows of text cells.
 type Table struct {
 	Head []string
 	Rows [][]string
 }
 
-// Markdown writes the table.
+// Markdown writes the table as Markdown. Errors of the writer are ignored.
 func (t Table) Markdown(out io.Writer) {
 	_, _ = fmt.Fprintln(out, "| "+strings.Join(t.Head, " | ")+" |")
 	_, _ = fmt.Fprintln(out, "|"+strings.Repeat("---|", len(t.Head)))
@@ -30,21 +30,21 @@
 	}
 }
 
-// CSV writes the table to a file.
+// CSV writes the table as CSV to a file at path, replacing an existing one.
 func (t Table) CSV(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fault.Fail(fault.Internal, "file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot create the CSV file").Because(err)
 	}
 	defer func() { _ = file.Close() }()
 	w := csv.NewWriter(file)
 	if err := w.WriteAll(append([][]string{t.Head}, t.Rows...)); err != nil {
-		return fault.Fail(fault.Internal, "file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the CSV file").Because(err)
 	}
 	return nil
 }
 
-// Series is one line of a plot.
+// Series is one line of a plot. X and Y have the same length.
 type Series struct {
 	Name string
 	X, Y []float64
@@ -55,7 +55,8 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// Plot draws lines to a file; its ending (.svg, .png) says the format.
+// Plot draws the series as lines to a file at path, whose extension (.svg, .png) gives the format.
+// The arguments x and y are the labels of the axes.
 func Plot(path, title, x, y string, all []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -69,10 +70,10 @@
 		args = append(args, s.Name, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
-		return fault.Fail(fault.Internal, "plot failed").Because(err)
+		return fault.Fail(fault.Internal, "cannot draw the plot").Because(err)
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
-		return fault.Fail(fault.Internal, "plot cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the plot file").Because(err)
 	}
 	return nil
 }
