--- a/bench/probe/doc.go
+++ b/bench/probe/doc.go
@@ -1,3 +1,3 @@
-// Package probe reads what a process costs from the kernel, and fits lines through
+// Package probe reads the resource usage of a process from /proc and fits lines through
 // measurements.
 package probe
--- a/bench/probe/proc.go
+++ b/bench/probe/proc.go
@@ -9,59 +9,60 @@
 	"mulleingate.dev/base/fault"
 )
 
-// clockTick is the kernel's unit of processor time.
+// clockTick is the unit of CPU time in /proc/PID/stat, for a kernel with 100 ticks per second.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used so far.
+// Usage is what a process has used from its start until the time At.
 type Usage struct {
 	At  time.Time
 	CPU time.Duration
-	// RSS is resident memory in bytes; Read and Written count bytes through system calls,
-	// sockets included.
+	// RSS is the resident memory at that time, in bytes. Read and Written count the bytes of read
+	// and write system calls, sockets included.
 	RSS, Read, Written int64
 }
 
-// Read reads the usage of a process.
+// Read returns the usage of the process with the given ID.
 func Read(pid int) (Usage, error) {
 	base := "/proc/" + strconv.Itoa(pid)
-	use := Usage{At: time.Now()}
+	usage := Usage{At: time.Now()}
 	stat, err := os.ReadFile(base + "/stat")
 	if err != nil {
-		return use, fault.Fail(fault.Internal, "process cannot be read").Because(err)
+		return usage, fault.Fail(fault.Internal, "cannot read the stat file of the process").Because(err)
 	}
-	// The fields after the command's closing bracket start with the state, field 3.
+	// The command name, field 2, may contain spaces. The fields after its closing parenthesis
+	// start with field 3, the state.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-	use.CPU = time.Duration(number(fields[11])+number(fields[12])) * clockTick
-	use.RSS = number(fields[21]) * int64(os.Getpagesize())
-	counts, err := os.ReadFile(base + "/io")
+	usage.CPU = time.Duration(parseCount(fields[11])+parseCount(fields[12])) * clockTick
+	usage.RSS = parseCount(fields[21]) * int64(os.Getpagesize())
+	ioCounts, err := os.ReadFile(base + "/io")
 	if err != nil {
-		return use, fault.Fail(fault.Internal, "process cannot be read").Because(err)
+		return usage, fault.Fail(fault.Internal, "cannot read the io file of the process").Because(err)
 	}
-	for line := range strings.Lines(string(counts)) {
+	for line := range strings.Lines(string(ioCounts)) {
 		name, val, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		switch name {
 		case "rchar":
-			use.Read = number(val)
+			usage.Read = parseCount(val)
 		case "wchar":
-			use.Written = number(val)
+			usage.Written = parseCount(val)
 		}
 	}
-	return use, nil
+	return usage, nil
 }
 
-func number(text string) int64 {
+func parseCount(text string) int64 {
 	n, _ := strconv.ParseInt(text, 10, 64)
 	return n
 }
 
-// Rate is usage a second between two readings.
+// Rate is the mean usage per second between two readings.
 type Rate struct {
-	// Core is the share of one core; Bytes are in both directions.
+	// Core is CPU time as a share of one core. Bytes counts bytes read and written.
 	Core  float64
 	Bytes float64
 }
 
-// Between is the rate from a to b.
+// Between returns the rate from reading a to the later reading b.
 func Between(a, b Usage) Rate {
 	secs := b.At.Sub(a.At).Seconds()
 	return Rate{
@@ -70,12 +71,13 @@
 	}
 }
 
-// Line is y = Base + Slope*x with the share of variance that it explains.
+// Line is y = Base + Slope*x. R2 is the share of the variance of y that it explains.
 type Line struct {
 	Base, Slope, R2 float64
 }
 
-// Fit is the least-squares line through the points.
+// Fit returns the least-squares line through the points. If all x are equal, it is the mean of y
+// with slope zero.
 func Fit(x, y []float64) Line {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy, syy float64
@@ -86,14 +88,14 @@
 		sxy += x[i] * y[i]
 		syy += y[i] * y[i]
 	}
-	den := n*sxx - sx*sx
-	if den == 0 {
+	denominator := n*sxx - sx*sx
+	if denominator == 0 {
 		return Line{Base: sy / n}
 	}
-	slope := (n*sxy - sx*sy) / den
+	slope := (n*sxy - sx*sy) / denominator
 	line := Line{Slope: slope, Base: (sy - slope*sx) / n}
-	if spread := n*syy - sy*sy; spread > 0 {
-		line.R2 = (n*sxy - sx*sy) * (n*sxy - sx*sy) / (den * spread)
+	if variance := n*syy - sy*sy; variance > 0 {
+		line.R2 = (n*sxy - sx*sy) * (n*sxy - sx*sy) / (denominator * variance)
 	}
 	return line
 }
