--- a/bench/mutant/doc.go
+++ b/bench/mutant/doc.go
@@ -1,3 +1,3 @@
-// Package mutant breaks the code on purpose, one promise at a time, and checks that the
-// fuzz of the fleet finds it.
+// Package mutant runs mutation tests: it applies one deliberate fault at a time to a copy of the
+// code and checks that the property tests, or the tests of a package, fail.
 package mutant
--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -13,47 +13,52 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Options say how long to look for a mutant.
+// Options says where the code is and how long to test each mutant.
 type Options struct {
-	// Root is the checkout; it is copied, never changed.
-	Root   string
+	// Root is the Git checkout to copy. It is not changed.
+	Root string
+	// Seed is the seed of the property tests, Checks the number of plans that ./proof tries.
 	Seed   string
 	Checks string
-	// Wait bounds one mutant.
+	// Wait is the time limit of one mutant.
 	Wait time.Duration
 }
 
-// Result is what the fuzz made of a mutant.
+// Result is the outcome of one mutant.
 type Result struct {
 	Mutant Mutant
-	Found  bool
-	// By is the fuzz that found it: of one owner's memory, or of the fleet.
+	// Found is set if a test failed.
+	Found bool
+	// By names the tests that ran last: owner (./desk), fleet (./proof), slots (the package in
+	// Mutant.Fuzz) or tests (the package in Mutant.Tests).
 	By string
-	// Tests is how many plans were played until the break was found, Steps the length
-	// of the failing plan.
+	// Tests is the number of plans that the property test tried until it failed, Steps the length
+	// of the failing plan. They are empty and 0 if the test does not print them.
 	Tests string
 	Steps int
-	// Broken are the promises that the oracle saw broken.
+	// Broken lists the violated properties that the test names, or starts with DID NOT RUN and has
+	// the beginning of the output if go test failed for another reason than a failing test.
 	Broken string
 	Took   time.Duration
 }
 
-// Run copies the checkout once and plays the fuzz against each mutant.
-func Run(ctx context.Context, opts Options, mutants []Mutant, each func(Result)) error {
+// Run copies the checkout once, tests each mutant in the copy and calls each with its result. It
+// fails if a mutant's old text does not occur exactly once in its file.
+func Run(ctx context.Context, opts Options, mutants []Mutant, report func(Result)) error {
 	dir, err := os.MkdirTemp("", "mutants")
 	if err != nil {
-		return fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	if err := copyTree(ctx, opts.Root, dir); err != nil {
 		return err
 	}
 	for _, m := range mutants {
-		res, err := play(ctx, opts, dir, m)
+		res, err := testMutant(ctx, opts, dir, m)
 		if err != nil {
 			return err
 		}
-		each(res)
+		report(res)
 	}
 	return nil
 }
@@ -63,7 +68,7 @@
 	list.Dir = from
 	out, err := list.Output()
 	if err != nil {
-		return fault.Fail(fault.Internal, "the files cannot be listed").Because(err)
+		return fault.Fail(fault.Internal, "git cannot list the files of the checkout").Because(err)
 	}
 	for name := range strings.SplitSeq(strings.TrimRight(string(out), "\x00"), "\x00") {
 		if err := copyFile(filepath.Join(from, name), filepath.Join(to, name)); err != nil {
@@ -76,91 +81,92 @@
 func copyFile(from, to string) error {
 	raw, err := os.ReadFile(from)
 	if err != nil {
-		return fault.Fail(fault.Internal, "a file cannot be read").Because(err)
+		return fault.Fail(fault.Internal, "cannot read a file of the checkout").Because(err)
 	}
 	if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
-		return fault.Fail(fault.Internal, "a folder cannot be made").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a folder in the copy").Because(err)
 	}
 	if err := os.WriteFile(to, raw, 0o644); err != nil {
-		return fault.Fail(fault.Internal, "a file cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "cannot write a file of the copy").Because(err)
 	}
 	return nil
 }
 
-func play(ctx context.Context, opts Options, dir string, m Mutant) (Result, error) {
+func testMutant(ctx context.Context, opts Options, dir string, m Mutant) (Result, error) {
 	path := filepath.Join(dir, m.File)
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Result{}, fault.Fail(fault.Internal, "a file cannot be read").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "cannot read the file to mutate").Because(err)
 	}
 	if bytes.Count(raw, []byte(m.Old)) != 1 {
-		return Result{}, fault.Refuse(fault.BadRequest, "mutant "+m.Name+" does not fit "+m.File)
+		return Result{}, fault.Refuse(fault.BadRequest, "mutant "+m.Name+": the old text does not occur exactly once in "+m.File)
 	}
 	mutated := bytes.Replace(raw, []byte(m.Old), []byte(m.New), 1)
 	if err := os.WriteFile(path, mutated, 0o644); err != nil {
-		return Result{}, fault.Fail(fault.Internal, "a file cannot be written").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "cannot write the mutated file").Because(err)
 	}
 	defer func() { _ = os.WriteFile(path, raw, 0o644) }()
-	return fuzz(ctx, opts, dir, m), nil
+	return runTests(ctx, opts, dir, m), nil
 }
 
-// shownOutput bounds what is shown of a run that failed by itself, in bytes.
-const shownOutput = 300
+// maxShownOutput is the most output, in bytes, that is shown of tests that could not run.
+const maxShownOutput = 300
 
 var (
-	afterTests = regexp.MustCompile(`failed after (\d+) tests`)
-	planSteps  = regexp.MustCompile(`broken after \[([^\]]*)\]`)
-	promise    = regexp.MustCompile(`(?m)^\s+([a-z_]+): `)
+	planCountPattern   = regexp.MustCompile(`failed after (\d+) tests`)
+	failingPlanPattern = regexp.MustCompile(`broken after \[([^\]]*)\]`)
+	propertyPattern    = regexp.MustCompile(`(?m)^\s+([a-z_]+): `)
 )
 
-func fuzz(ctx context.Context, opts Options, dir string, m Mutant) Result {
+func runTests(ctx context.Context, opts Options, dir string, m Mutant) Result {
 	ctx, stop := context.WithTimeout(ctx, opts.Wait)
 	defer stop()
-	began := time.Now()
+	start := time.Now()
 	seed := "-rapid.seed=" + opts.Seed
 	res := Result{Mutant: m, By: "owner"}
-	fuzz := "./desk"
+	pkg := "./desk"
 	flags := []string{seed, "-rapid.checks=3000"}
 	switch {
 	case m.Fuzz != "":
-		res.By, fuzz = "slots", m.Fuzz
+		res.By, pkg = "slots", m.Fuzz
 	case m.Tests != "":
-		res.By, fuzz, flags = "tests", m.Tests, nil
+		res.By, pkg, flags = "tests", m.Tests, nil
 	}
-	out, err := test(ctx, dir, fuzz, flags...)
+	out, err := goTest(ctx, dir, pkg, flags...)
 	if err == nil && res.By == "owner" {
 		res.By = "fleet"
-		out, err = test(ctx, dir, "./proof", seed, "-rapid.checks="+opts.Checks, "-rapid.shrinktime=1s")
+		out, err = goTest(ctx, dir, "./proof", seed, "-rapid.checks="+opts.Checks, "-rapid.shrinktime=1s")
 	}
-	res.Took = time.Since(began)
+	res.Took = time.Since(start)
 	res.Found = err != nil && bytes.Contains(out, []byte("--- FAIL"))
 	if err != nil && !res.Found {
-		res.Broken = "DID NOT RUN: " + string(bytes.TrimSpace(out[:min(len(out), shownOutput)]))
+		res.Broken = "DID NOT RUN: " + string(bytes.TrimSpace(out[:min(len(out), maxShownOutput)]))
 	}
 	if !res.Found {
 		return res
 	}
-	if found := afterTests.FindSubmatch(out); found != nil {
+	if found := planCountPattern.FindSubmatch(out); found != nil {
 		res.Tests = string(found[1])
 	}
-	if found := planSteps.FindSubmatch(out); found != nil {
+	if found := failingPlanPattern.FindSubmatch(out); found != nil {
 		res.Steps = len(strings.Fields(string(found[1])))
 	}
-	res.Broken = broken(out)
+	res.Broken = violatedProperties(out)
 	return res
 }
 
-// test runs the fuzz of one package of the copy.
-func test(ctx context.Context, dir, pkg string, flags ...string) ([]byte, error) {
+// goTest runs the tests of one package of the copy and returns their output.
+func goTest(ctx context.Context, dir, pkg string, flags ...string) ([]byte, error) {
 	cmd := exec.CommandContext(ctx, "go", append([]string{"test", pkg, "-count=1"}, flags...)...)
 	cmd.Dir = filepath.Join(dir, "gate")
 	return cmd.CombinedOutput()
 }
 
-func broken(out []byte) string {
+// violatedProperties returns the distinct names of violated properties in the output of a test.
+func violatedProperties(out []byte) string {
 	seen := map[string]bool{}
 	var names []string
-	for _, found := range promise.FindAllSubmatch(out, -1) {
+	for _, found := range propertyPattern.FindAllSubmatch(out, -1) {
 		name := string(found[1])
 		if strings.Contains(name, "_") && !seen[name] {
 			seen[name] = true
