--- a/bench/cmds/cmds.go
+++ b/bench/cmds/cmds.go
@@ -9,12 +9,11 @@
 	"mulleingate.dev/base/shell"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
 var commands = shell.New()
 
-// Run runs the command line and returns the exit code.
+// Run runs the command that args name and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	proc.SetTimeToForceQuit(24 * time.Hour)
 	return commands.Run("bench", "Loads, breaks and measures mulleingate", version, args, out, errOut)
--- a/bench/cmds/cost.go
+++ b/bench/cmds/cost.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	costWorkers  = 48
-	costLength   = 8 * time.Second
-	restPrograms = 5000
-	restWorkers  = 32
+	cpuWorkers   = 48
+	cpuLength    = 8 * time.Second
+	idlePrograms = 5000
+	idleWorkers  = 32
 )
 
-// costFigures measures a box on one core: turns a second, and memory.
-func costFigures(ctx context.Context, b *builder, table *report.Table) error {
-	f, err := b.fleet(ctx, want{
+// measureCost measures the memory, turns per second and CPU time of a box on one core.
+func measureCost(ctx context.Context, b *builder, table *report.Table) error {
+	f, err := b.fleet(ctx, fleetNeeds{
 		boxes: 1, engines: 4, env: []string{"GOMAXPROCS=1"},
 		shape: func(s *sample.Shape) { s.Zones, s.Slots = s.Zones[:1], 4 },
 		engine: func(s *model.Spec) {
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	table.Rows = append(table.Rows, []string{"memory of an idle box", mib(idle.RSS)})
-	if err := rest(ctx, cli, entry(f, 0)); err != nil {
+	table.Rows = append(table.Rows, []string{"memory of an idle box", formatMiB(idle.RSS)})
+	if err := beginIdlePrograms(ctx, cli, callerURL(f, 0)); err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second)
@@ -50,29 +50,29 @@
 		return err
 	}
 	table.Rows = append(table.Rows, []string{
-		fmt.Sprintf("memory per program at rest (%d programs of one turn)", restPrograms),
-		fmt.Sprintf("%.1f KiB", float64(full.RSS-idle.RSS)/restPrograms/1024),
+		fmt.Sprintf("memory per program at rest (%d programs of one turn)", idlePrograms),
+		fmt.Sprintf("%.1f KiB", float64(full.RSS-idle.RSS)/idlePrograms/1024),
 	})
-	return busy(ctx, cli, f.PID(0), entry(f, 0), table)
+	return measureTurnRate(ctx, cli, f.PID(0), callerURL(f, 0), table)
 }
 
-func mib(n int64) string {
+func formatMiB(n int64) string {
 	return fmt.Sprintf("%.1f MiB", float64(n)/(1<<20))
 }
 
-// rest makes programs that have had one turn.
-func rest(ctx context.Context, cli *client.Client, from string) error {
+// beginIdlePrograms begins idlePrograms programs, runs one turn of each and leaves them idle.
+func beginIdlePrograms(ctx context.Context, cli *client.Client, from string) error {
 	var left atomic.Int64
-	left.Store(restPrograms)
+	left.Store(idlePrograms)
 	var mu sync.Mutex
 	var failed error
 	var group sync.WaitGroup
-	for range restWorkers {
+	for range idleWorkers {
 		group.Go(func() {
 			for left.Add(-1) >= 0 {
-				s, err := begin(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, from)
 				if err == nil {
-					err = s.next(ctx, from, "a short question len=4")
+					err = s.runTurn(ctx, from, "a short question len=4")
 				}
 				if err != nil {
 					mu.Lock()
@@ -87,9 +87,9 @@
 	return failed
 }
 
-// busy runs short turns in closed loop and reads what the box used.
-func busy(ctx context.Context, cli *client.Client, pid int, from string, table *report.Table) error {
-	ctx, stop := context.WithTimeout(ctx, costLength)
+// measureTurnRate runs short turns in closed loop for cpuLength and measures the usage of the box.
+func measureTurnRate(ctx context.Context, cli *client.Client, pid int, from string, table *report.Table) error {
+	ctx, stop := context.WithTimeout(ctx, cpuLength)
 	defer stop()
 	before, err := probe.Read(pid)
 	if err != nil {
@@ -97,12 +97,12 @@
 	}
 	var turns atomic.Int64
 	var group sync.WaitGroup
-	for range costWorkers {
+	for range cpuWorkers {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				s, err := begin(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, from)
 				for i := 0; err == nil && i < 8; i++ {
-					if err = s.next(ctx, from, "a short question len=4"); err == nil {
+					if err = s.runTurn(ctx, from, "a short question len=4"); err == nil {
 						turns.Add(1)
 					}
 				}
@@ -118,6 +118,6 @@
 	perTurn := (after.CPU - before.CPU) / time.Duration(max(1, turns.Load()))
 	table.Rows = append(table.Rows,
 		[]string{"turns a second of a box on one core (closed loop, 4 tokens)", fmt.Sprintf("%.0f", float64(turns.Load())/secs)},
-		[]string{"share of the core used, processor time per turn", fmt.Sprintf("%.0f%%, %s", 100*probe.Between(before, after).Core, micros(perTurn))})
+		[]string{"share of the core used, processor time per turn", fmt.Sprintf("%.0f%%, %s", 100*probe.Between(before, after).Core, formatMillis(perTurn))})
 	return nil
 }
--- a/bench/cmds/doc.go
+++ b/bench/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds holds bench's commands, one a file.
+// Package cmds implements the commands of bench.
 package cmds
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -27,7 +27,7 @@
 	commands.Register(&experiment{})
 }
 
-// experiment plays workloads against real boxes and compares ways to decide.
+// experiment runs workloads against real boxes and compares scheduling variants.
 type experiment struct {
 	mix       string
 	variants  []string
@@ -42,15 +42,15 @@
 
 func (*experiment) Aliases() []string { return []string{"experiment", "exp"} }
 func (*experiment) Help() string {
-	return "play a workload in open loop against real boxes, for each way to decide and each load"
+	return "run a workload in open loop against real boxes, for each scheduling variant and each load"
 }
 
 func (e *experiment) Flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&e.mix, "mix", "ghent", "workload: ghent or ndokwa")
 	cmd.Flags().StringSliceVar(&e.variants, "variants", []string{"scored", "sticky", "least", "random"},
-		"ways to decide: STRATEGY[+ORDER][+noholds]")
+		"scheduling variants: STRATEGY[+ORDER][+noholds]")
 	cmd.Flags().Float64SliceVar(&e.loads, "loads", []float64{0.7, 0.95, 1.3}, "offered load as shares of the engines' capacity")
-	cmd.Flags().UintSliceVar(&e.seeds, "seeds", []uint{101}, "seeds; those up to 100 are for tuning")
+	cmd.Flags().UintSliceVar(&e.seeds, "seeds", []uint{101}, "seeds of the workload; by convention those up to 100 are for tuning only")
 	cmd.Flags().DurationVar(&e.length, "length", 12*time.Second, "how long programs arrive")
 	cmd.Flags().IntVar(&e.boxes, "boxes", 6, "boxes")
 	cmd.Flags().IntVar(&e.engines, "engines", 6, "engines")
@@ -58,8 +58,8 @@
 	cmd.Flags().StringVar(&e.dir, "out", "out", "folder for CSV and plots")
 }
 
-// engineSpec is the engine of experiments: slow enough that engines, not this machine,
-// are what runs short.
+// engineSpec sets the speed and size of engines: slow enough that the engines and not the machine
+// that runs the experiment are the bottleneck.
 func engineSpec(spec *model.Spec) {
 	spec.MaxBatch = 8
 	spec.StepTime = types.Duration(5 * time.Millisecond)
@@ -68,43 +68,44 @@
 	spec.CacheSize = 24_000
 }
 
-// capacity is how many programs a second the engines can carry if no prefix is ever
-// computed twice.
-func capacity(plans []load.Plan, engines int) float64 {
+// maxProgramRate returns how many programs per second the engines can serve if no prefix is computed
+// twice.
+func maxProgramRate(plans []load.Plan, engines int) float64 {
 	spec := model.DefaultSpec("any")
 	engineSpec(&spec)
 	step := time.Duration(spec.StepTime).Seconds() * (1 + spec.BatchCost*float64(spec.MaxBatch))
 	total := 0.0
 	for _, plan := range plans {
-		total += cost(plan.Steps, step/float64(spec.MaxBatch), spec.PrefillRate)
+		total += engineSeconds(plan.Steps, step/float64(spec.MaxBatch), spec.PrefillRate)
 	}
 	return float64(engines) * float64(len(plans)) / total
 }
 
-func cost(steps []load.Step, perToken, prefillRate float64) float64 {
+// engineSeconds returns the engine time that the steps take, in seconds.
+func engineSeconds(steps []load.Step, perToken, prefillRate float64) float64 {
 	sum := 0.0
 	for _, s := range steps {
 		sum += float64(s.Tokens)*perToken + float64(s.Words)/prefillRate
-		sum += cost(s.Agent, perToken, prefillRate)
+		sum += engineSeconds(s.Agent, perToken, prefillRate)
 	}
 	return sum
 }
 
 func (e *experiment) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	if err := os.MkdirAll(e.dir, 0o755); err != nil {
-		return fault.Fail(fault.Internal, "folder cannot be made").Because(err)
+		return fault.Fail(fault.Internal, "cannot create the output folder").Because(err)
 	}
-	work, err := os.MkdirTemp("", "experiment")
+	workDir, err := os.MkdirTemp("", "experiment")
 	if err != nil {
-		return fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
 	}
-	defer func() { _ = os.RemoveAll(work) }()
-	gate, err := fleet.Build(ctx, work)
+	defer func() { _ = os.RemoveAll(workDir) }()
+	gate, err := fleet.Build(ctx, workDir)
 	if err != nil {
 		return err
 	}
-	full := capacity(load.Plans(load.Mix(e.mix), 100, 20*time.Second, 1), e.engines)
-	_, _ = fmt.Fprintf(out, "mix %s, %d boxes, %d engines, capacity %.1f programs/s, fault %s\n", e.mix, e.boxes, e.engines, full, e.faultName)
+	maxRate := maxProgramRate(load.Plans(load.Mix(e.mix), 100, 20*time.Second, 1), e.engines)
+	_, _ = fmt.Fprintf(out, "mix %s, %d boxes, %d engines, capacity %.1f programs/s, fault %s\n", e.mix, e.boxes, e.engines, maxRate, e.faultName)
 	table := report.Table{Head: []string{
 		"variant", "load", "seed", "planned", "finished", "refused", "failed", "p50 ms", "p95 ms", "p99 ms",
 		"long p95 ms", "wasted long %", "wasted short %", "goodput/s", "retries", "violations",
@@ -114,12 +115,12 @@
 	for _, seed := range e.seeds {
 		for _, share := range e.loads {
 			for _, variant := range e.variants {
-				stats, err := e.run(ctx, gate, work, variant, share*full, uint64(seed))
+				stats, err := e.run(ctx, gate, workDir, variant, share*maxRate, uint64(seed))
 				if err != nil {
 					return err
 				}
 				violations += len(stats.Violations)
-				row := e.row(variant, share, seed, stats)
+				row := e.tableRow(variant, share, seed, stats)
 				table.Rows = append(table.Rows, row)
 				_, _ = fmt.Fprintln(out, row, stats.Violations, stats.Refusals)
 				s, ok := series[variant]
@@ -128,12 +129,12 @@
 					series[variant] = s
 				}
 				s.X = append(s.X, share)
-				s.Y = append(s.Y, millis(stats.Latency("all", 95)))
+				s.Y = append(s.Y, toMillis(stats.Latency("all", 95)))
 			}
 		}
 	}
 	table.Markdown(out)
-	if err := e.write(table, series); err != nil {
+	if err := e.writeFiles(table, series); err != nil {
 		return err
 	}
 	if violations > 0 {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-func (e *experiment) write(table report.Table, series map[string]*report.Series) error {
+func (e *experiment) writeFiles(table report.Table, series map[string]*report.Series) error {
 	base := filepath.Join(e.dir, "experiment-"+e.mix+"-"+e.faultName)
 	if err := table.CSV(base + ".csv"); err != nil {
 		return err
@@ -156,19 +157,19 @@
 	return report.Plot(base+".svg", "program latency, "+e.mix, "offered load", "p95 in ms", all)
 }
 
-func (e *experiment) row(variant string, share float64, seed uint, s *load.Stats) []string {
+func (e *experiment) tableRow(variant string, share float64, seed uint, s *load.Stats) []string {
 	long := map[string]string{"ghent": "planning", "ndokwa": "dispute"}[e.mix]
 	short := map[string]string{"ghent": "booking", "ndokwa": "recharge"}[e.mix]
 	f := func(v float64) string { return fmt.Sprintf("%.0f", v) }
 	return []string{
 		variant, fmt.Sprintf("%.2f", share), fmt.Sprint(seed), fmt.Sprint(s.Planned), fmt.Sprint(s.Finished), fmt.Sprint(s.Refused),
-		fmt.Sprint(s.Failed), f(millis(s.Latency("all", 50))), f(millis(s.Latency("all", 95))), f(millis(s.Latency("all", 99))),
-		f(millis(s.Latency(long, 95))), fmt.Sprintf("%.1f", 100*s.Wasted(long)), fmt.Sprintf("%.1f", 100*s.Wasted(short)),
+		fmt.Sprint(s.Failed), f(toMillis(s.Latency("all", 50))), f(toMillis(s.Latency("all", 95))), f(toMillis(s.Latency("all", 99))),
+		f(toMillis(s.Latency(long, 95))), fmt.Sprintf("%.1f", 100*s.Wasted(long)), fmt.Sprintf("%.1f", 100*s.Wasted(short)),
 		fmt.Sprintf("%.1f", s.Goodput(e.length/4, e.length)), fmt.Sprint(s.Retries), fmt.Sprint(len(s.Violations)),
 	}
 }
 
-func millis(d time.Duration) float64 {
+func toMillis(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
 
@@ -179,25 +180,26 @@
 	return sample.Ghent()
 }
 
-// run plays one load with one way to decide, on a fresh fleet.
+// run runs the workload at the given rate with one variant, on a new fleet. Keys that took effect
+// more than once are added to the violations.
 func (e *experiment) run(ctx context.Context, gate, work, variant string, rate float64, seed uint64) (*load.Stats, error) {
-	admit, err := parseVariant(variant)
+	settings, err := parseVariant(variant)
 	if err != nil {
 		return nil, err
 	}
 	shape := shapeOf(e.mix)
-	look, book := shape.Services[1].Name, shape.Services[0].Name
+	lookup, booking := shape.Services[1].Name, shape.Services[0].Name
 	dir, err := os.MkdirTemp(work, "run")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
 	}
 	f, err := fleet.New(ctx, fleet.Spec{
 		Shape: shape, Boxes: e.boxes, Gate: gate, Dir: dir, Proxied: true,
 		Platform: plat.Spec{
 			Zones: shape.Zones, Engines: e.engines, Model: shape.Models[0], Lag: 500 * time.Millisecond, Engine: engineSpec,
-			Log: applog.Faults{Limit: 400}, Services: map[string]int{look: 4, book: 6},
+			Log: applog.Faults{Limit: 400}, Services: map[string]int{lookup: 4, booking: 6},
 		},
-		Edit: func(set *conf.Settings) { set.Admit = admit },
+		Edit: func(set *conf.Settings) { set.Admit = settings },
 	})
 	if err != nil {
 		return nil, err
@@ -208,7 +210,7 @@
 	defer stop()
 	stats := load.Run(ctx, load.Spec{
 		Plans: load.Plans(load.Mix(e.mix), rate, e.length, seed), Workspaces: shape.Workspaces, Model: shape.Models[0],
-		Look: look, Book: book, Entries: balancer, Deadline: time.Minute,
+		Look: lookup, Book: booking, Entries: balancer, Deadline: time.Minute,
 	})
 	for key, n := range f.Platform.Effects() {
 		if n > 1 {
@@ -218,9 +220,10 @@
 	return stats, nil
 }
 
+// parseVariant parses STRATEGY[+ORDER][+noholds].
 func parseVariant(text string) (conf.Admit, error) {
 	set := conf.Defaults().Admit
-	for i, part := range splitPlus(text) {
+	for i, part := range splitVariant(text) {
 		switch {
 		case i == 0:
 			set.Strategy = sched.Strategy(part)
@@ -229,11 +232,11 @@
 		case part == string(sched.Age), part == string(sched.Attained), part == string(sched.Fifo):
 			set.Order = sched.Order(part)
 		default:
-			return set, fault.Refuse(fault.BadRequest, "variant: "+text+" is not known")
+			return set, fault.Refuse(fault.BadRequest, "unknown scheduling variant "+text)
 		}
 	}
 	if set.Strategy != sched.Scored {
-		// The baselines hold nothing and serve in order of arrival.
+		// The baseline strategies run without holds and serve in order of arrival.
 		set.Holds, set.Order = false, sched.Fifo
 	}
 	return set, nil
--- a/bench/cmds/faults.go
+++ b/bench/cmds/faults.go
@@ -12,11 +12,11 @@
 	"mulleingate.dev/stand/model"
 )
 
-func splitPlus(text string) []string {
+func splitVariant(text string) []string {
 	return strings.Split(text, "+")
 }
 
-// faults are the faults that an experiment can have in mid run.
+// faults holds the faults that an experiment can inject, by the name that its flag takes.
 var faults = map[string]func(ctx context.Context, f *fleet.Fleet, b *fleet.Balancer){
 	"none":         func(context.Context, *fleet.Fleet, *fleet.Balancer) {},
 	"box_killed":   boxKilled,
@@ -37,7 +37,8 @@
 	return strings.Join(names, ", ")
 }
 
-// inject starts the fault after a while; the returned function ends waiting for it.
+// inject injects the fault after the given time. The returned function cancels a fault that has
+// not begun and stops one that repeats; boxes and links keep the state that they have then.
 func inject(f *fleet.Fleet, b *fleet.Balancer, name string, after time.Duration) func() {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
@@ -48,6 +49,7 @@
 	return stop
 }
 
+// pause waits for d and reports whether ctx is still live.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -57,7 +59,7 @@
 	}
 }
 
-// boxKilled kills a box; the platform replaces it after three seconds.
+// boxKilled kills a box and restarts it after three seconds, as a platform would.
 func boxKilled(ctx context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
 	f.Kill(0)
 	if pause(ctx, 3*time.Second) {
@@ -65,6 +67,7 @@
 	}
 }
 
+// boxStopped drains and stops a box as in a planned stop, and does not restart it.
 func boxStopped(_ context.Context, f *fleet.Fleet, b *fleet.Balancer) {
 	b.Out(0, true)
 	f.Leave(f.Boxes()[0].Name)
@@ -94,6 +97,7 @@
 	}
 }
 
+// configChange republishes the configuration until ctx ends or a publication fails.
 func configChange(ctx context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
 	for {
 		if _, err := f.Republish(ctx); err != nil || !pause(ctx, 500*time.Millisecond) {
--- a/bench/cmds/figures.go
+++ b/bench/cmds/figures.go
@@ -25,7 +25,8 @@
 	commands.Register(&figures{})
 }
 
-// figures measures what a box adds and costs, and how fast ownership and configuration move.
+// figures measures the latency that a box adds, its resource usage, and how long takeovers and
+// configuration changes take.
 type figures struct {
 	only string
 }
@@ -39,8 +40,8 @@
 	cmd.Flags().StringVar(&f.only, "only", "", "one of latency, cost, takeover, config, log, zone")
 }
 
-// figure measures one matter and adds rows to the table.
-type figure struct {
+// measurement adds rows to the table; the flag "only" selects it by its name.
+type measurement struct {
 	name string
 	run  func(ctx context.Context, b *builder, table *report.Table) error
 }
@@ -52,9 +53,9 @@
 	}
 	defer b.close()
 	table := &report.Table{Head: []string{"figure", "value"}}
-	all := []figure{
-		{"latency", latencyFigures}, {"cost", costFigures}, {"takeover", takeoverFigures},
-		{"config", configFigures}, {"log", logFigures}, {"zone", zoneFigures},
+	all := []measurement{
+		{"latency", measureLatency}, {"cost", measureCost}, {"takeover", measureTakeovers},
+		{"config", measureConfig}, {"log", measureLog}, {"zone", measureZonePartition},
 	}
 	for _, fig := range all {
 		if f.only != "" && f.only != fig.name {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// builder builds fleets for measurements.
+// builder starts fleets for measurements. It builds the gate program once.
 type builder struct {
 	gate, dir string
 }
@@ -76,7 +77,7 @@
 func newBuilder(ctx context.Context) (*builder, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
 	}
 	gate, err := fleet.Build(ctx, dir)
 	if err != nil {
@@ -89,8 +90,8 @@
 	_ = os.RemoveAll(b.dir)
 }
 
-// want says what fleet a measurement needs.
-type want struct {
+// fleetNeeds describes the fleet of a measurement. Functions that are nil change nothing.
+type fleetNeeds struct {
 	boxes, engines int
 	proxied        bool
 	env            []string
@@ -99,25 +100,25 @@
 	edit           func(*conf.Settings)
 }
 
-func (b *builder) fleet(ctx context.Context, w want) (*fleet.Fleet, error) {
+func (b *builder) fleet(ctx context.Context, needs fleetNeeds) (*fleet.Fleet, error) {
 	dir, err := os.MkdirTemp(b.dir, "fleet")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "no temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
 	}
 	shape := sample.Ghent()
-	if w.shape != nil {
-		w.shape(&shape)
+	if needs.shape != nil {
+		needs.shape(&shape)
 	}
 	return fleet.New(ctx, fleet.Spec{
-		Shape: shape, Boxes: w.boxes, Gate: b.gate, Dir: dir, Proxied: w.proxied, Env: w.env, Edit: w.edit,
+		Shape: shape, Boxes: needs.boxes, Gate: b.gate, Dir: dir, Proxied: needs.proxied, Env: needs.env, Edit: needs.edit,
 		Platform: plat.Spec{
-			Zones: shape.Zones, Engines: w.engines, Model: "planner", Engine: w.engine, Lag: 200 * time.Millisecond,
+			Zones: shape.Zones, Engines: needs.engines, Model: "planner", Engine: needs.engine, Lag: 200 * time.Millisecond,
 			Log: applog.Faults{Limit: 400}, Services: map[string]int{"booking": 2, "calendar": 1},
 		},
 	})
 }
 
-// session is one program and its caller.
+// session is the caller's state of one program.
 type session struct {
 	http  *client.Client
 	id    string
@@ -125,7 +126,7 @@
 	turn  int
 }
 
-func begin(ctx context.Context, http *client.Client, entry string) (*session, error) {
+func beginProgram(ctx context.Context, http *client.Client, entry string) (*session, error) {
 	var state types.ProgramState
 	body := types.NewProgram{Model: "planner", DataClass: "personal", Kind: "booking", Budget: 1_000_000}
 	if err := post(ctx, http, entry+"/v1/programs", "", body, &state); err != nil {
@@ -134,7 +135,7 @@
 	return &session{http: http, id: state.ID, token: state.Continuation}, nil
 }
 
-func (s *session) next(ctx context.Context, entry, text string) error {
+func (s *session) runTurn(ctx context.Context, entry, text string) error {
 	var answer types.TurnAnswer
 	body := types.TurnRequest{
 		Turn: s.turn + 1, Messages: []types.Message{{Role: "user", Content: text}}, MaxTokens: 64, Continuation: s.token,
@@ -151,10 +152,10 @@
 	return http.CallAs(ctx, client.Auth{Token: sample.Token("flanders"), Key: key}, "POST", url, in, out)
 }
 
-func entry(f *fleet.Fleet, i int) string {
+func callerURL(f *fleet.Fleet, i int) string {
 	return "http://" + f.Boxes()[i].Settings.Listen.Callers.String()
 }
 
-func micros(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return fmt.Sprintf("%.3f ms", float64(d)/float64(time.Millisecond))
 }
--- a/bench/cmds/latency.go
+++ b/bench/cmds/latency.go
@@ -27,22 +27,22 @@
 	histMax       = int64(time.Minute / time.Microsecond)
 )
 
-// way is one way to the engine, with what was measured on it.
-type way struct {
-	name  string
-	first *hdrhistogram.Histogram
-	gap   *hdrhistogram.Histogram
-	call  func(ctx context.Context) (*http.Request, error)
+// enginePath is one path to the engine, with the latencies of its calls in microseconds.
+type enginePath struct {
+	name          string
+	firstEvent    *hdrhistogram.Histogram
+	betweenEvents *hdrhistogram.Histogram
+	newRequest    func(ctx context.Context) (*http.Request, error)
 }
 
-func newWay(name string, call func(ctx context.Context) (*http.Request, error)) *way {
-	return &way{name: name, first: hdrhistogram.New(1, histMax, histDigits), gap: hdrhistogram.New(1, histMax, histDigits), call: call}
+func newEnginePath(name string, newRequest func(ctx context.Context) (*http.Request, error)) *enginePath {
+	return &enginePath{name: name, firstEvent: hdrhistogram.New(1, histMax, histDigits), betweenEvents: hdrhistogram.New(1, histMax, histDigits), newRequest: newRequest}
 }
 
-// latencyFigures compares the engine directly, through one box, and through two, taking
-// turns in one run.
-func latencyFigures(ctx context.Context, b *builder, table *report.Table) error {
-	f, err := b.fleet(ctx, want{
+// measureLatency compares calls of the engine directly, through one box and through two. The paths
+// alternate, so that changes of the machine's load affect all of them.
+func measureLatency(ctx context.Context, b *builder, table *report.Table) error {
+	f, err := b.fleet(ctx, fleetNeeds{
 		boxes: 2, engines: 1,
 		shape: func(s *sample.Shape) { s.Zones = s.Zones[:2] },
 		engine: func(s *model.Spec) {
@@ -65,13 +65,13 @@
 		}
 	}
 	text := []types.Message{{Role: "user", Content: fmt.Sprintf("some words len=%d", latencyTokens)}}
-	direct := newWay("directly", func(ctx context.Context) (*http.Request, error) {
+	direct := newEnginePath("directly", func(ctx context.Context) (*http.Request, error) {
 		call := types.EngineCall{Attempt: ident.Random(), Model: "planner", Messages: text, MaxTokens: 64, CacheKey: ident.Random()}
 		return client.Request(ctx, http.MethodPost, engine+"/v1/chat/completions", call)
 	})
 	through := func(from string) func(ctx context.Context) (*http.Request, error) {
 		return func(ctx context.Context) (*http.Request, error) {
-			s, err := begin(ctx, cli, entry(f, 0))
+			s, err := beginProgram(ctx, cli, callerURL(f, 0))
 			if err != nil {
 				return nil, err
 			}
@@ -83,33 +83,36 @@
 			return req, err
 		}
 	}
-	ways := []*way{direct, newWay("through one box", through(entry(f, 0))), newWay("through two boxes", through(entry(f, 1)))}
+	paths := []*enginePath{direct, newEnginePath("through one box", through(callerURL(f, 0))), newEnginePath("through two boxes", through(callerURL(f, 1)))}
 	for range latencyRounds {
-		for _, w := range ways {
-			if err := w.measure(ctx, cli); err != nil {
+		for _, p := range paths {
+			if err := p.measure(ctx, cli); err != nil {
 				return err
 			}
 		}
 	}
-	for _, w := range ways {
+	for _, p := range paths {
 		table.Rows = append(table.Rows,
-			[]string{"first token " + w.name + ", p50 / p95", at(w.first, 50) + " / " + at(w.first, 95)},
-			[]string{"between tokens " + w.name + ", p50 / p95", at(w.gap, 50) + " / " + at(w.gap, 95)})
+			[]string{"first token " + p.name + ", p50 / p95", formatPercentile(p.firstEvent, 50) + " / " + formatPercentile(p.firstEvent, 95)},
+			[]string{"between tokens " + p.name + ", p50 / p95", formatPercentile(p.betweenEvents, 50) + " / " + formatPercentile(p.betweenEvents, 95)})
 	}
-	for _, w := range ways[1:] {
-		first := time.Duration(w.first.ValueAtQuantile(50)-direct.first.ValueAtQuantile(50)) * time.Microsecond
-		gap := time.Duration(w.gap.ValueAtQuantile(95)-direct.gap.ValueAtQuantile(95)) * time.Microsecond
-		table.Rows = append(table.Rows, []string{"added " + w.name + ": first token p50 / between tokens p95", micros(first) + " / " + micros(gap)})
+	for _, p := range paths[1:] {
+		first := time.Duration(p.firstEvent.ValueAtQuantile(50)-direct.firstEvent.ValueAtQuantile(50)) * time.Microsecond
+		gap := time.Duration(p.betweenEvents.ValueAtQuantile(95)-direct.betweenEvents.ValueAtQuantile(95)) * time.Microsecond
+		table.Rows = append(table.Rows, []string{"added " + p.name + ": first token p50 / between tokens p95", formatMillis(first) + " / " + formatMillis(gap)})
 	}
 	return nil
 }
 
-func at(h *hdrhistogram.Histogram, q float64) string {
-	return micros(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond)
+// formatPercentile formats a percentile of a histogram in microseconds.
+func formatPercentile(h *hdrhistogram.Histogram, q float64) string {
+	return formatMillis(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond)
 }
 
-func (w *way) measure(ctx context.Context, cli *client.Client) error {
-	req, err := w.call(ctx)
+// measure sends one streamed call and records the time to its first event, and the times between the
+// first latencyTokens events.
+func (p *enginePath) measure(ctx context.Context, cli *client.Client) error {
+	req, err := p.newRequest(ctx)
 	if err != nil {
 		return err
 	}
@@ -139,9 +142,9 @@
 		n++
 		switch {
 		case last.IsZero():
-			_ = w.first.RecordValue(now.Sub(began).Microseconds())
+			_ = p.firstEvent.RecordValue(now.Sub(began).Microseconds())
 		case n <= latencyTokens:
-			_ = w.gap.RecordValue(max(1, now.Sub(last).Microseconds()))
+			_ = p.betweenEvents.RecordValue(max(1, now.Sub(last).Microseconds()))
 		}
 		last = now
 	}
--- a/bench/cmds/mutate.go
+++ b/bench/cmds/mutate.go
@@ -16,7 +16,7 @@
 	commands.Register(&mutate{})
 }
 
-// mutate breaks the code once for each promise and runs the fuzz against it.
+// mutate runs the mutation tests and fails if a mutant is not found.
 type mutate struct {
 	opts mutant.Options
 	only string
@@ -24,14 +24,14 @@
 
 func (*mutate) Aliases() []string { return []string{"mutate"} }
 func (*mutate) Help() string {
-	return "break each promise on purpose and show that the fuzz finds it"
+	return "apply one deliberate fault at a time and check that the tests find it"
 }
 
 func (m *mutate) Flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&m.opts.Root, "root", ".", "checkout to copy")
-	cmd.Flags().StringVar(&m.opts.Seed, "seed", "20261202", "seed of the fuzz")
-	cmd.Flags().StringVar(&m.opts.Checks, "checks", "300", "plans to play at most")
-	cmd.Flags().DurationVar(&m.opts.Wait, "wait", 3*time.Minute, "time for one mutant at most")
+	cmd.Flags().StringVar(&m.opts.Seed, "seed", "20261202", "seed of the property tests")
+	cmd.Flags().StringVar(&m.opts.Checks, "checks", "300", "most plans that the property test of the fleet tries")
+	cmd.Flags().DurationVar(&m.opts.Wait, "wait", 3*time.Minute, "time limit of one mutant")
 	cmd.Flags().StringVar(&m.only, "only", "", "run this mutant only")
 }
 
--- a/bench/cmds/summary.go
+++ b/bench/cmds/summary.go
@@ -17,22 +17,22 @@
 	commands.Register(&summary{})
 }
 
-// summary tells from logs where calls spent their time and why they were refused or failed.
+// summary reports from logs where calls spent their time and why they were refused or failed.
 type summary struct {
 	every time.Duration
 	svg   string
 	csv   string
-	// routes is how many routes are drawn.
+	// routes is the number of routes in the plot.
 	routes int
 }
 
 func (*summary) Aliases() []string { return []string{"summary"} }
 func (*summary) Help() string {
-	return "sum logs of boxes up by route and time: bench summary FILE..."
+	return "summarize logs of boxes by route and time: bench summary FILE..."
 }
 
 func (s *summary) Flags(cmd *cobra.Command) {
-	cmd.Flags().DurationVar(&s.every, "every", time.Second, "length of one span of time")
+	cmd.Flags().DurationVar(&s.every, "every", time.Second, "length of one interval")
 	cmd.Flags().StringVar(&s.svg, "svg", "", "also draw the calls by time to this file")
 	cmd.Flags().IntVar(&s.routes, "routes", 3, "how many routes to draw, the busiest first")
 	cmd.Flags().StringVar(&s.csv, "csv", "", "also write the table to this file")
@@ -40,7 +40,7 @@
 
 func (s *summary) Execute(_ context.Context, out io.Writer, args []string) error {
 	if len(args) == 0 || s.every <= 0 {
-		return fault.Refuse(fault.BadRequest, "name the log files, and a length above zero")
+		return fault.Refuse(fault.BadRequest, "at least one log file and an interval above zero are needed")
 	}
 	var all []logs.Line
 	for _, name := range args {
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	takeovers   = 9
-	takePause   = 5 * time.Millisecond
-	takeWait    = 20 * time.Second
-	revisions   = 20
-	configBoxes = 12
-	logTurns    = 400
-	intentCalls = 200
+	takeovers       = 9
+	pollInterval    = 5 * time.Millisecond
+	takeoverTimeout = 20 * time.Second
+	configRevisions = 20
+	configBoxes     = 12
+	logTurns        = 400
+	intentCalls     = 200
 )
 
-// takeoverFigures kills and stops the owner of a program, again and again, and takes the
-// time until another box answers for the program.
-func takeoverFigures(ctx context.Context, b *builder, table *report.Table) error {
+// measureTakeovers repeatedly kills, and then stops as planned, the owner of a program, and measures
+// the longest time without an answer for the program.
+func measureTakeovers(ctx context.Context, b *builder, table *report.Table) error {
 	for _, planned := range []bool{false, true} {
-		f, err := b.fleet(ctx, want{boxes: 6, engines: 2})
+		f, err := b.fleet(ctx, fleetNeeds{boxes: 6, engines: 2})
 		if err != nil {
 			return err
 		}
 		hist := hdrhistogram.New(1, histMax, histDigits)
 		for i := range takeovers {
-			if err := takeover(ctx, f, i%6, planned, hist); err != nil {
+			if err := measureTakeover(ctx, f, i%6, planned, hist); err != nil {
 				f.Close()
 				return err
 			}
@@ -50,29 +50,29 @@
 		if planned {
 			name = "gap in service at a planned stop"
 		}
-		table.Rows = append(table.Rows, []string{fmt.Sprintf("%s, p50 / p99 of %d", name, takeovers), at(hist, 50) + " / " + at(hist, 99)})
+		table.Rows = append(table.Rows, []string{fmt.Sprintf("%s, p50 / p99 of %d", name, takeovers), formatPercentile(hist, 50) + " / " + formatPercentile(hist, 99)})
 	}
 	return nil
 }
 
-// takeover makes a program, ends the box that owns it, and asks for it through the box's
-// neighbour in the zone. It notes the longest time without an answer.
-func takeover(ctx context.Context, f *fleet.Fleet, from int, planned bool, hist *hdrhistogram.Histogram) error {
+// measureTakeover begins a program, kills or stops its owner, and reads the program's state through
+// the next box of the same zone. It records the longest time without an answer and restarts the owner.
+func measureTakeover(ctx context.Context, f *fleet.Fleet, from int, planned bool, hist *hdrhistogram.Histogram) error {
 	cli := client.New("takeover", nil)
-	s, err := begin(ctx, cli, entry(f, from))
+	s, err := beginProgram(ctx, cli, callerURL(f, from))
 	if err != nil {
 		return err
 	}
-	if err := s.next(ctx, entry(f, from), "hello len=4"); err != nil {
+	if err := s.runTurn(ctx, callerURL(f, from), "hello len=4"); err != nil {
 		return err
 	}
 	i, err := f.OwnerOf(ctx, s.id)
 	if err != nil {
 		return err
 	}
-	other := entry(f, (i+3)%6)
+	other := callerURL(f, (i+3)%6)
 	time.Sleep(200 * time.Millisecond)
-	ctx, stop := context.WithTimeout(ctx, takeWait)
+	ctx, stop := context.WithTimeout(ctx, takeoverTimeout)
 	defer stop()
 	last, longest := time.Now(), time.Duration(0)
 	sig := syscall.SIGKILL
@@ -81,14 +81,14 @@
 	}
 	f.Signal(i, sig)
 	for ctx.Err() == nil {
-		if s.state(ctx, other) == nil {
+		if s.readState(ctx, other) == nil {
 			longest = max(longest, time.Since(last))
 			last = time.Now()
 			if !f.Up(i) && (planned || longest > 100*time.Millisecond) {
 				break
 			}
 		}
-		time.Sleep(takePause)
+		time.Sleep(pollInterval)
 	}
 	_ = hist.RecordValue(longest.Microseconds())
 	f.Wait(i)
@@ -98,40 +98,40 @@
 	return f.Ready(context.WithoutCancel(ctx))
 }
 
-func (s *session) state(ctx context.Context, from string) error {
+func (s *session) readState(ctx context.Context, from string) error {
 	auth := client.Auth{Token: sample.Token("flanders")}
 	return s.http.CallAs(ctx, auth, http.MethodGet, from+"/v1/programs/"+s.id, nil, nil)
 }
 
-// configFigures takes the time from a publication until it is in force on twelve boxes.
-func configFigures(ctx context.Context, b *builder, table *report.Table) error {
-	f, err := b.fleet(ctx, want{boxes: configBoxes, engines: 1})
+// measureConfig measures the time from a publication until all boxes have applied it.
+func measureConfig(ctx context.Context, b *builder, table *report.Table) error {
+	f, err := b.fleet(ctx, fleetNeeds{boxes: configBoxes, engines: 1})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	hist := hdrhistogram.New(1, histMax, histDigits)
-	for range revisions {
+	for range configRevisions {
 		began := time.Now()
 		number, err := f.Republish(ctx)
 		if err != nil {
 			return err
 		}
 		for !f.InForce(ctx, number) {
-			time.Sleep(takePause)
+			time.Sleep(pollInterval)
 		}
 		_ = hist.RecordValue(time.Since(began).Microseconds())
 	}
 	table.Rows = append(table.Rows, []string{
-		fmt.Sprintf("a published revision in force on %d boxes, p50 / p99 of %d", configBoxes, revisions), at(hist, 50) + " / " + at(hist, 99),
+		fmt.Sprintf("a published revision in force on %d boxes, p50 / p99 of %d", configBoxes, configRevisions), formatPercentile(hist, 50) + " / " + formatPercentile(hist, 99),
 	})
 	return nil
 }
 
-// logFigures counts appends and bytes per call, calm and with the log away half the
-// time, and what an intent adds to a call.
-func logFigures(ctx context.Context, b *builder, table *report.Table) error {
-	f, err := b.fleet(ctx, want{boxes: 3, engines: 4})
+// measureLog measures appends and bytes per turn, without faults and with the log down half of the
+// time, and the latency that an intent record adds to a call.
+func measureLog(ctx context.Context, b *builder, table *report.Table) error {
+	f, err := b.fleet(ctx, fleetNeeds{boxes: 3, engines: 4})
 	if err != nil {
 		return err
 	}
@@ -140,8 +140,8 @@
 	for _, outage := range []bool{false, true} {
 		before := f.Platform.Log.Stats()
 		done, stop := make(chan struct{}), make(chan struct{})
-		go flap(f, outage, stop, done)
-		turns := manyTurns(ctx, f, cli)
+		go toggleLog(f, outage, stop, done)
+		turns := runTurns(ctx, f, cli)
 		close(stop)
 		<-done
 		time.Sleep(time.Second)
@@ -155,11 +155,12 @@
 			fmt.Sprintf("%.2f / %.0f", float64(after.Appends-before.Appends)/float64(turns), float64(after.Bytes-before.Bytes)/float64(turns)),
 		})
 	}
-	return intents(ctx, f, cli, table)
+	return measureIntents(ctx, f, cli, table)
 }
 
-// flap takes the log away and back.
-func flap(f *fleet.Fleet, on bool, stop, done chan struct{}) {
+// toggleLog takes the log down and up by turns until stop is closed, if on is set. It closes done at
+// its end.
+func toggleLog(f *fleet.Fleet, on bool, stop, done chan struct{}) {
 	defer close(done)
 	down := false
 	for on {
@@ -174,16 +175,17 @@
 	}
 }
 
-func manyTurns(ctx context.Context, f *fleet.Fleet, cli *client.Client) int64 {
+// runTurns runs turns from several callers until logTurns are answered, and returns their number.
+func runTurns(ctx context.Context, f *fleet.Fleet, cli *client.Client) int64 {
 	var turns atomic.Int64
 	var group sync.WaitGroup
 	for w := range 16 {
 		group.Go(func() {
-			from := entry(f, w%3)
+			from := callerURL(f, w%3)
 			for turns.Load() < logTurns && ctx.Err() == nil {
-				s, err := begin(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, from)
 				for i := 0; err == nil && i < 5; i++ {
-					if err = s.next(ctx, from, "a question of some words len=12"); err == nil {
+					if err = s.runTurn(ctx, from, "a question of some words len=12"); err == nil {
 						turns.Add(1)
 					}
 				}
@@ -194,8 +196,9 @@
 	return turns.Load()
 }
 
-// intents compares a booking with a key and one without, taking turns.
-func intents(ctx context.Context, f *fleet.Fleet, cli *client.Client, table *report.Table) error {
+// measureIntents compares the latency of bookings with a key, which need an intent record in the
+// log, and without one. The two kinds alternate.
+func measureIntents(ctx context.Context, f *fleet.Fleet, cli *client.Client, table *report.Table) error {
 	with, without := hdrhistogram.New(1, histMax, histDigits), hdrhistogram.New(1, histMax, histDigits)
 	for range intentCalls {
 		for _, keyed := range []bool{true, false} {
@@ -206,32 +209,32 @@
 			began := time.Now()
 			var answer types.ServiceAnswer
 			body := types.ServiceCall{Input: []byte(`{"chair":1}`)}
-			if err := post(ctx, cli, entry(f, 0)+"/v1/services/booking/calls?data_class=personal", key, body, &answer); err != nil {
+			if err := post(ctx, cli, callerURL(f, 0)+"/v1/services/booking/calls?data_class=personal", key, body, &answer); err != nil {
 				return err
 			}
 			_ = hist.RecordValue(time.Since(began).Microseconds())
 		}
 	}
 	table.Rows = append(table.Rows,
-		[]string{"a booking with a key, p50 / p95", at(with, 50) + " / " + at(with, 95)},
-		[]string{"a booking without a key, p50 / p95", at(without, 50) + " / " + at(without, 95)})
+		[]string{"a booking with a key, p50 / p95", formatPercentile(with, 50) + " / " + formatPercentile(with, 95)},
+		[]string{"a booking without a key, p50 / p95", formatPercentile(without, 50) + " / " + formatPercentile(without, 95)})
 	return nil
 }
 
-// zoneFigures counts the turns that callers of one zone get answered before and while
-// the zone is cut off from all others and from the log.
-func zoneFigures(ctx context.Context, b *builder, table *report.Table) error {
-	f, err := b.fleet(ctx, want{boxes: 6, engines: 6, proxied: true})
+// measureZonePartition counts the turns answered in one zone before and during a partition from the
+// other zones and from the log.
+func measureZonePartition(ctx context.Context, b *builder, table *report.Table) error {
+	f, err := b.fleet(ctx, fleetNeeds{boxes: 6, engines: 6, proxied: true})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	cli := client.New("zone", nil)
 	zone := f.Boxes()[0].Zone
-	before := zoneTurns(ctx, f, cli)
+	before := countZoneTurns(ctx, f, cli)
 	f.CutZone(zone, true)
 	time.Sleep(2 * time.Second)
-	during := zoneTurns(ctx, f, cli)
+	during := countZoneTurns(ctx, f, cli)
 	f.CutZone(zone, false)
 	table.Rows = append(table.Rows, []string{
 		"turns answered in a cut-off zone, as a share of before the cut", fmt.Sprintf("%d / %d = %.2f", during, before, float64(during)/float64(before)),
@@ -239,18 +242,20 @@
 	return nil
 }
 
-func zoneTurns(ctx context.Context, f *fleet.Fleet, cli *client.Client) int64 {
+// countZoneTurns runs turns through the boxes of the first zone for four seconds, and returns the
+// number answered.
+func countZoneTurns(ctx context.Context, f *fleet.Fleet, cli *client.Client) int64 {
 	ctx, stop := context.WithTimeout(ctx, 4*time.Second)
 	defer stop()
 	var turns atomic.Int64
 	var group sync.WaitGroup
 	for w := range 8 {
 		group.Go(func() {
-			from := entry(f, 3*(w%2))
+			from := callerURL(f, 3*(w%2))
 			for ctx.Err() == nil {
-				s, err := begin(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, from)
 				for i := 0; err == nil && i < 4; i++ {
-					if err = s.next(ctx, from, "a question len=8"); err == nil {
+					if err = s.runTurn(ctx, from, "a question len=8"); err == nil {
 						turns.Add(1)
 					}
 				}
