--- a/bench/main.go
+++ b/bench/main.go
@@ -1,4 +1,4 @@
-// Command bench loads, breaks and measures mulleingate.
+// Command bench runs load tests, fault injection, mutation tests and measurements against mulleingate.
 package main
 
 import (
