--- a/bench/cmds/cmds.go
+++ b/bench/cmds/cmds.go
@@ -16,5 +16,5 @@
 // Run runs the command that args name and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	proc.SetTimeToForceQuit(24 * time.Hour)
-	return commands.Run("bench", "Loads, breaks and measures mulleingate", version, args, out, errOut)
+	return commands.Run("bench", "Runs load tests, fault injection, mutation tests and measurements", version, args, out, errOut)
 }
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -232,7 +232,7 @@
 		case part == string(sched.Age), part == string(sched.Attained), part == string(sched.Fifo):
 			set.Order = sched.Order(part)
 		default:
-			return set, fault.Refuse(fault.BadRequest, "unknown scheduling variant "+text)
+			return set, fault.Refuse(fault.BadRequest, "scheduling variant "+text+" is unknown")
 		}
 	}
 	if set.Strategy != sched.Scored {
