--- a/bench/load/plan.go
+++ b/bench/load/plan.go
@@ -38,7 +38,7 @@
 	Agent []Step
 }
 
-// Plan is a program that arrives at the time At after the start of the run.
+// Plan is a program with its arrival time, counted from the start of the run.
 type Plan struct {
 	At    time.Duration
 	Kind  string
--- a/bench/load/stats.go
+++ b/bench/load/stats.go
@@ -13,13 +13,14 @@
 // arrival, so that a late start adds to it.
 type Stats struct {
 	mu sync.Mutex
-	// Planned is the number of planned programs; Finished, Refused and Failed count programs
-	// by how they ended. Refused ones were refused for load or deadline before anything ran.
+	// Planned is the number of planned programs; Finished, Refused and Failed count programs by
+	// how they ended. Refused ones ended with a request that was refused, before it ran, for
+	// overload or a deadline that is too near.
 	Planned, Finished, Refused, Failed int
 	Turns, Calls, Retries              int
 	// Refusals counts failed requests by kind of fault, retried ones included.
 	Refusals map[string]int
-	// Violations describes the first wrong answers, at most maxViolations.
+	// Violations describes wrong answers. Run records at most maxViolations.
 	Violations []string
 	// Recomputed counts the prefix tokens that were computed again, Prior all those that an
 	// earlier turn had computed, both by kind of program.
