--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -123,8 +123,8 @@
 }
 
 // measureIdle returns the usage of box 0 in an idle fleet.
-func (c *capacityCmd) measureIdle(ctx context.Context, b *builder, w fleetNeeds) (probe.Rate, error) {
-	f, err := b.fleet(ctx, w)
+func (c *capacityCmd) measureIdle(ctx context.Context, b *builder, needs fleetNeeds) (probe.Rate, error) {
+	f, err := b.fleet(ctx, needs)
 	if err != nil {
 		return probe.Rate{}, err
 	}
@@ -250,11 +250,11 @@
 		if err := beginIdlePrograms(ctx, cli, callerURL(f, 0)); err != nil {
 			return err
 		}
-		use, err := readAfterPause(f.PID(0))
+		usage, err := readAfterPause(f.PID(0))
 		if err != nil {
 			return err
 		}
-		fits.programMemory.add(float64((i+1)*idlePrograms), float64(use.RSS)/1024)
+		fits.programMemory.add(float64((i+1)*idlePrograms), float64(usage.RSS)/1024)
 	}
 	return measureHistories(ctx, cli, f, fits)
 }
@@ -290,11 +290,11 @@
 			}
 		}
 		total += historyPrograms * historyTurns * historyBytes / 1024
-		use, err := readAfterPause(f.PID(0))
+		usage, err := readAfterPause(f.PID(0))
 		if err != nil {
 			return err
 		}
-		fits.historyMemory.add(total, float64(use.RSS)/1024)
+		fits.historyMemory.add(total, float64(usage.RSS)/1024)
 	}
 	return nil
 }
@@ -331,7 +331,7 @@
 // measurePublications republishes the configuration several times and adds the CPU time, without
 // that of an idle box, and the log bytes per revision.
 func (c *capacityCmd) measurePublications(ctx context.Context, f *fleet.Fleet, workspaces float64, fits *capacityFits) error {
-	idleFrom, err := probe.Read(f.PID(0))
+	idleStart, err := probe.Read(f.PID(0))
 	if err != nil {
 		return err
 	}
@@ -355,7 +355,7 @@
 		return err
 	}
 	spent := after.CPU - before.CPU
-	idle := time.Duration(probe.Between(idleFrom, before).Core * float64(after.At.Sub(before.At)))
+	idle := time.Duration(probe.Between(idleStart, before).Core * float64(after.At.Sub(before.At)))
 	fits.revisionCPU.add(workspaces, float64((spent-idle).Microseconds())/capacityRevisions)
 	fits.revisionBytes.add(workspaces, float64(f.Platform.Log.Stats().Bytes-logged.Bytes)/capacityRevisions)
 	return nil
--- a/bench/cmds/cost.go
+++ b/bench/cmds/cost.go
@@ -61,18 +61,18 @@
 }
 
 // beginIdlePrograms begins idlePrograms programs, runs one turn of each and leaves them idle.
-func beginIdlePrograms(ctx context.Context, cli *client.Client, from string) error {
-	var left atomic.Int64
-	left.Store(idlePrograms)
+func beginIdlePrograms(ctx context.Context, cli *client.Client, url string) error {
+	var remaining atomic.Int64
+	remaining.Store(idlePrograms)
 	var mu sync.Mutex
 	var failed error
 	var group sync.WaitGroup
 	for range idleWorkers {
 		group.Go(func() {
-			for left.Add(-1) >= 0 {
-				s, err := beginProgram(ctx, cli, from)
+			for remaining.Add(-1) >= 0 {
+				s, err := beginProgram(ctx, cli, url)
 				if err == nil {
-					err = s.runTurn(ctx, from, "a short question len=4")
+					err = s.runTurn(ctx, url, "a short question len=4")
 				}
 				if err != nil {
 					mu.Lock()
@@ -88,7 +88,7 @@
 }
 
 // measureTurnRate runs short turns in closed loop for cpuLength and measures the usage of the box.
-func measureTurnRate(ctx context.Context, cli *client.Client, pid int, from string, table *report.Table) error {
+func measureTurnRate(ctx context.Context, cli *client.Client, pid int, url string, table *report.Table) error {
 	ctx, stop := context.WithTimeout(ctx, cpuLength)
 	defer stop()
 	before, err := probe.Read(pid)
@@ -100,9 +100,9 @@
 	for range cpuWorkers {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				s, err := beginProgram(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, url)
 				for i := 0; err == nil && i < 8; i++ {
-					if err = s.runTurn(ctx, from, "a short question len=4"); err == nil {
+					if err = s.runTurn(ctx, url, "a short question len=4"); err == nil {
 						turns.Add(1)
 					}
 				}
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -113,14 +113,14 @@
 	violations := 0
 	series := map[string]*report.Series{}
 	for _, seed := range e.seeds {
-		for _, share := range e.loads {
+		for _, loadShare := range e.loads {
 			for _, variant := range e.variants {
-				stats, err := e.run(ctx, gate, workDir, variant, share*maxRate, uint64(seed))
+				stats, err := e.run(ctx, gate, workDir, variant, loadShare*maxRate, uint64(seed))
 				if err != nil {
 					return err
 				}
 				violations += len(stats.Violations)
-				row := e.tableRow(variant, share, seed, stats)
+				row := e.tableRow(variant, loadShare, seed, stats)
 				table.Rows = append(table.Rows, row)
 				_, _ = fmt.Fprintln(out, row, stats.Violations, stats.Refusals)
 				s, ok := series[variant]
@@ -128,7 +128,7 @@
 					s = &report.Series{Name: variant}
 					series[variant] = s
 				}
-				s.X = append(s.X, share)
+				s.X = append(s.X, loadShare)
 				s.Y = append(s.Y, toMillis(stats.Latency("all", 95)))
 			}
 		}
@@ -157,12 +157,12 @@
 	return report.Plot(base+".svg", "program latency, "+e.mix, "offered load", "p95 in ms", all)
 }
 
-func (e *experiment) tableRow(variant string, share float64, seed uint, s *load.Stats) []string {
+func (e *experiment) tableRow(variant string, loadShare float64, seed uint, s *load.Stats) []string {
 	long := map[string]string{"ghent": "planning", "ndokwa": "dispute"}[e.mix]
 	short := map[string]string{"ghent": "booking", "ndokwa": "recharge"}[e.mix]
 	f := func(v float64) string { return fmt.Sprintf("%.0f", v) }
 	return []string{
-		variant, fmt.Sprintf("%.2f", share), fmt.Sprint(seed), fmt.Sprint(s.Planned), fmt.Sprint(s.Finished), fmt.Sprint(s.Refused),
+		variant, fmt.Sprintf("%.2f", loadShare), fmt.Sprint(seed), fmt.Sprint(s.Planned), fmt.Sprint(s.Finished), fmt.Sprint(s.Refused),
 		fmt.Sprint(s.Failed), f(toMillis(s.Latency("all", 50))), f(toMillis(s.Latency("all", 95))), f(toMillis(s.Latency("all", 99))),
 		f(toMillis(s.Latency(long, 95))), fmt.Sprintf("%.1f", 100*s.Wasted(long)), fmt.Sprintf("%.1f", 100*s.Wasted(short)),
 		fmt.Sprintf("%.1f", s.Goodput(e.length/4, e.length)), fmt.Sprint(s.Retries), fmt.Sprint(len(s.Violations)),
--- a/bench/cmds/latency.go
+++ b/bench/cmds/latency.go
@@ -69,14 +69,14 @@
 		call := types.EngineCall{Attempt: ident.Random(), Model: "planner", Messages: text, MaxTokens: 64, CacheKey: ident.Random()}
 		return client.Request(ctx, http.MethodPost, engine+"/v1/chat/completions", call)
 	})
-	through := func(from string) func(ctx context.Context) (*http.Request, error) {
+	through := func(url string) func(ctx context.Context) (*http.Request, error) {
 		return func(ctx context.Context) (*http.Request, error) {
 			s, err := beginProgram(ctx, cli, callerURL(f, 0))
 			if err != nil {
 				return nil, err
 			}
 			body := types.TurnRequest{Turn: 1, Messages: text, MaxTokens: 64, Stream: true, Continuation: s.token}
-			req, err := client.Request(ctx, http.MethodPost, from+"/v1/programs/"+s.id+"/turns", body)
+			req, err := client.Request(ctx, http.MethodPost, url+"/v1/programs/"+s.id+"/turns", body)
 			if err == nil {
 				req.Header.Set("Authorization", "Bearer "+sample.Token("flanders"))
 			}
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -57,13 +57,13 @@
 
 // measureTakeover begins a program, kills or stops its owner, and reads the program's state through
 // the next box of the same zone. It records the longest time without an answer and restarts the owner.
-func measureTakeover(ctx context.Context, f *fleet.Fleet, from int, planned bool, hist *hdrhistogram.Histogram) error {
+func measureTakeover(ctx context.Context, f *fleet.Fleet, box int, planned bool, hist *hdrhistogram.Histogram) error {
 	cli := client.New("takeover", nil)
-	s, err := beginProgram(ctx, cli, callerURL(f, from))
+	s, err := beginProgram(ctx, cli, callerURL(f, box))
 	if err != nil {
 		return err
 	}
-	if err := s.runTurn(ctx, callerURL(f, from), "hello len=4"); err != nil {
+	if err := s.runTurn(ctx, callerURL(f, box), "hello len=4"); err != nil {
 		return err
 	}
 	i, err := f.OwnerOf(ctx, s.id)
@@ -98,9 +98,9 @@
 	return f.Ready(context.WithoutCancel(ctx))
 }
 
-func (s *session) readState(ctx context.Context, from string) error {
+func (s *session) readState(ctx context.Context, url string) error {
 	auth := client.Auth{Token: sample.Token("flanders")}
-	return s.http.CallAs(ctx, auth, http.MethodGet, from+"/v1/programs/"+s.id, nil, nil)
+	return s.http.CallAs(ctx, auth, http.MethodGet, url+"/v1/programs/"+s.id, nil, nil)
 }
 
 // measureConfig measures the time from a publication until all boxes have applied it.
@@ -181,11 +181,11 @@
 	var group sync.WaitGroup
 	for w := range 16 {
 		group.Go(func() {
-			from := callerURL(f, w%3)
+			url := callerURL(f, w%3)
 			for turns.Load() < logTurns && ctx.Err() == nil {
-				s, err := beginProgram(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, url)
 				for i := 0; err == nil && i < 5; i++ {
-					if err = s.runTurn(ctx, from, "a question of some words len=12"); err == nil {
+					if err = s.runTurn(ctx, url, "a question of some words len=12"); err == nil {
 						turns.Add(1)
 					}
 				}
@@ -251,11 +251,11 @@
 	var group sync.WaitGroup
 	for w := range 8 {
 		group.Go(func() {
-			from := callerURL(f, 3*(w%2))
+			url := callerURL(f, 3*(w%2))
 			for ctx.Err() == nil {
-				s, err := beginProgram(ctx, cli, from)
+				s, err := beginProgram(ctx, cli, url)
 				for i := 0; err == nil && i < 4; i++ {
-					if err = s.runTurn(ctx, from, "a question len=8"); err == nil {
+					if err = s.runTurn(ctx, url, "a question len=8"); err == nil {
 						turns.Add(1)
 					}
 				}
