--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -194,7 +194,7 @@
 	r.stats.update(func(s *Stats) { s.Calls++ })
 	var receipt tool.Receipt
 	if json.Unmarshal(answer.Output, &receipt) != nil || string(receipt.Input) != string(body.Input) {
-		r.stats.addViolation(fmt.Sprintf("%s: the answer of %s belongs to another call", conv.id, service))
+		r.stats.addViolation(fmt.Sprintf("%s: the answer of %s does not match the call", conv.id, service))
 	}
 	return nil
 }
