--- a/base/client/client.go
+++ b/base/client/client.go
@@ -57,9 +57,9 @@
 		return resp, nil
 	}
 	if notSent(err) {
-		return nil, fault.Refuse(fault.TargetFailed, "connection refused").Because(err)
+		return nil, fault.Refuse(fault.TargetFailed, "connection refused").WithCause(err)
 	}
-	return nil, fault.Fail(fault.TargetFailed, "call broke").Because(err)
+	return nil, fault.Fail(fault.TargetFailed, "call broke").WithCause(err)
 }
 
 // Call sends in as JSON and reads out as JSON; out may be nil. Problem bodies come back as faults.
@@ -82,13 +82,13 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return nil, fault.Refuse(fault.Internal, "request does not encode").Because(err)
+			return nil, fault.Refuse(fault.Internal, "request does not encode").WithCause(err)
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "request cannot be built").Because(err)
+		return nil, fault.Refuse(fault.Internal, "request cannot be built").WithCause(err)
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -100,7 +100,7 @@
 func Decode(resp *http.Response, out any) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 	if err != nil {
-		return fault.Fail(fault.TargetFailed, "answer broke off").Because(err)
+		return fault.Fail(fault.TargetFailed, "answer broke off").WithCause(err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return problem(resp.StatusCode, raw)
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fault.Fail(fault.Protocol, "answer is not the expected JSON").Because(err)
+		return fault.Fail(fault.Protocol, "answer is not the expected JSON").WithCause(err)
 	}
 	return nil
 }
--- a/base/fault/fault.go
+++ b/base/fault/fault.go
@@ -12,91 +12,91 @@
 
 // The kinds of failure that callers and operators can meet.
 const (
-	BadRequest      Kind = "bad_request"
-	BadJSON         Kind = "bad_json"
-	TooLarge        Kind = "body_too_large"
-	Unauthorized    Kind = "unknown_workspace"
-	NoProgram       Kind = "no_such_program"
-	TurnConflict    Kind = "turn_conflict"
-	ProgramEnded    Kind = "program_ended"
-	UnknownModel    Kind = "unknown_model"
-	UnknownService  Kind = "unknown_service"
-	NoPlace         Kind = "no_allowed_place"
-	BudgetSpent     Kind = "budget_spent"
-	LimitReached    Kind = "limit_reached"
-	DeadlineMissed  Kind = "deadline_missed"
-	DeadlineTooNear Kind = "deadline_too_near"
-	Overloaded      Kind = "overloaded"
-	LogUnavailable  Kind = "log_unavailable"
-	OwnerUnknown    Kind = "owner_unavailable"
-	NotOwner        Kind = "not_owner"
-	PeerLost        Kind = "peer_unreachable"
-	OutcomeUnknown  Kind = "outcome_unknown"
-	KeyReused       Kind = "key_reused"
-	BadContinuation Kind = "bad_continuation"
-	TailTooLong     Kind = "tail_too_long"
-	TargetFailed    Kind = "target_failed"
-	NoTarget        Kind = "no_target"
-	Stopping        Kind = "stopping"
-	StaleConfig     Kind = "stale_configuration"
-	Conflict        Kind = "revision_conflict"
-	BadConfig       Kind = "bad_configuration"
-	BadSettings     Kind = "bad_settings"
-	BadKey          Kind = "bad_key"
-	Protocol        Kind = "protocol"
-	Internal        Kind = "internal"
-	NoRoute         Kind = "no_route"
-	NoTurn          Kind = "no_such_turn"
-	TurnUnknown     Kind = "turn_not_known_yet"
-	NoConfig        Kind = "no_configuration_yet"
-	HistoryGone     Kind = "log_history_gone"
-	TimedOut        Kind = "timed_out"
-	CallerGone      Kind = "caller_gone"
-	QuotaReached    Kind = "quota_reached"
+	BadRequest       Kind = "bad_request"
+	BadJSON          Kind = "bad_json"
+	TooLarge         Kind = "body_too_large"
+	Unauthorized     Kind = "unknown_workspace"
+	NoProgram        Kind = "no_such_program"
+	TurnConflict     Kind = "turn_conflict"
+	ProgramEnded     Kind = "program_ended"
+	UnknownModel     Kind = "unknown_model"
+	UnknownService   Kind = "unknown_service"
+	NoAllowedPlace   Kind = "no_allowed_place"
+	BudgetSpent      Kind = "budget_spent"
+	LimitReached     Kind = "limit_reached"
+	DeadlineMissed   Kind = "deadline_missed"
+	DeadlineTooNear  Kind = "deadline_too_near"
+	Overloaded       Kind = "overloaded"
+	LogUnavailable   Kind = "log_unavailable"
+	OwnerUnavailable Kind = "owner_unavailable"
+	NotOwner         Kind = "not_owner"
+	PeerUnreachable  Kind = "peer_unreachable"
+	OutcomeUnknown   Kind = "outcome_unknown"
+	KeyReused        Kind = "key_reused"
+	BadContinuation  Kind = "bad_continuation"
+	TailTooLong      Kind = "tail_too_long"
+	TargetFailed     Kind = "target_failed"
+	NoTarget         Kind = "no_target"
+	Stopping         Kind = "stopping"
+	StaleConfig      Kind = "stale_configuration"
+	RevisionConflict Kind = "revision_conflict"
+	BadConfig        Kind = "bad_configuration"
+	BadSettings      Kind = "bad_settings"
+	BadKey           Kind = "bad_key"
+	Protocol         Kind = "protocol"
+	Internal         Kind = "internal"
+	NoRoute          Kind = "no_route"
+	NoTurn           Kind = "no_such_turn"
+	TurnNotKnownYet  Kind = "turn_not_known_yet"
+	NoConfig         Kind = "no_configuration_yet"
+	HistoryGone      Kind = "log_history_gone"
+	TimedOut         Kind = "timed_out"
+	CallerGone       Kind = "caller_gone"
+	QuotaReached     Kind = "quota_reached"
 )
 
 var statuses = map[Kind]int{
-	BadRequest:      http.StatusBadRequest,
-	BadJSON:         http.StatusBadRequest,
-	TooLarge:        http.StatusRequestEntityTooLarge,
-	Unauthorized:    http.StatusUnauthorized,
-	NoProgram:       http.StatusNotFound,
-	TurnConflict:    http.StatusConflict,
-	ProgramEnded:    http.StatusGone,
-	UnknownModel:    http.StatusNotFound,
-	UnknownService:  http.StatusNotFound,
-	NoPlace:         http.StatusForbidden,
-	BudgetSpent:     http.StatusPaymentRequired,
-	LimitReached:    http.StatusForbidden,
-	DeadlineMissed:  http.StatusGatewayTimeout,
-	DeadlineTooNear: http.StatusServiceUnavailable,
-	Overloaded:      http.StatusTooManyRequests,
-	LogUnavailable:  http.StatusServiceUnavailable,
-	OwnerUnknown:    http.StatusServiceUnavailable,
-	NotOwner:        http.StatusMisdirectedRequest,
-	PeerLost:        http.StatusBadGateway,
-	OutcomeUnknown:  http.StatusConflict,
-	KeyReused:       http.StatusUnprocessableEntity,
-	BadContinuation: http.StatusBadRequest,
-	TailTooLong:     http.StatusServiceUnavailable,
-	TargetFailed:    http.StatusBadGateway,
-	NoTarget:        http.StatusServiceUnavailable,
-	Stopping:        http.StatusServiceUnavailable,
-	StaleConfig:     http.StatusServiceUnavailable,
-	Conflict:        http.StatusConflict,
-	BadConfig:       http.StatusUnprocessableEntity,
-	BadSettings:     http.StatusUnprocessableEntity,
-	BadKey:          http.StatusForbidden,
-	Protocol:        http.StatusBadGateway,
-	Internal:        http.StatusInternalServerError,
-	NoRoute:         http.StatusNotFound,
-	NoTurn:          http.StatusNotFound,
-	TurnUnknown:     http.StatusServiceUnavailable,
-	NoConfig:        http.StatusServiceUnavailable,
-	HistoryGone:     http.StatusGone,
-	TimedOut:        http.StatusGatewayTimeout,
-	CallerGone:      http.StatusBadGateway,
-	QuotaReached:    http.StatusTooManyRequests,
+	BadRequest:       http.StatusBadRequest,
+	BadJSON:          http.StatusBadRequest,
+	TooLarge:         http.StatusRequestEntityTooLarge,
+	Unauthorized:     http.StatusUnauthorized,
+	NoProgram:        http.StatusNotFound,
+	TurnConflict:     http.StatusConflict,
+	ProgramEnded:     http.StatusGone,
+	UnknownModel:     http.StatusNotFound,
+	UnknownService:   http.StatusNotFound,
+	NoAllowedPlace:   http.StatusForbidden,
+	BudgetSpent:      http.StatusPaymentRequired,
+	LimitReached:     http.StatusForbidden,
+	DeadlineMissed:   http.StatusGatewayTimeout,
+	DeadlineTooNear:  http.StatusServiceUnavailable,
+	Overloaded:       http.StatusTooManyRequests,
+	LogUnavailable:   http.StatusServiceUnavailable,
+	OwnerUnavailable: http.StatusServiceUnavailable,
+	NotOwner:         http.StatusMisdirectedRequest,
+	PeerUnreachable:  http.StatusBadGateway,
+	OutcomeUnknown:   http.StatusConflict,
+	KeyReused:        http.StatusUnprocessableEntity,
+	BadContinuation:  http.StatusBadRequest,
+	TailTooLong:      http.StatusServiceUnavailable,
+	TargetFailed:     http.StatusBadGateway,
+	NoTarget:         http.StatusServiceUnavailable,
+	Stopping:         http.StatusServiceUnavailable,
+	StaleConfig:      http.StatusServiceUnavailable,
+	RevisionConflict: http.StatusConflict,
+	BadConfig:        http.StatusUnprocessableEntity,
+	BadSettings:      http.StatusUnprocessableEntity,
+	BadKey:           http.StatusForbidden,
+	Protocol:         http.StatusBadGateway,
+	Internal:         http.StatusInternalServerError,
+	NoRoute:          http.StatusNotFound,
+	NoTurn:           http.StatusNotFound,
+	TurnNotKnownYet:  http.StatusServiceUnavailable,
+	NoConfig:         http.StatusServiceUnavailable,
+	HistoryGone:      http.StatusGone,
+	TimedOut:         http.StatusGatewayTimeout,
+	CallerGone:       http.StatusBadGateway,
+	QuotaReached:     http.StatusTooManyRequests,
 }
 
 // Fault is a typed failure.
@@ -125,20 +125,20 @@
 	return &Fault{Kind: kind, Detail: detail}
 }
 
-// After sets the advised wait before a retry.
-func (f *Fault) After(wait time.Duration) *Fault {
+// WithRetryAfter sets the advised wait before a retry.
+func (f *Fault) WithRetryAfter(wait time.Duration) *Fault {
 	f.RetryAfter = wait
 	return f
 }
 
-// At sets the head turn of a conflict.
-func (f *Fault) At(head int) *Fault {
+// WithHead sets the head turn of a conflict.
+func (f *Fault) WithHead(head int) *Fault {
 	f.Head = head
 	return f
 }
 
-// Because keeps the cause for the logs; callers never see it.
-func (f *Fault) Because(err error) *Fault {
+// WithCause keeps the cause for the logs; callers never see it.
+func (f *Fault) WithCause(err error) *Fault {
 	f.cause = err
 	return f
 }
@@ -175,7 +175,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	return Fail(Internal, "unexpected failure").Because(err)
+	return Fail(Internal, "unexpected failure").WithCause(err)
 }
 
 // Is reports whether err is a fault of the kind.
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -52,7 +52,7 @@
 
 // NewProgram makes a program id in the slot.
 func NewProgram(slot Slot) string {
-	return slot.String() + "." + Random()
+	return slot.String() + "." + RandomID()
 }
 
 // ProgramSlot returns the slot that a program id names.
@@ -74,16 +74,16 @@
 	return slots[h%uint64(len(slots))]
 }
 
-// Random returns a fresh identifier of 16 hexadecimal digits.
-func Random() string {
+// RandomID returns a fresh identifier of 16 hexadecimal digits.
+func RandomID() string {
 	raw := make([]byte, randomBytes)
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// Winner is the rendezvous (highest random weight) choice among names for key.
+// Rendezvous is the rendezvous (highest random weight) choice among names for key.
 // It returns "" when there are no names.
-func Winner(key string, names []string) string {
+func Rendezvous(key string, names []string) string {
 	best, bestScore := "", uint64(0)
 	for _, name := range names {
 		score := Weight(key, name)
@@ -94,15 +94,15 @@
 	return best
 }
 
-// Closest is the rendezvous choice of n among several names for key, heaviest first. It
+// RendezvousTop is the rendezvous choice of n among several names for key, heaviest first. It
 // returns their indices; name tells the name of each.
-func Closest(key string, names int, name func(i int) string, n int) []int {
+func RendezvousTop(key string, names int, name func(i int) string, n int) []int {
 	return ranked(names, func(i int) float64 { return uniform(key, name(i)) }, n)
 }
 
-// Shared is the same where names have shares: each is chosen in proportion to its own, above 0. A name
+// WeightedRendezvousTop is the same where names have shares: each is chosen in proportion to its own, above 0. A name
 // that comes or goes moves no key between two others.
-func Shared(key string, names int, name func(i int) (string, float64), n int) []int {
+func WeightedRendezvousTop(key string, names int, name func(i int) (string, float64), n int) []int {
 	return ranked(names, func(i int) float64 {
 		name, share := name(i)
 		return share / -math.Log(uniform(key, name))
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -20,14 +20,14 @@
 		sort.Slice(want, func(i, j int) bool { return Weight(key, want[i]) > Weight(key, want[j]) })
 		for _, n := range []int{0, 1, 4, 40, 50} {
 			var got []string
-			for _, i := range Closest(key, len(names), func(i int) string { return names[i] }, n) {
+			for _, i := range RendezvousTop(key, len(names), func(i int) string { return names[i] }, n) {
 				got = append(got, names[i])
 			}
 			if diff := cmp.Diff(append([]string(nil), want[:min(n, len(want))]...), got); diff != "" {
 				t.Errorf("the %d closest to %s (-want +got):\n%s", n, key, diff)
 			}
 		}
-		if got := Winner(key, names); got != want[0] {
+		if got := Rendezvous(key, names); got != want[0] {
 			t.Errorf("the winner for %s is %s, not %s", key, got, want[0])
 		}
 	}
@@ -51,14 +51,14 @@
 	first := 0
 	for key := range keys {
 		key := strconv.Itoa(key)
-		ranks := Shared(key, len(names), large, 2)
+		ranks := WeightedRendezvousTop(key, len(names), large, 2)
 		if ranks[0] < 8 {
 			first++
 		}
-		if diff := cmp.Diff(Closest(key, len(names), func(i int) string { return names[i] }, 3), Shared(key, len(names), equal, 3)); diff != "" {
+		if diff := cmp.Diff(RendezvousTop(key, len(names), func(i int) string { return names[i] }, 3), WeightedRendezvousTop(key, len(names), equal, 3)); diff != "" {
 			t.Fatalf("key %s with equal shares (-want +got):\n%s", key, diff)
 		}
-		without := Shared(key, len(names)-1, large, 1)[0]
+		without := WeightedRendezvousTop(key, len(names)-1, large, 1)[0]
 		if ranks[0] != len(names)-1 && without != ranks[0] {
 			t.Errorf("key %s moves from %d to %d though neither went", key, ranks[0], without)
 		}
--- a/base/logc/logc.go
+++ b/base/logc/logc.go
@@ -13,21 +13,21 @@
 	"mulleingate.dev/base/types"
 )
 
-// Log talks to the log service.
-type Log struct {
+// Client talks to the log service.
+type Client struct {
 	base    string
 	timeout time.Duration
 	http    *client.Client
 }
 
 // New makes a client of the log at addr; timeout bounds every call.
-func New(addr netip.AddrPort, timeout time.Duration) *Log {
-	return &Log{base: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
+func New(addr netip.AddrPort, timeout time.Duration) *Client {
+	return &Client{base: "http://" + addr.String(), timeout: timeout, http: client.New("log", nil)}
 }
 
 // Append adds data to the stream and returns its offset. A failure with NotRun set
 // means that nothing was appended; after any other failure it may have been.
-func (l *Log) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+func (l *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
 	var at types.LogOffset
@@ -39,7 +39,7 @@
 }
 
 // Read returns up to limit entries from an offset on.
-func (l *Log) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
+func (l *Client) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
 	ctx, stop := context.WithTimeout(ctx, l.timeout)
 	defer stop()
 	query := "?from=" + strconv.FormatInt(from, 10) + "&limit=" + strconv.Itoa(limit)
@@ -50,7 +50,7 @@
 	return page, nil
 }
 
-func (l *Log) url(stream string) string {
+func (l *Client) url(stream string) string {
 	return l.base + "/v1/streams/" + url.PathEscape(stream)
 }
 
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -28,8 +28,8 @@
 	return text
 }
 
-// Flag is the field of the name if it is true or false, and false otherwise.
-func (l Line) Flag(name string) bool {
+// Bool is the field of the name if it is true or false, and false otherwise.
+func (l Line) Bool(name string) bool {
 	flag, _ := l.Fields[name].(bool)
 	return flag
 }
@@ -51,7 +51,7 @@
 func ReadFile(name string) ([]Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "log file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "log file cannot be read").WithCause(err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	return Read(file)
@@ -82,7 +82,7 @@
 		read = append(read, l)
 	}
 	if err := scan.Err(); err != nil {
-		return nil, fault.Refuse(fault.BadRequest, "log cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "log cannot be read").WithCause(err)
 	}
 	return read, nil
 }
--- a/base/revs/fold.go
+++ b/base/revs/fold.go
@@ -16,74 +16,74 @@
 
 // The verdicts.
 const (
-	Accepted Verdict = "accepted"
-	Lost     Verdict = "lost_race"
-	Forged   Verdict = "bad_signature"
-	Invalid  Verdict = "invalid"
-	Known    Verdict = "known"
+	Accepted     Verdict = "accepted"
+	LostRace     Verdict = "lost_race"
+	BadSignature Verdict = "bad_signature"
+	Invalid      Verdict = "invalid"
+	AlreadyKnown Verdict = "known"
 )
 
-// Fold is the state of the configuration stream up to Next.
-type Fold struct {
+// StreamState is the state of the configuration stream up to Next.
+type StreamState struct {
 	// Next is the offset to read from.
 	Next int64
 	// Current has the highest number that was accepted; it is never replaced by a lower one.
 	Current *types.Revision
-	// At is the offset of the newest entry that holds Current.
-	At int64
+	// CurrentOffset is the offset of the newest entry that holds Current.
+	CurrentOffset int64
 
 	keys []ed25519.PublicKey
 }
 
 // New makes a fold that accepts revisions signed by one of the keys.
-func New(keys []ed25519.PublicKey) *Fold {
-	return &Fold{keys: keys}
+func New(keys []ed25519.PublicKey) *StreamState {
+	return &StreamState{keys: keys}
 }
 
 // Apply folds one log entry.
-func (f *Fold) Apply(entry types.LogEntry) (types.Revision, Verdict) {
+func (f *StreamState) Apply(entry types.LogEntry) (types.Revision, Verdict) {
 	f.Next = max(f.Next, entry.Offset+1)
 	var rev types.Revision
 	if json.Unmarshal(entry.Data, &rev) != nil {
 		return rev, Invalid
 	}
-	verdict := f.Offer(rev)
-	if f.Current != nil && rev.ID == f.Current.ID && (verdict == Accepted || verdict == Known) {
-		f.At = entry.Offset
+	verdict := f.ApplyRevision(rev)
+	if f.Current != nil && rev.ID == f.Current.ID && (verdict == Accepted || verdict == AlreadyKnown) {
+		f.CurrentOffset = entry.Offset
 	}
 	return rev, verdict
 }
 
-// Offer considers a revision, from the log or from a peer that has already accepted it
+// ApplyRevision considers a revision, from the log or from a peer that has already accepted it
 // (then Carry is set).
-func (f *Fold) Offer(rev types.Revision) Verdict {
+func (f *StreamState) ApplyRevision(rev types.Revision) Verdict {
 	if !f.verify(rev) {
-		return Forged
+		return BadSignature
 	}
 	have := int64(0)
 	if f.Current != nil {
 		have = f.Current.Number
 	}
-	if rev.Carry {
+	if rev.IsCopy {
 		return f.carry(rev, have)
 	}
 	if f.Current != nil && rev.ID == f.Current.ID {
-		return Known
+		return AlreadyKnown
 	}
 	if rev.Base != have || rev.Number != have+1 {
-		return Lost
+		return LostRace
 	}
 	return f.take(rev)
 }
 
-func (f *Fold) carry(rev types.Revision, have int64) Verdict {
+func (f *StreamState) carry(rev types.Revision, have int64) Verdict {
 	if rev.Number <= have {
-		return Known
+		return AlreadyKnown
 	}
 	return f.take(rev)
 }
 
-func (f *Fold) take(rev types.Revision) Verdict {
+func (f *StreamState) take(rev types.Revision) Verdict {
 	if Check(rev.Config) != nil {
 		return Invalid
 	}
@@ -91,7 +91,7 @@
 	return Accepted
 }
 
-func (f *Fold) verify(rev types.Revision) bool {
+func (f *StreamState) verify(rev types.Revision) bool {
 	body, err := signed(rev)
 	if err != nil {
 		return false
@@ -116,10 +116,10 @@
 
 func signed(rev types.Revision) ([]byte, error) {
 	rev.Signature = nil
-	rev.Carry = false
+	rev.IsCopy = false
 	body, err := json.Marshal(rev)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "revision does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "revision does not encode").WithCause(err)
 	}
 	return body, nil
 }
--- a/base/revs/publish.go
+++ b/base/revs/publish.go
@@ -22,17 +22,17 @@
 	settlePause = 200 * time.Millisecond
 )
 
-// Seen is an entry with the fold's verdict.
-type Seen struct {
+// HistoryEntry is an entry with the fold's verdict.
+type HistoryEntry struct {
 	Offset   int64          `json:"offset"`
 	Revision types.Revision `json:"revision"`
 	Verdict  Verdict        `json:"verdict"`
 }
 
 // History folds the whole stream and returns every entry that is still kept.
-func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*Fold, []Seen, error) {
+func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*StreamState, []HistoryEntry, error) {
 	fold := New(keys)
-	var all []Seen
+	var all []HistoryEntry
 	for {
 		page, err := log.Read(ctx, Stream, fold.Next, pageSize)
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 		for _, entry := range page.Entries {
 			rev, verdict := fold.Apply(entry)
-			all = append(all, Seen{Offset: entry.Offset, Revision: rev, Verdict: verdict})
+			all = append(all, HistoryEntry{Offset: entry.Offset, Revision: rev, Verdict: verdict})
 		}
 		fold.Next = max(fold.Next, page.First)
 		if fold.Next >= page.Next {
@@ -67,7 +67,7 @@
 		return types.Revision{}, err
 	}
 	rev, err := Sign(types.Revision{
-		Number: draft.Base + 1, Base: draft.Base, ID: ident.Random(), Author: draft.Author, Note: draft.Note,
+		Number: draft.Base + 1, Base: draft.Base, ID: ident.RandomID(), Author: draft.Author, Note: draft.Note,
 		At: time.Now().UTC(), Config: draft.Config,
 	}, key)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	raw, err := json.Marshal(rev)
 	if err != nil {
-		return rev, fault.Refuse(fault.Internal, "revision does not encode").Because(err)
+		return rev, fault.Refuse(fault.Internal, "revision does not encode").WithCause(err)
 	}
 	_, appendErr := log.Append(ctx, Stream, raw)
 	if appendErr != nil && fault.From(appendErr).NotRun {
@@ -93,7 +93,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Fail(fault.OutcomeUnknown, "the revision may have been published; look at the history").Because(err)
+			return fault.Fail(fault.OutcomeUnknown, "the revision may have been published; look at the history").WithCause(err)
 		case <-time.After(settlePause):
 		}
 	}
@@ -105,23 +105,23 @@
 		return "", false, err
 	}
 	for _, seen := range all {
-		if seen.Revision.ID == rev.ID && !seen.Revision.Carry {
+		if seen.Revision.ID == rev.ID && !seen.Revision.IsCopy {
 			return seen.Verdict, true, nil
 		}
 	}
 	current := fold.Current
 	if current != nil && current.Number >= rev.Number {
-		return Lost, true, nil
+		return LostRace, true, nil
 	}
 	return "", false, nil
 }
 
 func told(verdict Verdict) error {
 	switch verdict {
-	case Accepted, Known:
+	case Accepted, AlreadyKnown:
 		return nil
-	case Lost:
-		return fault.Refuse(fault.Conflict, "another revision was published first; diff and publish again")
+	case LostRace:
+		return fault.Refuse(fault.RevisionConflict, "another revision was published first; diff and publish again")
 	default:
 		return fault.Refuse(fault.BadConfig, "the log shows the revision as "+string(verdict))
 	}
--- a/base/revs/revs_test.go
+++ b/base/revs/revs_test.go
@@ -111,7 +111,7 @@
 			t.Fatalf("a lost answer was not settled: %v", err)
 		}
 		_, err := Publish(ctx, log, key(2), keys, Draft{Config: cfg, Author: "b"})
-		if !fault.Is(err, fault.Conflict) {
+		if !fault.Is(err, fault.RevisionConflict) {
 			t.Errorf("the second operator was told: %v", err)
 		}
 		fold, _, err := History(ctx, log, keys)
@@ -131,19 +131,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rev.Carry = carry
+		rev.IsCopy = carry
 		return rev
 	}
 	fold := New(Keys(public(key(1))))
 	got := []Verdict{
-		fold.Offer(sign(1, key(2), false)),
-		fold.Offer(sign(5, key(1), true)),
-		fold.Offer(sign(4, key(1), true)),
-		fold.Offer(sign(5, key(1), false)),
-		fold.Offer(sign(6, key(1), false)),
-		fold.Offer(sign(8, key(1), false)),
+		fold.ApplyRevision(sign(1, key(2), false)),
+		fold.ApplyRevision(sign(5, key(1), true)),
+		fold.ApplyRevision(sign(4, key(1), true)),
+		fold.ApplyRevision(sign(5, key(1), false)),
+		fold.ApplyRevision(sign(6, key(1), false)),
+		fold.ApplyRevision(sign(8, key(1), false)),
 	}
-	want := []Verdict{Forged, Accepted, Known, Known, Accepted, Lost}
+	want := []Verdict{BadSignature, Accepted, AlreadyKnown, AlreadyKnown, Accepted, LostRace}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
 	}
--- a/base/rules/rules.go
+++ b/base/rules/rules.go
@@ -24,15 +24,15 @@
 	defaultSpend = "budget"
 )
 
-// Set is a compiled policy. It is safe for use by many goroutines.
-type Set struct {
+// Policy is a compiled policy. It is safe for use by many goroutines.
+type Policy struct {
 	place cel.Program
 	order cel.Program
 	spend cel.Program
 }
 
 // Compile type-checks the three programs and runs the samples.
-func Compile(policy types.Policy) (*Set, error) {
+func Compile(policy types.Policy) (*Policy, error) {
 	place, err := compile("place", policy.Place, defaultPlace, cel.BoolType, placeVars())
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set := &Set{place: place, order: order, spend: spend}
+	set := &Policy{place: place, order: order, spend: spend}
 	return set, set.check(policy.Samples)
 }
 
@@ -75,24 +75,24 @@
 	}
 	env, err := cel.NewEnv(vars...)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "policy environment").Because(err)
+		return nil, fault.Refuse(fault.Internal, "policy environment").WithCause(err)
 	}
 	ast, issues := env.Compile(source)
 	if issues.Err() != nil {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not compile").Because(issues.Err())
+		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not compile").WithCause(issues.Err())
 	}
 	if !ast.OutputType().IsExactType(want) {
 		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": gives "+ast.OutputType().String()+", not "+want.String())
 	}
 	prog, err := env.Program(ast, cel.CostLimit(costLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not plan").Because(err)
+		return nil, fault.Refuse(fault.BadConfig, "policy."+name+": does not plan").WithCause(err)
 	}
 	return prog, nil
 }
 
 // Place reports whether the use is allowed there; any failure denies.
-func (s *Set) Place(in types.RuleInput) bool {
+func (s *Policy) Place(in types.RuleInput) bool {
 	val, err := run(s.place, in)
 	if err != nil {
 		return false
@@ -102,12 +102,12 @@
 }
 
 // Order is the priority, higher first; failures give 0.
-func (s *Set) Order(in types.RuleInput) int64 {
+func (s *Policy) Order(in types.RuleInput) int64 {
 	return number(s.order, in, 0)
 }
 
 // Spend bounds the budget of a new program in tokens; failures give 0.
-func (s *Set) Spend(in types.RuleInput) int64 {
+func (s *Policy) Spend(in types.RuleInput) int64 {
 	return number(s.spend, in, 0)
 }
 
@@ -130,12 +130,12 @@
 		"depth": in.Depth, "turn": in.Turn, "budget": in.Budget,
 	})
 	if err != nil {
-		return nil, fault.Refuse(fault.NoPlace, "policy program failed").Because(err)
+		return nil, fault.Refuse(fault.NoAllowedPlace, "policy program failed").WithCause(err)
 	}
 	return val, nil
 }
 
-func (s *Set) check(samples []types.Sample) error {
+func (s *Policy) check(samples []types.Sample) error {
 	for i, sample := range samples {
 		at := "policy.samples[" + strconv.Itoa(i) + "] " + sample.Name
 		if want := sample.Want.Place; want != nil && s.Place(sample.Input) != *want {
--- a/base/sample/sample.go
+++ b/base/sample/sample.go
@@ -33,8 +33,8 @@
 	return "token-" + workspace
 }
 
-// Shape says what a sample configuration is for.
-type Shape struct {
+// Deployment says what a sample configuration is for.
+type Deployment struct {
 	Region     string
 	Zones      []string
 	Slots      int
@@ -44,8 +44,8 @@
 }
 
 // Ghent is the deployment of the two teams who book blood donors.
-func Ghent() Shape {
-	return Shape{
+func Ghent() Deployment {
+	return Deployment{
 		Region: "be-central", Zones: []string{"hall-gent", "hall-mechelen", "hall-namur"}, Slots: 4,
 		Workspaces: []string{"flanders", "wallonia"}, Models: []string{"planner"},
 		Services: []types.Service{
@@ -56,8 +56,8 @@
 }
 
 // Ndokwa is the deployment of the trust that sells airtime.
-func Ndokwa() Shape {
-	return Shape{
+func Ndokwa() Deployment {
+	return Deployment{
 		Region: "ng-south", Zones: []string{"enugu-a", "enugu-b", "onitsha-a", "aba-a"}, Slots: 4,
 		Workspaces: []string{"trust", "telco"}, Models: []string{"assistant"},
 		Services: []types.Service{
@@ -69,8 +69,8 @@
 
 // Config makes the configuration of a shape. Personal data stays in its region, and
 // calls of callers on the line go before planning.
-func Config(shape Shape, keys Keys) (types.Config, error) {
-	root, err := seal.NewRoot(keys.Root)
+func Config(shape Deployment, keys Keys) (types.Config, error) {
+	root, err := seal.NewRootKey(keys.Root)
 	if err != nil {
 		return types.Config{}, err
 	}
@@ -86,9 +86,9 @@
 	}
 	yes, no, one := true, false, int64(1)
 	cfg.Policy.Samples = []types.Sample{
-		{Name: "home", Input: types.RuleInput{DataClass: "personal", Region: shape.Region, Use: "run"}, Want: types.SampleWant{Place: &yes}},
-		{Name: "abroad", Input: types.RuleInput{DataClass: "personal", Region: "elsewhere", Use: "run"}, Want: types.SampleWant{Place: &no}},
-		{Name: "line", Input: types.RuleInput{Kind: "booking"}, Want: types.SampleWant{Order: &one}},
+		{Name: "home", Input: types.RuleInput{DataClass: "personal", Region: shape.Region, Use: "run"}, Want: types.ExpectedResults{Place: &yes}},
+		{Name: "abroad", Input: types.RuleInput{DataClass: "personal", Region: "elsewhere", Use: "run"}, Want: types.ExpectedResults{Place: &no}},
+		{Name: "line", Input: types.RuleInput{Kind: "booking"}, Want: types.ExpectedResults{Order: &one}},
 	}
 	for _, zone := range shape.Zones {
 		cfg.Zones = append(cfg.Zones, types.Zone{Name: zone, Region: shape.Region, Slots: shape.Slots})
--- a/base/seal/ring.go
+++ b/base/seal/ring.go
@@ -22,13 +22,13 @@
 	dataInfo  = "mulleingate data "
 )
 
-// Root wraps data keys. It comes from the settings and never leaves the process.
-type Root struct {
+// RootKey wraps data keys. It comes from the settings and never leaves the process.
+type RootKey struct {
 	aead cipher.AEAD
 }
 
-// NewRoot makes a root from a key of KeySize bytes.
-func NewRoot(key []byte) (*Root, error) {
+// NewRootKey makes a root from a key of KeySize bytes.
+func NewRootKey(key []byte) (*RootKey, error) {
 	if len(key) != KeySize {
 		return nil, fault.Refuse(fault.BadKey, "root key has the wrong size")
 	}
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Root{aead: aead}, nil
+	return &RootKey{aead: aead}, nil
 }
 
 // NewKey makes a random data key and seals it.
-func (r *Root) NewKey(id string) types.DataKey {
+func (r *RootKey) NewKey(id string) types.DataKey {
 	key := make([]byte, KeySize)
 	_, _ = rand.Read(key)
 	nonce := make([]byte, r.aead.NonceSize())
@@ -48,20 +48,20 @@
 	return types.DataKey{ID: id, Sealed: r.aead.Seal(nonce, nonce, key, []byte(id))}
 }
 
-func (r *Root) open(key types.DataKey) ([]byte, error) {
+func (r *RootKey) open(key types.DataKey) ([]byte, error) {
 	size := r.aead.NonceSize()
 	if len(key.Sealed) < size {
 		return nil, fault.Refuse(fault.BadKey, "sealed data key is too short")
 	}
 	plain, err := r.aead.Open(nil, key.Sealed[:size], key.Sealed[size:], []byte(key.ID))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "data key does not open under the root key").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "data key does not open under the root key").WithCause(err)
 	}
 	return plain, nil
 }
 
-// Ring holds the data keys in force. The last one seals; all of them open.
-type Ring struct {
+// Keyring holds the data keys in force. The last one seals; all of them open.
+type Keyring struct {
 	keys    map[string][]byte
 	current string
 
@@ -69,9 +69,9 @@
 	aeads map[string]cipher.AEAD
 }
 
-// NewRing opens the keys with the root.
-func NewRing(root *Root, keys []types.DataKey) (*Ring, error) {
-	ring := &Ring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
+// NewKeyring opens the keys with the root.
+func NewKeyring(root *RootKey, keys []types.DataKey) (*Keyring, error) {
+	ring := &Keyring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
 	for _, key := range keys {
 		plain, err := root.open(key)
 		if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // Seal encrypts plain for the workspace; place must be given again to open it.
-func (r *Ring) Seal(workspace, place string, plain []byte) ([]byte, error) {
+func (r *Keyring) Seal(workspace, place string, plain []byte) ([]byte, error) {
 	aead, err := r.aead(r.current, workspace)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 }
 
 // Open decrypts what Seal made for the same workspace and place.
-func (r *Ring) Open(workspace, place string, sealed []byte) ([]byte, error) {
+func (r *Keyring) Open(workspace, place string, sealed []byte) ([]byte, error) {
 	if len(sealed) < headerLen || sealed[0] != version {
 		return nil, fault.Refuse(fault.BadContinuation, "unknown sealed format")
 	}
@@ -120,27 +120,27 @@
 	}
 	plain, err := aead.Open(nil, rest[:aead.NonceSize()], rest[aead.NonceSize():], []byte(place))
 	if err != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or foreign").Because(err)
+		return nil, fault.Refuse(fault.BadContinuation, "sealed data is altered or foreign").WithCause(err)
 	}
 	return plain, nil
 }
 
 // SealText is Seal in URL-safe base64.
-func (r *Ring) SealText(workspace, place string, plain []byte) (string, error) {
+func (r *Keyring) SealText(workspace, place string, plain []byte) (string, error) {
 	sealed, err := r.Seal(workspace, place, plain)
 	return base64.RawURLEncoding.EncodeToString(sealed), err
 }
 
 // OpenText is Open for SealText.
-func (r *Ring) OpenText(workspace, place, text string) ([]byte, error) {
+func (r *Keyring) OpenText(workspace, place, text string) ([]byte, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadContinuation, "continuation is not base64url").Because(err)
+		return nil, fault.Refuse(fault.BadContinuation, "continuation is not base64url").WithCause(err)
 	}
 	return r.Open(workspace, place, sealed)
 }
 
-func (r *Ring) aead(id, workspace string) (cipher.AEAD, error) {
+func (r *Keyring) aead(id, workspace string) (cipher.AEAD, error) {
 	key, ok := r.keys[id]
 	if !ok {
 		return nil, fault.Refuse(fault.BadContinuation, "sealed with an unknown or expired key")
@@ -162,15 +162,15 @@
 func derive(key []byte, info string) (cipher.AEAD, error) {
 	sub, err := hkdf.Key(sha256.New, key, nil, info, KeySize)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "key derivation failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "key derivation failed").WithCause(err)
 	}
 	block, err := aes.NewCipher(sub)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").WithCause(err)
 	}
 	aead, err := cipher.NewGCM(block)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "cipher setup failed").WithCause(err)
 	}
 	return aead, nil
 }
--- a/base/seal/seal_test.go
+++ b/base/seal/seal_test.go
@@ -8,9 +8,9 @@
 	"mulleingate.dev/base/types"
 )
 
-func ring(t testing.TB, ids ...string) *Ring {
+func ring(t testing.TB, ids ...string) *Keyring {
 	t.Helper()
-	root, err := NewRoot(make([]byte, KeySize))
+	root, err := NewRootKey(make([]byte, KeySize))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 	for _, id := range ids {
 		keys = append(keys, root.NewKey(id))
 	}
-	r, err := NewRing(root, keys)
+	r, err := NewKeyring(root, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/base/serve/serve.go
+++ b/base/serve/serve.go
@@ -29,13 +29,13 @@
 func Listen(addr netip.AddrPort) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, fault.Refuse(fault.BadSettings, "cannot listen on "+addr.String()).Because(err)
+		return nil, fault.Refuse(fault.BadSettings, "cannot listen on "+addr.String()).WithCause(err)
 	}
 	return ln, nil
 }
 
-// Running is a server that serves a listener.
-type Running struct {
+// Server is a server that serves a listener.
+type Server struct {
 	http *http.Server
 	ln   net.Listener
 	// served is closed once no connection is accepted any more.
@@ -50,8 +50,8 @@
 // Run serves the listener in the background and has the server write its own messages to the
 // logger. It calls ended if the server ends other than by Stop. It takes the server's hook for
 // the states of connections.
-func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Running {
-	r := &Running{http: srv, ln: ln, served: make(chan struct{}), unused: map[net.Conn]time.Time{}}
+func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Server {
+	r := &Server{http: srv, ln: ln, served: make(chan struct{}), unused: map[net.Conn]time.Time{}}
 	srv.ErrorLog = slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
 	srv.ConnState = r.note
 	srv.RegisterOnShutdown(r.endUnused)
@@ -66,7 +66,7 @@
 
 // note keeps the unused connections. One counts as used once the head of its first request
 // has come.
-func (r *Running) note(conn net.Conn, state http.ConnState) {
+func (r *Server) note(conn net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state == http.StateNew {
@@ -79,7 +79,7 @@
 // Stop waits for requests under way until ctx ends, then cuts them. Connections that have not
 // been used hold it up for unusedFor at most; Shutdown alone waits seconds for them, and would
 // drop the requests that they bring meanwhile.
-func (r *Running) Stop(ctx context.Context) error {
+func (r *Server) Stop(ctx context.Context) error {
 	r.stopping.Store(true)
 	_ = r.ln.Close() // its end is what is wanted, and it may have ended before
 	<-r.served
@@ -91,7 +91,7 @@
 }
 
 // awaitFirst gives callers that have just connected the time to send.
-func (r *Running) awaitFirst(ctx context.Context) {
+func (r *Server) awaitFirst(ctx context.Context) {
 	for waiting := true; waiting; {
 		waiting = r.young(time.Now())
 		select {
@@ -103,7 +103,7 @@
 }
 
 // young reports whether an unused connection may still bring a request.
-func (r *Running) young(now time.Time) bool {
+func (r *Server) young(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, accepted := range r.unused {
@@ -116,7 +116,7 @@
 
 // endUnused ends the connections that are still unused. From Shutdown's start on the server
 // runs no request that they bring.
-func (r *Running) endUnused() {
+func (r *Server) endUnused() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.unused {
--- a/base/server/server.go
+++ b/base/server/server.go
@@ -30,7 +30,7 @@
 
 // Server is an HTTP server over a listener of its own.
 type Server struct {
-	running *serve.Running
+	running *serve.Server
 	ln      net.Listener
 }
 
@@ -43,14 +43,14 @@
 	conf.Log.Level = "severe"
 	srv, err := rest.NewServer(conf)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "router setup failed").Because(err)
+		return nil, fault.Refuse(fault.Internal, "router setup failed").WithCause(err)
 	}
 	logx.DisableStat()
 	logx.SetWriter(logBridge{})
 	srv.AddRoutes(routes, rest.WithTimeout(0))
 	bound, err := rest.NewServerless(srv)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "routes do not bind").Because(err)
+		return nil, fault.Refuse(fault.Internal, "routes do not bind").WithCause(err)
 	}
 	return http.HandlerFunc(bound.Serve), nil
 }
@@ -84,15 +84,15 @@
 	return s.running.Stop(ctx)
 }
 
-// Read decodes a JSON body of at most limit bytes.
-func Read(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
+// ReadJSON decodes a JSON body of at most limit bytes.
+func ReadJSON(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return fault.Refuse(fault.TooLarge, "body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if err != nil {
-		return fault.Refuse(fault.BadRequest, "body could not be read").Because(err)
+		return fault.Refuse(fault.BadRequest, "body could not be read").WithCause(err)
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
 		return fault.Refuse(fault.BadJSON, "body is not the expected JSON")
@@ -100,15 +100,15 @@
 	return nil
 }
 
-// Write answers with JSON.
-func Write(w http.ResponseWriter, status int, body any) {
+// WriteJSON answers with JSON.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Fail answers with the problem of err.
-func Fail(w http.ResponseWriter, requestID string, err error) {
+// WriteProblem answers with the problem of err.
+func WriteProblem(w http.ResponseWriter, requestID string, err error) {
 	f := fault.From(err)
 	if f.RetryAfter > 0 {
 		secs := int64((f.RetryAfter + time.Second - 1) / time.Second)
@@ -137,14 +137,14 @@
 func (s *Stream) Send(event any) error {
 	raw, err := json.Marshal(event)
 	if err != nil {
-		return fault.Fail(fault.Internal, "event does not encode").Because(err)
+		return fault.Fail(fault.Internal, "event does not encode").WithCause(err)
 	}
 	return s.raw(raw)
 }
 
 // Close writes the end mark.
 func (s *Stream) Close() error {
-	return s.raw([]byte(client.Done))
+	return s.raw([]byte(client.FinalEvent))
 }
 
 func (s *Stream) raw(data []byte) error {
@@ -153,13 +153,13 @@
 	line = append(line, data...)
 	line = append(line, "\n\n"...)
 	if _, err := s.w.Write(line); err != nil {
-		return fault.Fail(fault.TargetFailed, "caller is gone").Because(err)
+		return fault.Fail(fault.TargetFailed, "caller is gone").WithCause(err)
 	}
 	return s.flush.Flush()
 }
 
-// Cut breaks the connection without an answer, for stand-ins that lose answers.
-func Cut(w http.ResponseWriter) {
+// CloseConnection breaks the connection without an answer, for stand-ins that lose answers.
+func CloseConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
--- a/base/shell/shell.go
+++ b/base/shell/shell.go
@@ -23,24 +23,24 @@
 	Execute(ctx context.Context, out io.Writer, args []string) error
 }
 
-// Set is the commands of one program, by group; group "" holds those at the top.
-type Set struct {
+// CommandSet is the commands of one program, by group; group "" holds those at the top.
+type CommandSet struct {
 	groups map[string]map[string]Command
 	helps  map[string]string
 }
 
 // New makes an empty set.
-func New() *Set {
-	return &Set{groups: map[string]map[string]Command{}, helps: map[string]string{}}
+func New() *CommandSet {
+	return &CommandSet{groups: map[string]map[string]Command{}, helps: map[string]string{}}
 }
 
 // Register adds a command at the top.
-func (s *Set) Register(cmd Command) {
+func (s *CommandSet) Register(cmd Command) {
 	s.RegisterIn("", cmd)
 }
 
 // RegisterIn adds a command to a group.
-func (s *Set) RegisterIn(group string, cmd Command) {
+func (s *CommandSet) RegisterIn(group string, cmd Command) {
 	if s.groups[group] == nil {
 		s.groups[group] = map[string]Command{}
 	}
@@ -48,7 +48,7 @@
 }
 
 // Describe gives a group its help line.
-func (s *Set) Describe(group, help string) {
+func (s *CommandSet) Describe(group, help string) {
 	s.helps[group] = help
 }
 
@@ -62,7 +62,7 @@
 
 // Run runs the command line of a program and returns the exit code. It takes the signals of
 // the process for good.
-func (s *Set) Run(name, help, version string, args []string, out, errOut io.Writer) int {
+func (s *CommandSet) Run(name, help, version string, args []string, out, errOut io.Writer) int {
 	taken := takeSignals()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -82,19 +82,19 @@
 	switch {
 	case fault.Is(err, fault.BadSettings), fault.Is(err, fault.BadConfig), fault.Is(err, fault.BadRequest):
 		return ExitUsage
-	case fault.Is(err, fault.Conflict):
+	case fault.Is(err, fault.RevisionConflict):
 		return ExitConflict
 	}
 	return ExitFailed
 }
 
 // Root builds the command tree.
-func (s *Set) Root(name, help, version string, out io.Writer) *cobra.Command {
+func (s *CommandSet) Root(name, help, version string, out io.Writer) *cobra.Command {
 	return s.root(name, help, version, out, func(Command) {})
 }
 
 // root builds the command tree; begin is called before a command is executed.
-func (s *Set) root(name, help, version string, out io.Writer, begin func(cmd Command)) *cobra.Command {
+func (s *CommandSet) root(name, help, version string, out io.Writer, begin func(cmd Command)) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: help, Version: version, SilenceUsage: true, SilenceErrors: true}
 	for _, group := range sortedKeys(s.groups) {
 		under := root
@@ -118,7 +118,7 @@
 	return names
 }
 
-func (s *Set) sorted(group string) []Command {
+func (s *CommandSet) sorted(group string) []Command {
 	cmds := make([]Command, 0, len(s.groups[group]))
 	for _, cmd := range s.groups[group] {
 		cmds = append(cmds, cmd)
--- a/base/shell/signals.go
+++ b/base/shell/signals.go
@@ -51,19 +51,19 @@
 	}()
 }
 
-// Changes makes the command that embeds it a Reloader. What it is told while nobody listens
+// ReloadRequests makes the command that embeds it a Reloader. What it is told while nobody listens
 // counts once.
-type Changes struct {
+type ReloadRequests struct {
 	told chan struct{}
 }
 
-// NewChanges makes changes that nobody was told of yet.
-func NewChanges() Changes {
-	return Changes{told: make(chan struct{}, 1)}
+// NewReloadRequests makes changes that nobody was told of yet.
+func NewReloadRequests() ReloadRequests {
+	return ReloadRequests{told: make(chan struct{}, 1)}
 }
 
 // Reload implements Reloader.
-func (c Changes) Reload() {
+func (c ReloadRequests) Reload() {
 	select {
 	case c.told <- struct{}{}:
 	default:
@@ -72,7 +72,7 @@
 
 // Serve waits until ctx ends, then stops, and returns once that is done. Until then it reloads
 // whenever settings have changed, also while it stops.
-func (c Changes) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
+func (c ReloadRequests) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
--- a/base/types/config.go
+++ b/base/types/config.go
@@ -64,13 +64,13 @@
 
 // Sample is an input with the results that the policy must give.
 type Sample struct {
-	Name  string     `json:"name"`
-	Input RuleInput  `json:"input"`
-	Want  SampleWant `json:"want"`
+	Name  string          `json:"name"`
+	Input RuleInput       `json:"input"`
+	Want  ExpectedResults `json:"want"`
 }
 
-// SampleWant holds expected results; unset ones are not compared.
-type SampleWant struct {
+// ExpectedResults holds expected results; unset ones are not compared.
+type ExpectedResults struct {
 	Place *bool  `json:"place,omitempty"`
 	Order *int64 `json:"order,omitempty"`
 	Spend *int64 `json:"spend,omitempty"`
@@ -108,9 +108,9 @@
 
 // DataKey is a data encryption key, sealed under the root key of the settings.
 type DataKey struct {
-	ID     string    `json:"id"`
-	Sealed []byte    `json:"sealed"`
-	Made   time.Time `json:"made"`
+	ID        string    `json:"id"`
+	Sealed    []byte    `json:"sealed"`
+	CreatedAt time.Time `json:"made"`
 }
 
 // Revision is an entry of the configuration stream.
@@ -125,6 +125,6 @@
 	Config Config    `json:"config"`
 	// Signature is the operator's Ed25519 signature over the fields above.
 	Signature []byte `json:"signature"`
-	// Carry marks a copy of the current revision, appended before retention ends.
-	Carry bool `json:"carry,omitempty"`
+	// IsCopy marks a copy of the current revision, appended before retention ends.
+	IsCopy bool `json:"carry,omitempty"`
 }
--- a/base/types/platform.go
+++ b/base/types/platform.go
@@ -35,8 +35,8 @@
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// List is the platform's lagging list.
-type List struct {
+// PlatformList is the platform's lagging list.
+type PlatformList struct {
 	At      time.Time `json:"at"`
 	Boxes   []Member  `json:"boxes"`
 	Targets []Target  `json:"targets"`
@@ -66,10 +66,10 @@
 
 // CacheEvent tells that an engine holds, or no longer holds, a program's prefix.
 type CacheEvent struct {
-	Seq    int64  `json:"seq"`
-	Key    string `json:"key"`
-	Tokens int    `json:"tokens"`
-	Gone   bool   `json:"gone,omitempty"`
+	Seq     int64  `json:"seq"`
+	Key     string `json:"key"`
+	Tokens  int    `json:"tokens"`
+	Removed bool   `json:"gone,omitempty"`
 }
 
 // EngineCall is one request to an engine.
--- a/base/types/record.go
+++ b/base/types/record.go
@@ -26,17 +26,17 @@
 
 // Record is a union: exactly one field is set.
 type Record struct {
-	Begin    *Begin    `json:"begin,omitempty"`
-	Turn     *Turn     `json:"turn,omitempty"`
-	Grant    *Grant    `json:"grant,omitempty"`
-	Settle   *Settle   `json:"settle,omitempty"`
-	End      *End      `json:"end,omitempty"`
-	Intent   *Intent   `json:"intent,omitempty"`
-	Outcome  *Outcome  `json:"outcome,omitempty"`
-	Release  *Release  `json:"release,omitempty"`
-	Program  *Program  `json:"program,omitempty"`
-	Purse    *Purse    `json:"purse,omitempty"`
-	KeyState *KeyState `json:"key_state,omitempty"`
+	Begin      *Begin      `json:"begin,omitempty"`
+	Turn       *Turn       `json:"turn,omitempty"`
+	Grant      *Grant      `json:"grant,omitempty"`
+	Settle     *Settle     `json:"settle,omitempty"`
+	End        *End        `json:"end,omitempty"`
+	Intent     *Intent     `json:"intent,omitempty"`
+	Outcome    *Outcome    `json:"outcome,omitempty"`
+	Release    *Release    `json:"release,omitempty"`
+	Program    *Program    `json:"program,omitempty"`
+	TreeBudget *TreeBudget `json:"purse,omitempty"`
+	KeyState   *KeyState   `json:"key_state,omitempty"`
 }
 
 // Begin creates a program.
@@ -63,16 +63,16 @@
 	Number  int    `json:"number"`
 	// Digest covers program, workspace, number, content and the digest before it.
 	Digest []byte `json:"digest"`
-	// Ask is the digest of what the caller sent, to tell a repeat from a conflict.
-	Ask []byte `json:"ask"`
+	// RequestDigest is the digest of what the caller sent, to tell a repeat from a conflict.
+	RequestDigest []byte `json:"ask"`
 	// Sealed holds the turn's messages, encrypted with the workspace's key.
 	Sealed []byte `json:"sealed"`
-	// Spent is what the whole purse had spent when the turn was answered, in tokens.
-	Spent int64     `json:"spent"`
-	At    time.Time `json:"at"`
-	// Instead says that the turn takes the place of the head, which no caller built on:
+	// TreeSpent is what the whole purse had spent when the turn was answered, in tokens.
+	TreeSpent int64     `json:"spent"`
+	At        time.Time `json:"at"`
+	// Replaces says that the turn takes the place of the head, which no caller built on:
 	// two owners answered the same turn, and the caller goes on from this answer.
-	Instead bool `json:"instead,omitempty"`
+	Replaces bool `json:"instead,omitempty"`
 }
 
 // Grant raises what an owner may spend, in tokens, as a running total.
@@ -96,13 +96,13 @@
 
 // Intent says that a call that may not be repeated is about to be dispatched.
 type Intent struct {
-	Key       string    `json:"key"`
-	Attempt   string    `json:"attempt"`
-	Workspace string    `json:"workspace"`
-	Service   string    `json:"service"`
-	Program   string    `json:"program,omitempty"`
-	Ask       []byte    `json:"ask"`
-	At        time.Time `json:"at"`
+	Key           string    `json:"key"`
+	Attempt       string    `json:"attempt"`
+	Workspace     string    `json:"workspace"`
+	Service       string    `json:"service"`
+	Program       string    `json:"program,omitempty"`
+	RequestDigest []byte    `json:"ask"`
+	At            time.Time `json:"at"`
 }
 
 // Outcome ends an intent.
@@ -133,8 +133,8 @@
 	LastAt   time.Time `json:"last_at"`
 }
 
-// Purse is the budget of a program tree, in tokens.
-type Purse struct {
+// TreeBudget is the budget of a program tree, in tokens.
+type TreeBudget struct {
 	Root   string `json:"root"`
 	Budget int64  `json:"budget"`
 	// Granted never exceeds Budget. Spent never exceeds Granted.
@@ -165,11 +165,11 @@
 
 // TurnContent is what a turn's Sealed field encrypts.
 type TurnContent struct {
-	Ask    []Message `json:"ask"`
-	Answer Message   `json:"answer"`
-	Usage  Usage     `json:"usage"`
-	Finish string    `json:"finish"`
-	ID     string    `json:"id"`
+	Request []Message `json:"ask"`
+	Answer  Message   `json:"answer"`
+	Usage   Usage     `json:"usage"`
+	Finish  string    `json:"finish"`
+	ID      string    `json:"id"`
 }
 
 // ServiceResult is what an outcome's Sealed field encrypts.
--- a/base/types/status.go
+++ b/base/types/status.go
@@ -4,17 +4,17 @@
 
 // BoxStatus is the state of a box, as its admin address tells it.
 type BoxStatus struct {
-	Box         string         `json:"box"`
-	Zone        string         `json:"zone"`
-	Version     string         `json:"version"`
-	Ready       bool           `json:"ready"`
-	Why         string         `json:"why,omitempty"`
-	Up          Duration       `json:"up"`
-	Revision    int64          `json:"revision"`
-	RevisionAge Duration       `json:"revision_age"`
-	Slots       []SlotStatus   `json:"slots"`
-	Boxes       []PeerStatus   `json:"boxes"`
-	Targets     []EngineStatus `json:"targets"`
+	Box            string         `json:"box"`
+	Zone           string         `json:"zone"`
+	Version        string         `json:"version"`
+	Ready          bool           `json:"ready"`
+	NotReadyReason string         `json:"why,omitempty"`
+	Uptime         Duration       `json:"up"`
+	Revision       int64          `json:"revision"`
+	RevisionAge    Duration       `json:"revision_age"`
+	Slots          []SlotStatus   `json:"slots"`
+	Boxes          []PeerStatus   `json:"boxes"`
+	Targets        []EngineStatus `json:"targets"`
 }
 
 // SlotStatus is a slot that the box holds.
@@ -36,30 +36,30 @@
 
 // PeerStatus is another box as this one sees it.
 type PeerStatus struct {
-	Name    string    `json:"name"`
-	Zone    string    `json:"zone,omitempty"`
-	Live    bool      `json:"live"`
-	Leaving bool      `json:"leaving"`
-	Heard   time.Time `json:"heard"`
+	Name          string    `json:"name"`
+	Zone          string    `json:"zone,omitempty"`
+	Live          bool      `json:"live"`
+	Leaving       bool      `json:"leaving"`
+	LastHeartbeat time.Time `json:"heard"`
 }
 
 // EngineStatus is an engine as this box believes it to be.
 type EngineStatus struct {
-	Name    string        `json:"name"`
-	Zone    string        `json:"zone"`
-	Leaving bool          `json:"leaving"`
-	Ejected bool          `json:"ejected"`
-	Mine    int           `json:"mine"`
-	Limit   int           `json:"limit"`
-	Running int           `json:"running"`
-	Queued  int           `json:"queued"`
-	Slow    float64       `json:"slow"`
-	Cached  int           `json:"cached_programs"`
-	Age     time.Duration `json:"report_age"`
+	Name           string        `json:"name"`
+	Zone           string        `json:"zone"`
+	Leaving        bool          `json:"leaving"`
+	Ejected        bool          `json:"ejected"`
+	InFlight       int           `json:"mine"`
+	Limit          int           `json:"limit"`
+	Running        int           `json:"running"`
+	Queued         int           `json:"queued"`
+	Slowdown       float64       `json:"slow"`
+	CachedPrograms int           `json:"cached_programs"`
+	ReportAge      time.Duration `json:"report_age"`
 }
 
-// Figures is all counters and histograms of a box by name.
-type Figures struct {
+// Metrics is all counters and histograms of a box by name.
+type Metrics struct {
 	Counters   map[string]int64     `json:"counters"`
 	Gauges     map[string]int64     `json:"gauges"`
 	Histograms map[string]Histogram `json:"histograms"`
@@ -75,22 +75,22 @@
 	Max   int64   `json:"max_us"`
 }
 
-// Step is one decision of a box on a program or request.
-type Step struct {
-	At      time.Time `json:"at"`
-	Request string    `json:"request,omitempty"`
-	Program string    `json:"program,omitempty"`
-	What    string    `json:"what"`
-	Why     string    `json:"why,omitempty"`
-	Target  string    `json:"target,omitempty"`
-	Weighed []Weighed `json:"weighed,omitempty"`
+// TraceEvent is one decision of a box on a program or request.
+type TraceEvent struct {
+	At         time.Time      `json:"at"`
+	Request    string         `json:"request,omitempty"`
+	Program    string         `json:"program,omitempty"`
+	Event      string         `json:"what"`
+	Reason     string         `json:"why,omitempty"`
+	Target     string         `json:"target,omitempty"`
+	Candidates []ScoredTarget `json:"weighed,omitempty"`
 }
 
-// Weighed is a target that was considered, with its score.
-type Weighed struct {
-	Name   string        `json:"name"`
-	Score  time.Duration `json:"score"`
-	Load   int           `json:"load"`
-	Cached int           `json:"cached"`
-	Room   bool          `json:"room"`
+// ScoredTarget is a target that was considered, with its score.
+type ScoredTarget struct {
+	Name         string        `json:"name"`
+	Score        time.Duration `json:"score"`
+	Load         int           `json:"load"`
+	CachedTokens int           `json:"cached"`
+	HasRoom      bool          `json:"room"`
 }
--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func oneZone(s *sample.Shape) {
+func oneZone(s *sample.Deployment) {
 	s.Zones = s.Zones[:1]
 }
 
@@ -302,7 +302,7 @@
 // measureRevisions measures what it costs to publish configurations with growing numbers of workspaces.
 func (c *capacityCmd) measureRevisions(ctx context.Context, b *builder, fits *capacityFits) error {
 	for _, workspaces := range []int{10, 200, 460} {
-		f, err := b.fleet(ctx, fleetNeeds{boxes: 1, engines: 1, edit: pollConfigOften, shape: func(s *sample.Shape) {
+		f, err := b.fleet(ctx, fleetNeeds{boxes: 1, engines: 1, edit: pollConfigOften, shape: func(s *sample.Deployment) {
 			oneZone(s)
 			s.Workspaces = nil
 			for i := range workspaces {
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -93,11 +93,11 @@
 
 func (e *experiment) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	if err := os.MkdirAll(e.dir, 0o755); err != nil {
-		return fault.Fail(fault.Internal, "cannot create the output folder").Because(err)
+		return fault.Fail(fault.Internal, "cannot create the output folder").WithCause(err)
 	}
 	workDir, err := os.MkdirTemp("", "experiment")
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	defer func() { _ = os.RemoveAll(workDir) }()
 	gate, err := fleet.Build(ctx, workDir)
@@ -173,7 +173,7 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-func shapeOf(mix string) sample.Shape {
+func shapeOf(mix string) sample.Deployment {
 	if mix == string(load.Ndokwa) {
 		return sample.Ndokwa()
 	}
@@ -191,7 +191,7 @@
 	lookup, booking := shape.Services[1].Name, shape.Services[0].Name
 	dir, err := os.MkdirTemp(work, "run")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	f, err := fleet.New(ctx, fleet.Spec{
 		Shape: shape, Boxes: e.boxes, Gate: gate, Dir: dir, Proxied: true,
--- a/bench/cmds/figures.go
+++ b/bench/cmds/figures.go
@@ -77,7 +77,7 @@
 func newBuilder(ctx context.Context) (*builder, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	gate, err := fleet.Build(ctx, dir)
 	if err != nil {
@@ -96,14 +96,14 @@
 	proxied        bool
 	env            []string
 	engine         func(*model.Spec)
-	shape          func(*sample.Shape)
+	shape          func(*sample.Deployment)
 	edit           func(*conf.Settings)
 }
 
 func (b *builder) fleet(ctx context.Context, needs fleetNeeds) (*fleet.Fleet, error) {
 	dir, err := os.MkdirTemp(b.dir, "fleet")
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
+		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	shape := sample.Ghent()
 	if needs.shape != nil {
--- a/bench/cmds/latency.go
+++ b/bench/cmds/latency.go
@@ -44,7 +44,7 @@
 func measureLatency(ctx context.Context, b *builder, table *report.Table) error {
 	f, err := b.fleet(ctx, fleetNeeds{
 		boxes: 2, engines: 1,
-		shape: func(s *sample.Shape) { s.Zones = s.Zones[:2] },
+		shape: func(s *sample.Deployment) { s.Zones = s.Zones[:2] },
 		engine: func(s *model.Spec) {
 			s.StepTime, s.BatchCost = types.Duration(5*time.Millisecond), 0
 		},
@@ -66,7 +66,7 @@
 	}
 	text := []types.Message{{Role: "user", Content: fmt.Sprintf("some words len=%d", latencyTokens)}}
 	direct := newEnginePath("directly", func(ctx context.Context) (*http.Request, error) {
-		call := types.EngineCall{Attempt: ident.Random(), Model: "planner", Messages: text, MaxTokens: 64, CacheKey: ident.Random()}
+		call := types.EngineCall{Attempt: ident.RandomID(), Model: "planner", Messages: text, MaxTokens: 64, CacheKey: ident.RandomID()}
 		return client.Request(ctx, http.MethodPost, engine+"/v1/chat/completions", call)
 	})
 	through := func(url string) func(ctx context.Context) (*http.Request, error) {
@@ -125,7 +125,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return client.Decode(resp, nil)
 	}
-	events := client.NewEvents(resp.Body)
+	events := client.NewEventReader(resp.Body)
 	last, n := time.Time{}, 0
 	for {
 		data, err := events.Next()
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -204,7 +204,7 @@
 		for _, keyed := range []bool{true, false} {
 			key, hist := "", without
 			if keyed {
-				key, hist = ident.Random(), with
+				key, hist = ident.RandomID(), with
 			}
 			began := time.Now()
 			var answer types.ServiceAnswer
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -27,7 +27,7 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	Shape    sample.Shape
+	Shape    sample.Deployment
 	Platform plat.Spec
 	Boxes    int
 	// Gate is the path of the built program, Dir the folder for settings and log files.
@@ -85,7 +85,7 @@
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", path, "mulleingate.dev/gate")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "go build of gate failed: "+string(out)).Because(err)
+		return "", fault.Fail(fault.Internal, "go build of gate failed: "+string(out)).WithCause(err)
 	}
 	return path, nil
 }
@@ -209,21 +209,21 @@
 	b := f.boxes[i]
 	raw, err := json.MarshalIndent(b.Settings, "", "  ")
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot encode the settings").Because(err)
+		return fault.Fail(fault.Internal, "cannot encode the settings").WithCause(err)
 	}
 	path := filepath.Join(f.spec.Dir, b.Name+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		return fault.Fail(fault.Internal, "cannot write the settings file").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the settings file").WithCause(err)
 	}
 	logFile, err := os.OpenFile(filepath.Join(f.spec.Dir, b.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot open the log file").Because(err)
+		return fault.Fail(fault.Internal, "cannot open the log file").WithCause(err)
 	}
 	cmd := exec.Command(f.spec.Gate, "run", "--settings", path)
 	cmd.Env = append(os.Environ(), f.spec.Env...)
 	cmd.Stderr, cmd.Stdout = logFile, logFile
 	if err := cmd.Start(); err != nil {
-		return fault.Fail(fault.Internal, "cannot start the box process").Because(err)
+		return fault.Fail(fault.Internal, "cannot start the box process").WithCause(err)
 	}
 	done := make(chan struct{})
 	f.mu.Lock()
@@ -338,8 +338,8 @@
 }
 
 // Metrics returns the metrics that box i reports.
-func (f *Fleet) Metrics(ctx context.Context, i int) (types.Figures, error) {
-	var rep types.Figures
+func (f *Fleet) Metrics(ctx context.Context, i int) (types.Metrics, error) {
+	var rep types.Metrics
 	err := f.getAdmin(ctx, i, "/metrics", &rep)
 	return rep, err
 }
@@ -367,7 +367,7 @@
 			}
 		}
 	}
-	return 0, fault.Refuse(fault.OwnerUnknown, "no box holds the slot")
+	return 0, fault.Refuse(fault.OwnerUnavailable, "no box holds the slot")
 }
 
 // Owned returns the number of slots that each running and ready box reports, by its name.
@@ -400,7 +400,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Refuse(fault.OwnerUnknown, fmt.Sprintf("fleet not ready: %d of %d slots owned by %d boxes", owned, want, ready))
+			return fault.Refuse(fault.OwnerUnavailable, fmt.Sprintf("fleet not ready: %d of %d slots owned by %d boxes", owned, want, ready))
 		case <-time.After(pollInterval):
 		}
 	}
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -61,7 +61,7 @@
 // retryable reports whether the same request may be sent again after the fault.
 func retryable(f *fault.Fault) bool {
 	switch f.Kind {
-	case fault.OwnerUnknown, fault.NotOwner, fault.PeerLost, fault.LogUnavailable, fault.TargetFailed, fault.NoTarget,
+	case fault.OwnerUnavailable, fault.NotOwner, fault.PeerUnreachable, fault.LogUnavailable, fault.TargetFailed, fault.NoTarget,
 		fault.Stopping, fault.DeadlineMissed, fault.StaleConfig, fault.TailTooLong:
 		return true
 	}
--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -47,7 +47,7 @@
 func Run(ctx context.Context, opts Options, mutants []Mutant, report func(Result)) error {
 	dir, err := os.MkdirTemp("", "mutants")
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot create a temporary folder").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	if err := copyTree(ctx, opts.Root, dir); err != nil {
@@ -68,7 +68,7 @@
 	list.Dir = from
 	out, err := list.Output()
 	if err != nil {
-		return fault.Fail(fault.Internal, "git cannot list the files of the checkout").Because(err)
+		return fault.Fail(fault.Internal, "git cannot list the files of the checkout").WithCause(err)
 	}
 	for name := range strings.SplitSeq(strings.TrimRight(string(out), "\x00"), "\x00") {
 		if err := copyFile(filepath.Join(from, name), filepath.Join(to, name)); err != nil {
@@ -81,13 +81,13 @@
 func copyFile(from, to string) error {
 	raw, err := os.ReadFile(from)
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot read a file of the checkout").Because(err)
+		return fault.Fail(fault.Internal, "cannot read a file of the checkout").WithCause(err)
 	}
 	if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
-		return fault.Fail(fault.Internal, "cannot create a folder in the copy").Because(err)
+		return fault.Fail(fault.Internal, "cannot create a folder in the copy").WithCause(err)
 	}
 	if err := os.WriteFile(to, raw, 0o644); err != nil {
-		return fault.Fail(fault.Internal, "cannot write a file of the copy").Because(err)
+		return fault.Fail(fault.Internal, "cannot write a file of the copy").WithCause(err)
 	}
 	return nil
 }
@@ -96,14 +96,14 @@
 	path := filepath.Join(dir, m.File)
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Result{}, fault.Fail(fault.Internal, "cannot read the file to mutate").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "cannot read the file to mutate").WithCause(err)
 	}
 	if bytes.Count(raw, []byte(m.Old)) != 1 {
 		return Result{}, fault.Refuse(fault.BadRequest, "mutant "+m.Name+": the old text does not occur exactly once in "+m.File)
 	}
 	mutated := bytes.Replace(raw, []byte(m.Old), []byte(m.New), 1)
 	if err := os.WriteFile(path, mutated, 0o644); err != nil {
-		return Result{}, fault.Fail(fault.Internal, "cannot write the mutated file").Because(err)
+		return Result{}, fault.Fail(fault.Internal, "cannot write the mutated file").WithCause(err)
 	}
 	defer func() { _ = os.WriteFile(path, raw, 0o644) }()
 	return runTests(ctx, opts, dir, m), nil
--- a/bench/probe/proc.go
+++ b/bench/probe/proc.go
@@ -27,7 +27,7 @@
 	usage := Usage{At: time.Now()}
 	stat, err := os.ReadFile(base + "/stat")
 	if err != nil {
-		return usage, fault.Fail(fault.Internal, "cannot read the stat file of the process").Because(err)
+		return usage, fault.Fail(fault.Internal, "cannot read the stat file of the process").WithCause(err)
 	}
 	// The command name, field 2, may contain spaces. The fields after its closing parenthesis
 	// start with field 3, the state.
@@ -36,7 +36,7 @@
 	usage.RSS = parseCount(fields[21]) * int64(os.Getpagesize())
 	ioCounts, err := os.ReadFile(base + "/io")
 	if err != nil {
-		return usage, fault.Fail(fault.Internal, "cannot read the io file of the process").Because(err)
+		return usage, fault.Fail(fault.Internal, "cannot read the io file of the process").WithCause(err)
 	}
 	for line := range strings.Lines(string(ioCounts)) {
 		name, val, _ := strings.Cut(strings.TrimSpace(line), ": ")
--- a/bench/recap/recap.go
+++ b/bench/recap/recap.go
@@ -63,7 +63,7 @@
 		row.Answered++
 		row.Took += l.Duration("took")
 	case "turns: turn failed":
-		r.rowOf(l).countFailure(l.Text("kind"), !l.Flag("ran"))
+		r.rowOf(l).countFailure(l.Text("kind"), !l.Bool("ran"))
 	case "relay: call failed":
 		ran, _ := l.Fields["ran"].(fmt.Stringer)
 		r.rowOf(l).countFailure(l.Text("kind"), ran != nil && ran.String() == "0")
--- a/bench/report/table.go
+++ b/bench/report/table.go
@@ -34,12 +34,12 @@
 func (t Table) CSV(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fault.Fail(fault.Internal, "cannot create the CSV file").Because(err)
+		return fault.Fail(fault.Internal, "cannot create the CSV file").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	w := csv.NewWriter(file)
 	if err := w.WriteAll(append([][]string{t.Head}, t.Rows...)); err != nil {
-		return fault.Fail(fault.Internal, "cannot write the CSV file").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the CSV file").WithCause(err)
 	}
 	return nil
 }
@@ -70,10 +70,10 @@
 		args = append(args, s.Name, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
-		return fault.Fail(fault.Internal, "cannot draw the plot").Because(err)
+		return fault.Fail(fault.Internal, "cannot draw the plot").WithCause(err)
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
-		return fault.Fail(fault.Internal, "cannot write the plot file").Because(err)
+		return fault.Fail(fault.Internal, "cannot write the plot file").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/check.go
+++ b/ctl/cmds/check.go
@@ -85,7 +85,7 @@
 	}
 	_, err = fmt.Fprint(out, changes)
 	if err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "output cannot be written").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/cmds.go
+++ b/ctl/cmds/cmds.go
@@ -30,7 +30,7 @@
 
 var commands = describe(shell.New())
 
-func describe(set *shell.Set) *shell.Set {
+func describe(set *shell.CommandSet) *shell.CommandSet {
 	set.Describe(groupConfig, "the whole configuration: check, diff, publish, show, history, revert")
 	set.Describe(groupPolicy, "the policy programs alone: check, diff, publish, show, history, revert")
 	set.Describe(groupProgram, "why a program's calls went where they went")
@@ -64,7 +64,7 @@
 }
 
 // current reads the stream and returns the revision in force.
-func current(ctx context.Context, file conn.File) (types.Revision, []revs.Seen, error) {
+func current(ctx context.Context, file conn.File) (types.Revision, []revs.HistoryEntry, error) {
 	fold, all, err := revs.History(ctx, file.Client(), file.Public())
 	if err != nil {
 		return types.Revision{}, nil, err
@@ -81,7 +81,7 @@
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
 		if err := enc.Encode(v); err != nil {
-			return fault.Fail(fault.Internal, "output does not encode").Because(err)
+			return fault.Fail(fault.Internal, "output does not encode").WithCause(err)
 		}
 		return nil
 	}
@@ -89,7 +89,7 @@
 	_, _ = fmt.Fprintln(w, head)
 	rows(w)
 	if err := w.Flush(); err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "output cannot be written").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/explain.go
+++ b/ctl/cmds/explain.go
@@ -34,7 +34,7 @@
 // step is one decision, and the box that took it.
 type step struct {
 	Box string `json:"box"`
-	types.Step
+	types.TraceEvent
 }
 
 func (e *explain) Execute(ctx context.Context, out io.Writer, args []string) error {
@@ -49,13 +49,13 @@
 	var all []step
 	silent := 0
 	for _, box := range file.Boxes {
-		var steps []types.Step
+		var steps []types.TraceEvent
 		if err := cli.Call(ctx, http.MethodGet, "http://"+box.String()+"/explain/"+url.PathEscape(args[0]), nil, &steps); err != nil {
 			silent++
 			continue
 		}
 		for _, s := range steps {
-			all = append(all, step{Box: box.String(), Step: s})
+			all = append(all, step{Box: box.String(), TraceEvent: s})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].At.Before(all[j].At) })
@@ -64,16 +64,16 @@
 	}
 	return e.print(out, all, "AT\tBOX\tREQUEST\tWHAT\tWHY\tTARGET\tWEIGHED", func(w io.Writer) {
 		for _, s := range all {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.What, s.Why, s.Target, scores(s.Weighed))
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.Event, s.Reason, s.Target, scores(s.Candidates))
 		}
 	})
 }
 
-func scores(all []types.Weighed) string {
+func scores(all []types.ScoredTarget) string {
 	parts := make([]string, 0, len(all))
 	for _, c := range all {
-		text := fmt.Sprintf("%s=%s(load %d, cached %d)", c.Name, c.Score.Round(time.Millisecond), c.Load, c.Cached)
-		if !c.Room {
+		text := fmt.Sprintf("%s=%s(load %d, cached %d)", c.Name, c.Score.Round(time.Millisecond), c.Load, c.CachedTokens)
+		if !c.HasRoom {
 			text += " full"
 		}
 		parts = append(parts, text)
--- a/ctl/cmds/figures.go
+++ b/ctl/cmds/figures.go
@@ -34,7 +34,7 @@
 // boxFigures is a box's answer.
 type boxFigures struct {
 	Addr netip.AddrPort `json:"addr"`
-	types.Figures
+	types.Metrics
 }
 
 func (f *figures) Execute(ctx context.Context, out io.Writer, _ []string) error {
@@ -46,7 +46,7 @@
 	var all []boxFigures
 	for _, addr := range file.Boxes {
 		b := boxFigures{Addr: addr}
-		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil, &b.Figures); err != nil {
+		if err := cli.Call(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil, &b.Metrics); err != nil {
 			_, _ = fmt.Fprintf(out, "# %s does not answer\n", addr)
 			continue
 		}
--- a/ctl/cmds/keys.go
+++ b/ctl/cmds/keys.go
@@ -46,11 +46,11 @@
 	}
 	file, err := os.OpenFile(m.file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fault.Refuse(fault.BadRequest, "file: cannot be made").Because(err)
+		return fault.Refuse(fault.BadRequest, "file: cannot be made").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Write(raw); err != nil {
-		return fault.Fail(fault.Internal, "key cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "key cannot be written").WithCause(err)
 	}
 	if m.kind == "root" {
 		_, _ = fmt.Fprintln(out, "root_key_file:", m.file)
@@ -92,7 +92,7 @@
 	cfg := rev.Config
 	now := time.Now().UTC()
 	key := root.NewKey("k" + now.Format("20060102t150405"))
-	key.Made = now
+	key.CreatedAt = now
 	cfg.Keys = append(cfg.Keys[max(0, len(cfg.Keys)-max(1, r.keep)+1):len(cfg.Keys):len(cfg.Keys)], key)
 	return r.send(ctx, out, file, rev.Number, cfg)
 }
@@ -107,7 +107,7 @@
 func (*hash) Execute(_ context.Context, out io.Writer, _ []string) error {
 	var token string
 	if _, err := fmt.Fscan(os.Stdin, &token); err != nil {
-		return fault.Refuse(fault.BadRequest, "no token on standard input").Because(err)
+		return fault.Refuse(fault.BadRequest, "no token on standard input").WithCause(err)
 	}
 	_, _ = fmt.Fprintln(out, ident.KeyDigest(token))
 	return nil
--- a/ctl/cmds/manual.go
+++ b/ctl/cmds/manual.go
@@ -42,7 +42,7 @@
 		return fault.Refuse(fault.BadRequest, "format: not markdown or man")
 	}
 	if err != nil {
-		return fault.Fail(fault.Internal, "manual cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "manual cannot be written").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/publish.go
+++ b/ctl/cmds/publish.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	for _, seen := range all {
-		if seen.Revision.Number != r.to || (seen.Verdict != revs.Accepted && seen.Verdict != revs.Known) {
+		if seen.Revision.Number != r.to || (seen.Verdict != revs.Accepted && seen.Verdict != revs.AlreadyKnown) {
 			continue
 		}
 		cfg := seen.Revision.Config
--- a/ctl/cmds/scope.go
+++ b/ctl/cmds/scope.go
@@ -39,7 +39,7 @@
 func (s scope) read(path string, base types.Config) (types.Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return base, fault.Refuse(fault.BadRequest, "file cannot be read").Because(err)
+		return base, fault.Refuse(fault.BadRequest, "file cannot be read").WithCause(err)
 	}
 	cfg := base
 	if s.group == groupConfig {
--- a/ctl/cmds/show.go
+++ b/ctl/cmds/show.go
@@ -42,7 +42,7 @@
 	}
 	_, err = fmt.Fprintln(out, text(s.scope.pick(rev.Config)))
 	if err != nil {
-		return fault.Fail(fault.Internal, "output cannot be written").Because(err)
+		return fault.Fail(fault.Internal, "output cannot be written").WithCause(err)
 	}
 	return nil
 }
--- a/ctl/cmds/status.go
+++ b/ctl/cmds/status.go
@@ -76,8 +76,8 @@
 }
 
 func boxRows(w io.Writer, b boxStatus) {
-	_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s ago\t%d\t%s\n", b.Box, b.Zone, b.Ready, short(time.Duration(b.Up)), b.Revision,
-		short(time.Duration(b.RevisionAge)), len(b.Slots), b.Why)
+	_, _ = fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s ago\t%d\t%s\n", b.Box, b.Zone, b.Ready, short(time.Duration(b.Uptime)), b.Revision,
+		short(time.Duration(b.RevisionAge)), len(b.Slots), b.NotReadyReason)
 }
 
 func slotRows(w io.Writer, b boxStatus) {
@@ -95,8 +95,8 @@
 		case t.Ejected:
 			state = "ejected"
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%d\t%s ago\n", b.Box, t.Name, t.Zone, state, t.Mine, t.Limit,
-			t.Running, t.Queued, t.Slow, t.Cached, short(t.Age))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%d\t%s ago\n", b.Box, t.Name, t.Zone, state, t.InFlight, t.Limit,
+			t.Running, t.Queued, t.Slowdown, t.CachedPrograms, short(t.ReportAge))
 	}
 }
 
--- a/ctl/conn/conn.go
+++ b/ctl/conn/conn.go
@@ -34,7 +34,7 @@
 	var f File
 	file, err := os.Open(path)
 	if err != nil {
-		return f, fault.Refuse(fault.BadSettings, "settings file cannot be read").Because(err)
+		return f, fault.Refuse(fault.BadSettings, "settings file cannot be read").WithCause(err)
 	}
 	defer func() { _ = file.Close() }()
 	dec := json.NewDecoder(file)
@@ -62,7 +62,7 @@
 }
 
 // Client is a client of the log.
-func (f File) Client() *logc.Log {
+func (f File) Client() *logc.Client {
 	return logc.New(f.Log, logTimeout)
 }
 
@@ -82,7 +82,7 @@
 	}
 	seed, err := os.ReadFile(f.OperatorKeyFile)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "operator_key_file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "operator_key_file cannot be read").WithCause(err)
 	}
 	if len(seed) != ed25519.SeedSize {
 		return nil, fault.Refuse(fault.BadKey, "operator_key_file does not hold 32 bytes")
@@ -98,13 +98,13 @@
 }
 
 // Root is the root key that seals data keys.
-func (f File) Root() (*seal.Root, error) {
+func (f File) Root() (*seal.RootKey, error) {
 	if f.RootKeyFile == "" {
 		return nil, fault.Refuse(fault.BadKey, "root_key_file is needed for keys")
 	}
 	raw, err := os.ReadFile(f.RootKeyFile)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadKey, "root_key_file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadKey, "root_key_file cannot be read").WithCause(err)
 	}
-	return seal.NewRoot(raw)
+	return seal.NewRootKey(raw)
 }
--- a/gate/access/access.go
+++ b/gate/access/access.go
@@ -49,7 +49,7 @@
 // and otherwise a fault with which the caller may retry.
 func (r Rules) Route(known ConfigSnapshot, call *work.Call, path string) (*work.Route, error) {
 	if known.Config == nil {
-		return nil, fault.Refuse(fault.NoConfig, "no configuration is known yet").After(retryUnconfirmed)
+		return nil, fault.Refuse(fault.NoConfig, "no configuration is known yet").WithRetryAfter(retryUnconfirmed)
 	}
 	if route := known.Config.FindRoute(call.Host, path); route != nil {
 		return route, nil
@@ -95,5 +95,5 @@
 	if !known.ConfirmedAt.IsZero() {
 		after = min(call.Arrived.Sub(known.ConfirmedAt), maxStaleRetry)
 	}
-	return fault.Refuse(fault.StaleConfig, "a newer configuration may be in force").After(after)
+	return fault.Refuse(fault.StaleConfig, "a newer configuration may be in force").WithRetryAfter(after)
 }
--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -17,17 +17,17 @@
 
 // Figures are all counters and histograms.
 type Figures interface {
-	Report() types.Figures
+	Report() types.Metrics
 }
 
 // Steps finds decisions.
 type Steps interface {
-	Find(id string) []types.Step
+	Find(id string) []types.TraceEvent
 }
 
 // Owners tells which slots are held.
 type Owners interface {
-	Held() map[ident.Slot]int64
+	Owned() map[ident.Slot]int64
 	Describe(ctx context.Context, id ident.Slot, st *types.SlotStatus)
 }
 
@@ -87,27 +87,27 @@
 		{Method: http.MethodGet, Path: "/live", Handler: a.live},
 		{Method: http.MethodGet, Path: "/ready", Handler: a.ready},
 		{Method: http.MethodGet, Path: "/metrics", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, a.figures.Report())
+			server.WriteJSON(w, http.StatusOK, a.figures.Report())
 		}},
 		{Method: http.MethodGet, Path: "/status", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, a.Status(r.Context()))
+			server.WriteJSON(w, http.StatusOK, a.Status(r.Context()))
 		}},
 		{Method: http.MethodGet, Path: "/explain/:id", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, a.steps.Find(pathvar.Vars(r)["id"]))
+			server.WriteJSON(w, http.StatusOK, a.steps.Find(pathvar.Vars(r)["id"]))
 		}},
 	}
 }
 
 func (a *Admin) live(w http.ResponseWriter, _ *http.Request) {
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (a *Admin) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := a.notReady(); err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (a *Admin) notReady() error {
@@ -115,7 +115,7 @@
 		return err
 	}
 	if !a.view.Settled() {
-		return fault.Refuse(fault.OwnerUnknown, "the other boxes were not heard out yet").After(time.Second)
+		return fault.Refuse(fault.OwnerUnavailable, "the other boxes were not heard out yet").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -124,13 +124,13 @@
 func (a *Admin) Status(ctx context.Context) types.BoxStatus {
 	st := types.BoxStatus{
 		Box: a.self.Name, Zone: a.self.Zone, Version: a.version, Ready: true,
-		Up: types.Duration(time.Since(a.started)), Revision: a.policies.Number(),
+		Uptime: types.Duration(time.Since(a.started)), Revision: a.policies.Number(),
 		RevisionAge: types.Duration(a.policies.Age()), Targets: a.targets.Status(),
 	}
 	if err := a.notReady(); err != nil {
-		st.Ready, st.Why = false, fault.From(err).Detail
+		st.Ready, st.NotReadyReason = false, fault.From(err).Detail
 	}
-	for id, epoch := range a.owners.Held() {
+	for id, epoch := range a.owners.Owned() {
 		slot := types.SlotStatus{Slot: id.String(), Epoch: epoch}
 		a.owners.Describe(ctx, id, &slot)
 		st.Slots = append(st.Slots, slot)
@@ -142,7 +142,7 @@
 	}
 	for name, heard := range a.view.All() {
 		m, ok := live[name]
-		st.Boxes = append(st.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, Heard: heard})
+		st.Boxes = append(st.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, LastHeartbeat: heard})
 	}
 	sort.Slice(st.Boxes, func(i, j int) bool { return st.Boxes[i].Name < st.Boxes[j].Name })
 	return st
--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -56,7 +56,7 @@
 type message interface{ isMessage() }
 
 type askMsg struct {
-	ask   lease.Ask
+	ask   lease.Request
 	ctx   context.Context
 	reply chan answer
 }
@@ -144,14 +144,14 @@
 }
 
 // Acquire waits for a place. It refuses early what cannot be served in time.
-func (l *Loop) Acquire(ctx context.Context, ask lease.Ask) (*lease.Lease, error) {
+func (l *Loop) Acquire(ctx context.Context, ask lease.Request) (*lease.Lease, error) {
 	reply := make(chan answer, 1)
 	l.send(askMsg{ask: ask, ctx: ctx, reply: reply})
 	select {
 	case a := <-reply:
 		return a.lease, a.err
 	case <-l.ctx.Done():
-		return nil, fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)
+		return nil, fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 }
 
@@ -203,7 +203,7 @@
 
 func (l *Loop) refuseAll() {
 	for _, req := range l.queue {
-		req.answer(answer{err: fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)})
+		req.answer(answer{err: fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)})
 	}
 	l.queue = nil
 }
@@ -218,7 +218,7 @@
 		if e, ok := l.engines[m.Name]; ok {
 			e.leaving = true
 		}
-	case lease.Others:
+	case lease.RemoteStreams:
 		l.others[m.Box] = m.Streams
 	case lease.Dropped:
 		if e, ok := l.engines[m.Target]; ok {
@@ -226,9 +226,9 @@
 		}
 	case lease.Moved:
 		l.moved(m)
-	case lease.Forget:
+	case lease.ForgetPrograms:
 		l.forget(m.Programs)
-	case lease.Cached:
+	case lease.CacheList:
 		if e, ok := l.engines[m.Target]; ok {
 			e.cached = m.Tokens
 		}
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -43,10 +43,10 @@
 	return l
 }
 
-func ask(program string) lease.Ask {
-	return lease.Ask{
-		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, Prompt: 10, Expected: 10,
-		Work: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
+func ask(program string) lease.Request {
+	return lease.Request{
+		Input: types.RuleInput{Model: "m", Workspace: "one"}, Program: program, PromptTokens: 10, ExpectedTokens: 10,
+		Progress: sched.ProgramProgress{Started: time.Now(), Arrived: time.Now()}, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLoop(t, everywhere{not: "a"})
 		defer func() { _ = l.Stop(t.Context()) }()
-		if _, err := l.Acquire(t.Context(), ask("p")); !fault.Is(err, fault.NoPlace) {
+		if _, err := l.Acquire(t.Context(), ask("p")); !fault.Is(err, fault.NoAllowedPlace) {
 			t.Errorf("no allowed place: %v", err)
 		}
 		wide := newLoop(t, everywhere{})
@@ -94,7 +94,7 @@
 		}
 		synctest.Wait()
 		fresh := ask("new")
-		fresh.Fresh = true
+		fresh.NewProgram = true
 		began := time.Now()
 		_, err := wide.Acquire(t.Context(), fresh)
 		if !fault.Is(err, fault.Overloaded) || fault.From(err).RetryAfter <= 0 || !fault.From(err).NotRun {
@@ -156,7 +156,7 @@
 		order := make(chan string, 2)
 		enter := func(name string, priority int64) {
 			a := ask(name)
-			a.Work.Priority = priority
+			a.Progress.Priority = priority
 			go func() {
 				if _, err := l.Acquire(t.Context(), a); err == nil {
 					order <- name
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -76,10 +76,10 @@
 	e.leaving = e.leaving || m.Load.Leaving
 	e.limit.Max = float64(max(1, m.Load.MaxBatch+spareLimit))
 	if fresh && float64(m.Load.Queued) > queueShare*float64(m.Load.MaxBatch) {
-		e.limit.Crowded()
+		e.limit.Overloaded()
 	}
 	for _, ev := range m.Events {
-		if ev.Gone {
+		if ev.Removed {
 			delete(e.cached, ev.Key)
 			continue
 		}
@@ -108,8 +108,8 @@
 }
 
 // usable reports whether the engine may take the call, apart from limits.
-func (l *Loop) usable(e *engine, ask lease.Ask) bool {
-	if e.leaving || slices.Contains(ask.Avoid, e.target.Name) {
+func (l *Loop) usable(e *engine, ask lease.Request) bool {
+	if e.leaving || slices.Contains(ask.Exclude, e.target.Name) {
 		return false
 	}
 	if !slices.Contains(e.load.Models, ask.Input.Model) {
@@ -119,7 +119,7 @@
 }
 
 // placed reports whether the policy allows the engine to run the call and hold its cache.
-func (l *Loop) placed(e *engine, ask lease.Ask) bool {
+func (l *Loop) placed(e *engine, ask lease.Request) bool {
 	in := ask.Input
 	in.Zone = e.target.Zone
 	in.Target = e.target.Name
@@ -132,7 +132,7 @@
 }
 
 // allowed counts the engines that the policy allows, and those that can be used.
-func (l *Loop) allowed(ask lease.Ask) (places, live int) {
+func (l *Loop) allowed(ask lease.Request) (places, live int) {
 	for _, e := range l.engines {
 		if l.placed(e, ask) {
 			places++
@@ -177,34 +177,34 @@
 			continue
 		}
 		c := e.candidate(l.elsewhere(e.target.Name), e.target.Zone != l.zone)
-		c.CachedTokens = min(e.cached[req.ask.Program], req.ask.Prompt)
+		c.CachedTokens = min(e.cached[req.ask.Program], req.ask.PromptTokens)
 		cands = append(cands, c)
 		engines = append(engines, e)
 	}
-	expected := l.pauses.AnswerLength(req.ask.Input.Kind, req.ask.Expected)
-	ask := sched.PlacementRequest{Program: req.ask.Program, PromptTokens: req.ask.Prompt, ExpectedTokens: expected}
+	expected := l.pauses.AnswerLength(req.ask.Input.Kind, req.ask.ExpectedTokens)
+	ask := sched.PlacementRequest{Program: req.ask.Program, PromptTokens: req.ask.PromptTokens, ExpectedTokens: expected}
 	i, weighed := sched.Pick(l.opts.Strategy, ask, cands, l.rng)
 	if i < 0 {
 		return nil
 	}
 	e := engines[i]
 	e.mine++
-	tokens := req.ask.Prompt - cands[i].CachedTokens + expected
+	tokens := req.ask.PromptTokens - cands[i].CachedTokens + expected
 	l.fair.Charge(req.ask.Input.Workspace, int64(tokens))
 	place := &lease.Lease{
-		Target: e.target, Cached: cands[i].CachedTokens, Weighed: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
-		Started: now, Give: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
+		Target: e.target, CachedTokens: cands[i].CachedTokens, Candidates: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
+		Started: now, OnFinish: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
 	}
 	again := l.pauses.TurnStarted(now, req.ask.Program, req.ask.Input.Kind)
 	if l.opts.Holds {
-		place.Hold = l.hold(req.ask, cands[i], again)
+		place.KeepCache = l.hold(req.ask, cands[i], again)
 	}
 	return place
 }
 
-func (l *Loop) hold(ask lease.Ask, c sched.Candidate, next sched.NextTurn) bool {
+func (l *Loop) hold(ask lease.Request, c sched.Candidate, next sched.NextTurn) bool {
 	weight := 1 + float64(ask.Input.Turn)/10
-	return sched.ShouldHold(sched.HoldRequest{Tokens: ask.Prompt + ask.Expected, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
+	return sched.ShouldHold(sched.HoldRequest{Tokens: ask.PromptTokens + ask.ExpectedTokens, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
 // sorted lists the engines by name, so that a seed gives the same choices again.
@@ -241,17 +241,17 @@
 	}
 	e.mine--
 	if m.res.Refused {
-		e.limit.Crowded()
+		e.limit.Overloaded()
 		return
 	}
 	if !m.res.OK {
-		if l.eject.Bad(now, name, len(l.engines)) {
+		if l.eject.Failure(now, name, len(l.engines)) {
 			l.counts.Count("admit.ejections", 1)
 			l.logger.Warn("admit: target ejected", "target", name)
 		}
 		return
 	}
-	l.eject.Good(name)
+	l.eject.Success(name)
 	e.cached[m.res.Program] = m.res.Usage.PromptTokens + m.res.Usage.CompletionTokens
 	e.learn(m.res)
 	held := now.Sub(m.lease.Started)
@@ -263,10 +263,10 @@
 	promised := float64(e.load.StepTime)
 	if promised > 0 && res.Usage.CompletionTokens > 1 {
 		load := float64(min(e.candidate(0, false).Load(), e.load.MaxBatch))
-		seen := float64(res.PerToken) / (promised * (1 + 0.03*load))
+		seen := float64(res.TimePerToken) / (promised * (1 + 0.03*load))
 		e.slow = max(1, e.slow+slowGain*(seen-e.slow))
 	}
 	if e.load.Queued == 0 {
-		e.limit.Good()
+		e.limit.Success()
 	}
 }
--- a/gate/admit/query.go
+++ b/gate/admit/query.go
@@ -16,8 +16,8 @@
 		for _, e := range l.sorted() {
 			out = append(out, types.EngineStatus{
 				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: l.eject.Ejected(now, e.target.Name),
-				Mine: e.mine, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slow: e.slow,
-				Cached: len(e.cached), Age: now.Sub(e.heard),
+				InFlight: e.mine, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slowdown: e.slow,
+				CachedPrograms: len(e.cached), ReportAge: now.Sub(e.heard),
 			})
 		}
 	})
@@ -87,8 +87,8 @@
 	}
 }
 
-// Refuge finds the usable engine with the most free cache, for a prefix that has to move.
-func (l *Loop) Refuge(ask lease.Ask) (types.Target, bool) {
+// EvacuationTarget finds the usable engine with the most free cache, for a prefix that has to move.
+func (l *Loop) EvacuationTarget(ask lease.Request) (types.Target, bool) {
 	var best *engine
 	l.query(func(l *Loop) {
 		for _, e := range l.sorted() {
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -14,7 +14,7 @@
 
 // request is a call in the queue.
 type request struct {
-	ask     lease.Ask
+	ask     lease.Request
 	rank    int64
 	arrived time.Time
 	reply   chan answer
@@ -38,36 +38,36 @@
 		m.reply <- answer{err: err}
 		return
 	}
-	req := &request{ask: m.ask, rank: sched.Rank(l.opts.Order, m.ask.Work), arrived: now, reply: m.reply}
+	req := &request{ask: m.ask, rank: sched.Rank(l.opts.Order, m.ask.Progress), arrived: now, reply: m.reply}
 	req.stop = context.AfterFunc(m.ctx, func() { l.send(goneMsg{req: req}) })
 	l.queue = append(l.queue, req)
 }
 
 // early refuses what has no allowed target, and what would wait too long.
-func (l *Loop) early(now time.Time, ask lease.Ask) error {
+func (l *Loop) early(now time.Time, ask lease.Request) error {
 	places, live := l.allowed(ask)
 	if places == 0 && len(l.engines) > 0 {
-		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
+		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
 	}
 	if live == 0 {
-		return fault.Refuse(fault.NoTarget, "no allowed target serves the model now").After(time.Second)
+		return fault.Refuse(fault.NoTarget, "no allowed target serves the model now").WithRetryAfter(time.Second)
 	}
 	if len(l.queue) >= maxQueue {
-		return fault.Refuse(fault.Overloaded, "the queue is full").After(time.Second)
+		return fault.Refuse(fault.Overloaded, "the queue is full").WithRetryAfter(time.Second)
 	}
-	decision, after := l.waiting(ask).Decide(now, ask.Deadline, ask.Fresh, l.opts.MaxWait)
+	decision, after := l.waiting(ask).Decide(now, ask.Deadline, ask.NewProgram, l.opts.MaxWait)
 	switch decision {
 	case sched.RejectNewProgram:
-		return fault.Refuse(fault.Overloaded, "no new programs are taken now").After(after)
+		return fault.Refuse(fault.Overloaded, "no new programs are taken now").WithRetryAfter(after)
 	case sched.RejectLate:
-		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").After(after)
+		return fault.Refuse(fault.DeadlineTooNear, "the deadline cannot be met").WithRetryAfter(after)
 	default:
 		return nil
 	}
 }
 
 // waiting is the queue as a call finds it that enters now.
-func (l *Loop) waiting(ask lease.Ask) sched.Queue {
+func (l *Loop) waiting(ask lease.Request) sched.Queue {
 	q := sched.Queue{ServiceTime: l.service, Backlog: time.Duration(math.MaxInt64)}
 	for _, e := range l.engines {
 		if !l.usable(e, ask) {
@@ -76,7 +76,7 @@
 		q.Slots += max(1, e.limit.Limit())
 		q.Backlog = min(q.Backlog, e.backlog())
 	}
-	rank := sched.Rank(l.opts.Order, ask.Work)
+	rank := sched.Rank(l.opts.Order, ask.Progress)
 	for _, req := range l.queue {
 		if req.rank >= rank {
 			q.Ahead++
@@ -91,7 +91,7 @@
 		l.queue = slices.Delete(l.queue, i, i+1)
 		l.counts.Count("admit.timed_out", 1)
 	}
-	req.answer(answer{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").After(l.service)})
+	req.answer(answer{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").WithRetryAfter(l.service)})
 }
 
 // serve places what can be placed, in order.
@@ -133,5 +133,5 @@
 
 // seat is what orders a request.
 func (l *Loop) seat(r *request) sched.WaitingCall {
-	return sched.WaitingCall{Arrived: r.arrived, Priority: r.ask.Work.Priority, Served: l.fair.Level(r.ask.Input.Workspace), Rank: r.rank}
+	return sched.WaitingCall{Arrived: r.arrived, Priority: r.ask.Progress.Priority, Served: l.fair.Level(r.ask.Input.Workspace), Rank: r.rank}
 }
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func publish(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys) error {
+func publish(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys) error {
 	cfg, err := sample.Config(shape, keys)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	return err
 }
 
-func fleet(ctx context.Context, platform *plat.Platform, shape sample.Shape, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
+func fleet(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
 	ports, err := plat.FreePorts(portsEach * len(shape.Zones))
 	if err != nil {
 		return nil, nil, err
@@ -148,7 +148,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Refuse(fault.OwnerUnknown, "the fleet was not ready in time")
+			return fault.Refuse(fault.OwnerUnavailable, "the fleet was not ready in time")
 		case <-time.After(devPause):
 		}
 	}
--- a/gate/cmds/run.go
+++ b/gate/cmds/run.go
@@ -14,12 +14,12 @@
 )
 
 func init() {
-	commands.Register(&run{Changes: shell.NewChanges()})
+	commands.Register(&run{ReloadRequests: shell.NewReloadRequests()})
 }
 
 // run runs a box until it is told to stop.
 type run struct {
-	shell.Changes
+	shell.ReloadRequests
 	settings string
 }
 
--- a/gate/conf/conf.go
+++ b/gate/conf/conf.go
@@ -34,7 +34,7 @@
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, fault.Refuse(fault.BadSettings, "settings file cannot be read").Because(err)
+		return Settings{}, fault.Refuse(fault.BadSettings, "settings file cannot be read").WithCause(err)
 	}
 	return Parse(raw)
 }
--- a/gate/conf/security.go
+++ b/gate/conf/security.go
@@ -59,16 +59,16 @@
 }
 
 // Root makes the root key.
-func (s Security) Root() (*seal.Root, error) {
+func (s Security) Root() (*seal.RootKey, error) {
 	key := s.RootKey
 	if s.RootKeyFile != "" {
 		raw, err := os.ReadFile(s.RootKeyFile)
 		if err != nil {
-			return nil, fault.Refuse(fault.BadSettings, "security.root_key_file: cannot be read").Because(err)
+			return nil, fault.Refuse(fault.BadSettings, "security.root_key_file: cannot be read").WithCause(err)
 		}
 		key = raw
 	}
-	return seal.NewRoot(key)
+	return seal.NewRootKey(key)
 }
 
 // Operators are the public keys of operators.
--- a/gate/desk/adopt.go
+++ b/gate/desk/adopt.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	if run, ok := d.Turns[cont.Program]; ok && len(turns) > 0 {
-		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").At(run.Turn - 1)
+		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(run.Turn - 1)
 	}
 	recs := d.takeBegins(begins)
 	for _, turn := range turns {
@@ -72,8 +72,8 @@
 		if b.ID != b.Root {
 			continue
 		}
-		spent := types.Purse{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
-		recs = append(recs, d.write(types.Record{Purse: &spent})...)
+		spent := types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
+		recs = append(recs, d.write(types.Record{TreeBudget: &spent})...)
 		d.grant(b.ID, b.Grant)
 	}
 	return recs
@@ -83,7 +83,7 @@
 // not fit. Where two owners answered the head turn, the token says from which answer its
 // caller goes on; nothing before the head is ever replaced.
 func tail(prog *types.Program, cont types.Continuation) ([]types.Turn, error) {
-	head := fold.Head(prog)
+	head := fold.LastTurn(prog)
 	if cont.Turn < head {
 		return nil, onChain(prog, cont)
 	}
@@ -94,21 +94,21 @@
 		switch {
 		case turn.Number < head:
 			continue
-		case turn.Number == head && bytes.Equal(turn.Digest, fold.Last(&scratch)):
+		case turn.Number == head && bytes.Equal(turn.Digest, fold.LastDigest(&scratch)):
 			continue
 		case turn.Number == head && fold.Replaces(&scratch, turn):
 			scratch.Turns = scratch.Turns[:head-1]
-			turn.Instead = true
+			turn.Replaces = true
 		case fold.Extends(&scratch, turn):
-			turn.Instead = false
+			turn.Replaces = false
 		default:
-			return nil, fault.Refuse(fault.BadContinuation, "continuation does not extend the history").At(head)
+			return nil, fault.Refuse(fault.BadContinuation, "continuation does not extend the history").WithHead(head)
 		}
 		scratch.Turns = append(scratch.Turns, turn)
 		out = append(out, turn)
 	}
-	if fold.Head(&scratch) != cont.Turn || !bytes.Equal(fold.Last(&scratch), cont.Digest) {
-		return nil, fault.Refuse(fault.BadContinuation, "history is missing between log and continuation").At(head)
+	if fold.LastTurn(&scratch) != cont.Turn || !bytes.Equal(fold.LastDigest(&scratch), cont.Digest) {
+		return nil, fault.Refuse(fault.BadContinuation, "history is missing between log and continuation").WithHead(head)
 	}
 	return out, nil
 }
@@ -120,7 +120,7 @@
 		at = prog.Turns[cont.Turn-1].Digest
 	}
 	if !bytes.Equal(at, cont.Digest) {
-		return fault.Refuse(fault.BadContinuation, "continuation is of another history").At(fold.Head(prog))
+		return fault.Refuse(fault.BadContinuation, "continuation is of another history").WithHead(fold.LastTurn(prog))
 	}
 	return nil
 }
--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -45,7 +45,7 @@
 	if !ok {
 		return CallStart{}, false, nil
 	}
-	if key.Intent.Workspace != in.Workspace || key.Intent.Service != in.Service || !bytes.Equal(key.Intent.Ask, in.Ask) {
+	if key.Intent.Workspace != in.Workspace || key.Intent.Service != in.Service || !bytes.Equal(key.Intent.RequestDigest, in.RequestDigest) {
 		return CallStart{}, false, fault.Refuse(fault.KeyReused, "the key belongs to another request")
 	}
 	if key.Outcome != nil && !key.Outcome.Unknown {
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -66,7 +66,7 @@
 		logged: map[string]int{}, written: map[string]time.Time{},
 	}
 	for id, prog := range state.Programs {
-		d.logged[id] = fold.Head(prog)
+		d.logged[id] = fold.LastTurn(prog)
 	}
 	for root, purse := range state.Purses {
 		d.confirmed[root] = purse.Granted
@@ -123,7 +123,7 @@
 // write applies records to the state and returns them for the log.
 func (d *Desk) write(recs ...types.Record) []types.Record {
 	for _, rec := range recs {
-		d.State.Record(rec)
+		d.State.ApplyRecord(rec)
 	}
 	return recs
 }
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -7,7 +7,7 @@
 
 // left is what may still be reserved: up to the budget, or while the log is away up to
 // what it has granted.
-func (d *Desk) left(purse *types.Purse) int64 {
+func (d *Desk) left(purse *types.TreeBudget) int64 {
 	bound := purse.Budget
 	if !d.LogUp {
 		bound = min(bound, d.confirmed[purse.Root])
@@ -16,7 +16,7 @@
 }
 
 // reserve sets need aside and returns the grant that the log must hold first, if any.
-func (d *Desk) reserve(purse *types.Purse, need, chunk int64) []types.Record {
+func (d *Desk) reserve(purse *types.TreeBudget, need, chunk int64) []types.Record {
 	d.reserved[purse.Root] += need
 	used := purse.Spent + d.reserved[purse.Root]
 	if used <= purse.Granted {
@@ -41,7 +41,7 @@
 }
 
 // purse finds the purse of a program's tree.
-func (d *Desk) purse(prog *types.Program) (*types.Purse, error) {
+func (d *Desk) purse(prog *types.Program) (*types.TreeBudget, error) {
 	purse, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
 		return nil, fault.Refuse(fault.BudgetSpent, "the program's budget is not known")
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -78,7 +78,7 @@
 	if _, running := d.Turns[prog.Begin.ID]; running {
 		return ""
 	}
-	if fold.Head(prog) >= prog.Begin.Limits.Turns {
+	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
 		return EndedByTurns
 	}
 	idle := time.Duration(prog.Begin.Limits.Idle)
@@ -156,10 +156,10 @@
 	recs := []types.Record{{Program: &snap}}
 	if purse, ok := d.State.Purses[prog.Begin.ID]; ok {
 		copied := *purse
-		recs = append(recs, types.Record{Purse: &copied})
+		recs = append(recs, types.Record{TreeBudget: &copied})
 	}
 	for _, turn := range prog.Turns {
-		turn.Instead = false
+		turn.Replaces = false
 		recs = append(recs, types.Record{Turn: &turn})
 	}
 	return recs
--- a/gate/desk/ticket.go
+++ b/gate/desk/ticket.go
@@ -39,7 +39,7 @@
 	case <-t.done:
 		return t.err
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "the log has not confirmed in time").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "the log has not confirmed in time").WithCause(ctx.Err())
 	}
 }
 
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -112,32 +112,32 @@
 	if err := d.open(now, prog); err != nil {
 		return TurnStart{}, nil, err
 	}
-	if fold.Head(prog) >= prog.Begin.Limits.Turns {
-		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").At(fold.Head(prog))
+	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
+		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").WithHead(fold.LastTurn(prog))
 	}
 	return d.startTurn(prog, ask)
 }
 
 // repeat handles all but the next turn of an idle program.
 func (d *Desk) repeat(prog *types.Program, ask TurnAsk) (TurnStart, bool, error) {
-	head := fold.Head(prog)
+	head := fold.LastTurn(prog)
 	if run, ok := d.Turns[ask.Program]; ok {
 		if run.Turn == ask.Turn && bytes.Equal(run.Ask, ask.Ask) {
 			return TurnStart{Join: run.Run, Program: prog}, true, nil
 		}
 		if ask.Turn > head {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").At(head)
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(head)
 		}
 	}
 	if ask.Turn >= 1 && ask.Turn <= head {
 		stored := prog.Turns[ask.Turn-1]
-		if !bytes.Equal(stored.Ask, ask.Ask) {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn was answered to another request").At(head)
+		if !bytes.Equal(stored.RequestDigest, ask.Ask) {
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn was answered to another request").WithHead(head)
 		}
 		return TurnStart{Stored: &stored, Program: prog}, true, nil
 	}
 	if ask.Turn != head+1 {
-		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "not the next turn").At(head)
+		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "not the next turn").WithHead(head)
 	}
 	return TurnStart{}, false, nil
 }
@@ -159,9 +159,9 @@
 }
 
 // poor is the refusal for want of money; while the log is away it may pass.
-func (d *Desk) poor(purse *types.Purse) error {
+func (d *Desk) poor(purse *types.TreeBudget) error {
 	if !d.LogUp && d.confirmed[purse.Root] < purse.Budget {
-		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log gives no other now").After(time.Second)
+		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log gives no other now").WithRetryAfter(time.Second)
 	}
 	return fault.Refuse(fault.BudgetSpent, "the budget does not cover the call")
 }
@@ -180,7 +180,7 @@
 	if !fold.Extends(prog, turn) {
 		return nil, fault.Fail(fault.Internal, "the answer does not extend the history")
 	}
-	turn.Spent, _ = d.Spent(prog)
+	turn.TreeSpent, _ = d.Spent(prog)
 	return d.write(types.Record{Turn: &turn}), nil
 }
 
--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -43,18 +43,18 @@
 	maxAnew = 4
 )
 
-// Others are the boxes that may be asked.
-type Others interface {
-	// Others returns the living boxes without this one.
-	Others() []work.Box
-	// Via returns the log by way of a box.
-	Via(box work.Box) work.Log
+// Proxies are the boxes that may be asked.
+type Proxies interface {
+	// Boxes returns the living boxes without this one.
+	Boxes() []work.Box
+	// LogVia returns the log by way of a box.
+	LogVia(box work.Box) work.Log
 }
 
 // Detour is the log, reached in one way or the other.
 type Detour struct {
 	direct work.Log
-	others Others
+	others Proxies
 	logger *slog.Logger
 
 	mu sync.Mutex
@@ -80,7 +80,7 @@
 }
 
 // New makes a detour that has not been needed yet.
-func New(direct work.Log, others Others, logger *slog.Logger) *Detour {
+func New(direct work.Log, others Proxies, logger *slog.Logger) *Detour {
 	return &Detour{direct: direct, others: others, logger: logger, avoid: map[string]avoided{}}
 }
 
@@ -230,7 +230,7 @@
 
 // via makes the call by way of the box.
 func (d *Detour) via(ctx context.Context, box work.Box, make call) result {
-	got := make(ctx, d.others.Via(box), false)
+	got := make(ctx, d.others.LogVia(box), false)
 	got.way = box
 	switch {
 	case !away(got.err):
@@ -265,7 +265,7 @@
 	if err == nil {
 		return false
 	}
-	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.Protocol)
+	return fault.Is(err, fault.LogUnavailable) || fault.Is(err, fault.PeerUnreachable) || fault.Is(err, fault.Protocol)
 }
 
 func (d *Detour) bad() bool {
@@ -310,7 +310,7 @@
 // choose returns the box that served last, or draws one of the others that live: one that was
 // slow only if none is left, and none that is among those asked before.
 func (d *Detour) choose(asked []work.Box) (work.Box, bool) {
-	boxes := d.others.Others()
+	boxes := d.others.Boxes()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.awayForAll(time.Now()) {
--- a/gate/detour/detour_test.go
+++ b/gate/detour/detour_test.go
@@ -85,7 +85,7 @@
 // peers are the other boxes with the logs that they reach.
 type peers map[string]*fake
 
-func (p peers) Others() []work.Box {
+func (p peers) Boxes() []work.Box {
 	var boxes []work.Box
 	for name := range p {
 		boxes = append(boxes, work.Box{Name: name})
@@ -93,7 +93,7 @@
 	return boxes
 }
 
-func (p peers) Via(box work.Box) work.Log {
+func (p peers) LogVia(box work.Box) work.Log {
 	return p[box.Name]
 }
 
--- a/gate/dial/confirm.go
+++ b/gate/dial/confirm.go
@@ -30,10 +30,10 @@
 		resp.unwatch()
 		p.discard(c)
 		if ctx.Err() != nil {
-			return nil, fault.Refuse(fault.TimedOut, "the call ended before the target accepted it").Because(err)
+			return nil, fault.Refuse(fault.TimedOut, "the call ended before the target accepted it").WithCause(err)
 		}
 		if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil, fault.Refuse(fault.NoTarget, "the target did not accept the call").Because(err)
+			return nil, fault.Refuse(fault.NoTarget, "the target did not accept the call").WithCause(err)
 		}
 	}
 }
--- a/gate/dial/pool.go
+++ b/gate/dial/pool.go
@@ -159,7 +159,7 @@
 	raw, err := dialer.DialContext(ctx, "tcp", p.addr.String())
 	if err != nil {
 		p.connClosed()
-		return nil, fault.Refuse(fault.NoTarget, "cannot connect to the target").Because(err)
+		return nil, fault.Refuse(fault.NoTarget, "cannot connect to the target").WithCause(err)
 	}
 	return newConn(raw), nil
 }
--- a/gate/dial/send.go
+++ b/gate/dial/send.go
@@ -96,9 +96,9 @@
 	r.unwatch()
 	r.pool.discard(r.conn)
 	if ctx.Err() != nil {
-		return nil, fault.Fail(fault.TimedOut, "the call ended before the target answered").Because(err)
+		return nil, fault.Fail(fault.TimedOut, "the call ended before the target answered").WithCause(err)
 	}
-	return nil, fault.Fail(fault.TargetFailed, "the target did not answer").Because(err)
+	return nil, fault.Fail(fault.TargetFailed, "the target did not answer").WithCause(err)
 }
 
 // maxInlineWrite is the longest request that is written before its response is read, in bytes. Writing a
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -16,8 +16,8 @@
 	"mulleingate.dev/gate/lease"
 )
 
-// Taker takes what engines report.
-type Taker interface {
+// Queue takes what engines report.
+type Queue interface {
 	Tell(m lease.Message)
 	HoldersOf(program string) []string
 	Holders() map[string][]string
@@ -25,7 +25,7 @@
 
 // Lists tells of the platform's lists.
 type Lists interface {
-	OnList(take func(types.List))
+	OnList(take func(types.PlatformList))
 }
 
 // Counts receives figures.
@@ -35,12 +35,12 @@
 
 // Timing holds the intervals of polling.
 type Timing struct {
-	// Poll is the interval of load reports of engines that this box has calls at, IdlePoll
-	// that of others, Sync that of whole cache lists.
-	Poll, IdlePoll, Sync time.Duration
-	// Subset bounds how many engines of its own zone, and apart from them of other zones,
+	// PollInterval is the interval of load reports of engines that this box has calls at, IdlePollInterval
+	// that of others, SyncInterval that of whole cache lists.
+	PollInterval, IdlePollInterval, SyncInterval time.Duration
+	// SubsetSize bounds how many engines of its own zone, and apart from them of other zones,
 	// a box looks at.
-	Subset int
+	SubsetSize int
 }
 
 const (
@@ -52,7 +52,7 @@
 type Engines struct {
 	self   string
 	zone   string
-	taker  Taker
+	taker  Queue
 	timing Timing
 	counts Counts
 	logger *slog.Logger
@@ -69,7 +69,7 @@
 }
 
 // New makes the service for the box self in zone.
-func New(self, zone string, taker Taker, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
+func New(self, zone string, taker Queue, lists Lists, timing Timing, counts Counts, logger *slog.Logger) *Engines {
 	s := &Engines{
 		self: self, zone: zone, taker: taker, timing: timing, counts: counts, logger: logger,
 		http: client.New("engine", nil), targets: map[string]types.Target{}, polls: map[string]context.CancelFunc{}, calls: map[string]int{},
@@ -92,7 +92,7 @@
 }
 
 // take follows the list: it polls the chosen engines and tells the queue of them.
-func (s *Engines) take(list types.List) {
+func (s *Engines) take(list types.PlatformList) {
 	chosen := s.choose(list.Targets)
 	s.mu.Lock()
 	next := map[string]types.Target{}
@@ -132,11 +132,11 @@
 }
 
 func (s *Engines) closest(targets []types.Target) []types.Target {
-	if len(targets) <= s.timing.Subset {
+	if len(targets) <= s.timing.SubsetSize {
 		return targets
 	}
 	var near []types.Target
-	for _, i := range ident.Closest(s.self, len(targets), func(i int) string { return targets[i].Name }, s.timing.Subset) {
+	for _, i := range ident.RendezvousTop(s.self, len(targets), func(i int) string { return targets[i].Name }, s.timing.SubsetSize) {
 		near = append(near, targets[i])
 	}
 	return near
@@ -173,7 +173,7 @@
 	for {
 		if target, ok := s.Target(name); ok {
 			after = s.pollOnce(ctx, target, after)
-			if time.Since(synced) > s.timing.Sync {
+			if time.Since(synced) > s.timing.SyncInterval {
 				s.sync(ctx, target)
 				synced = time.Now()
 			}
@@ -194,9 +194,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls[name] > 0 {
-		return s.timing.Poll
+		return s.timing.PollInterval
 	}
-	return s.timing.IdlePoll
+	return s.timing.IdlePollInterval
 }
 
 // using counts the calls under way at an engine.
@@ -240,7 +240,7 @@
 	for key, it := range items {
 		tokens[key] = it.Tokens
 	}
-	s.taker.Tell(lease.Cached{Target: target.Name, Tokens: tokens})
+	s.taker.Tell(lease.CacheList{Target: target.Name, Tokens: tokens})
 }
 
 // Release frees the caches of programs that are gone.
@@ -251,7 +251,7 @@
 			byTarget[name] = append(byTarget[name], id)
 		}
 	}
-	s.taker.Tell(lease.Forget{Programs: programs})
+	s.taker.Tell(lease.ForgetPrograms{Programs: programs})
 	for name, ids := range byTarget {
 		s.release(name, ids)
 	}
@@ -262,7 +262,7 @@
 	if !ok {
 		return
 	}
-	if err := s.Cache(s.ctx, target, types.CacheOrder{Op: "release", Keys: ids}); err != nil {
+	if err := s.SendCacheOrder(s.ctx, target, types.CacheOrder{Op: "release", Keys: ids}); err != nil {
 		s.counts.Count("engine.release_failures", 1)
 		s.logger.Debug("engine: release failed", "target", name, "error", err)
 		return
@@ -281,7 +281,7 @@
 		}
 		if len(old) > 0 {
 			s.release(name, old)
-			s.taker.Tell(lease.Forget{Programs: old})
+			s.taker.Tell(lease.ForgetPrograms{Programs: old})
 		}
 	}
 }
@@ -289,7 +289,7 @@
 // Move copies a program's cache from one engine to another.
 func (s *Engines) Move(program string, from, to types.Target) {
 	order := types.CacheOrder{Op: "import", Keys: []string{program}, From: from.Addr}
-	if err := s.Cache(s.ctx, to, order); err != nil {
+	if err := s.SendCacheOrder(s.ctx, to, order); err != nil {
 		s.counts.Count("engine.move_failures", 1)
 		return
 	}
--- a/gate/engine/stream.go
+++ b/gate/engine/stream.go
@@ -50,7 +50,7 @@
 			break
 		}
 	}
-	return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "the stream broke and could not be resumed").Because(err)
+	return types.EngineEvent{}, fault.Fail(fault.TargetFailed, "the stream broke and could not be resumed").WithCause(err)
 }
 
 func (s *Engines) resume(ctx context.Context, target types.Target, f *follower) (types.EngineEvent, error) {
@@ -84,10 +84,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return types.EngineEvent{}, client.Decode(resp, nil)
 	}
-	return f.read(client.NewEvents(resp.Body))
+	return f.read(client.NewEventReader(resp.Body))
 }
 
-func (f *follower) read(events *client.Events) (types.EngineEvent, error) {
+func (f *follower) read(events *client.EventReader) (types.EngineEvent, error) {
 	for {
 		data, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -133,15 +133,15 @@
 	}
 }
 
-// Cache gives a cache order.
-func (s *Engines) Cache(ctx context.Context, target types.Target, order types.CacheOrder) error {
+// SendCacheOrder gives a cache order.
+func (s *Engines) SendCacheOrder(ctx context.Context, target types.Target, order types.CacheOrder) error {
 	ctx, stop := context.WithTimeout(ctx, orderWait)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/cache"), order, nil)
 }
 
-// Order gives a model order.
-func (s *Engines) Order(ctx context.Context, target types.Target, order types.EngineOrder) error {
+// SendModelOrder gives a model order.
+func (s *Engines) SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error {
 	ctx, stop := context.WithTimeout(ctx, orderWait)
 	defer stop()
 	return s.http.Call(ctx, http.MethodPost, url(target, "/v1/orders"), order, nil)
--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		e.counts.Count("entry.caller_refused", 1)
 		if fault.Is(err, fault.StaleConfig) && e.reach.CutOff() {
-			err = fault.From(err).After(e.reach.RetryDelay()) // another box may have the newest configuration
+			err = fault.From(err).WithRetryAfter(e.reach.RetryDelay()) // another box may have the newest configuration
 		}
 		e.log.Info("entry: caller refused", "id", call.ID, "route", route.Name, "version", known.Config.Version,
 			"proven", call.Arrived.Sub(known.ConfirmedAt), "cause", err)
@@ -241,7 +241,7 @@
 	if e.reach.CutOff() {
 		e.counts.Count("entry.cut_off", 1)
 		e.log.Info("entry: turn refused, this box is cut off", "id", call.ID, "program", call.Turn.Program, "route", route.Name)
-		return fault.Refuse(fault.OwnerUnknown, "this box is cut off from the others").After(e.reach.RetryDelay())
+		return fault.Refuse(fault.OwnerUnavailable, "this box is cut off from the others").WithRetryAfter(e.reach.RetryDelay())
 	}
 	home := e.layout.SlotOf(call.QualifiedName(call.Turn.Program))
 	if box, ok := e.boxes.Owner(e.layout.Name(home)); ok && e.leavesRegions(call, box) {
@@ -258,7 +258,7 @@
 	}
 	e.counts.Count("entry.owner_unknown", 1)
 	e.log.Info("entry: owner not reached", "id", call.ID, "program", call.Turn.Program, "route", route.Name, "after", time.Since(call.Arrived), "cause", err)
-	return fault.Refuse(fault.TurnUnknown, "the owner of the program cannot be reached now").After(e.retryDelay(home)).Because(err)
+	return fault.Refuse(fault.TurnNotKnownYet, "the owner of the program cannot be reached now").WithRetryAfter(e.retryDelay(home)).WithCause(err)
 }
 
 // retryDelay returns the delay after which to retry a turn whose owner cannot be reached.
@@ -280,7 +280,7 @@
 	if err == nil || !fault.From(err).NotRun {
 		return false
 	}
-	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.PeerLost) || fault.Is(err, fault.OwnerUnknown)
+	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.PeerUnreachable) || fault.Is(err, fault.OwnerUnavailable)
 }
 
 // runOnSlot runs the turn on the box that holds the slot.
@@ -317,7 +317,7 @@
 		}
 	}
 	if first == nil {
-		return fault.Refuse(fault.OwnerUnknown, "no box owns the slot")
+		return fault.Refuse(fault.OwnerUnavailable, "no box owns the slot")
 	}
 	return first
 }
@@ -328,14 +328,14 @@
 		return e.RunHere(ctx, slot, call, route, out)
 	}
 	if e.leavesRegions(call, box) {
-		return fault.Refuse(fault.OwnerUnknown, "the box is outside of the allowed regions")
+		return fault.Refuse(fault.OwnerUnavailable, "the box is outside of the allowed regions")
 	}
 	if e.boxes.RecentlyUnreachable(box) {
-		return fault.Refuse(fault.PeerLost, "a recent attempt to reach the owner of the slot failed")
+		return fault.Refuse(fault.PeerUnreachable, "a recent attempt to reach the owner of the slot failed")
 	}
 	e.log.Info("entry: turn forwarded", "id", call.ID, "program", call.Turn.Program, "slot", slot, "owner", box.Name, "rank", rank)
 	err := e.peers.Turn(ctx, box, slot, call, route, out)
-	if fault.Is(err, fault.PeerLost) && ctx.Err() == nil {
+	if fault.Is(err, fault.PeerUnreachable) && ctx.Err() == nil {
 		e.boxes.MarkUnreachable(box)
 	}
 	return err
--- a/gate/entry/entry_test.go
+++ b/gate/entry/entry_test.go
@@ -137,7 +137,7 @@
 
 // TestTurnRouting checks which boxes a turn is sent to, in order, and the fault that the caller gets.
 func TestTurnRouting(t *testing.T) {
-	gone := fault.Refuse(fault.PeerLost, "gone")
+	gone := fault.Refuse(fault.PeerUnreachable, "gone")
 	notOwner := fault.Refuse(fault.NotOwner, "not mine")
 	cases := []struct {
 		name  string
@@ -151,22 +151,22 @@
 		{"to the holder while the owner joins", func(w *fakeBox) { w.nextOwners, w.turnResults = boxes("c"), []error{notOwner, nil} }, "", 0, []string{"to b", "to c"}},
 		{"the owner's fault is returned if no box holds the slot", func(w *fakeBox) {
 			w.nextOwners, w.turnResults, w.takeoverDelay = boxes("c"), []error{gone, notOwner}, 300*time.Millisecond
-		}, fault.TurnUnknown, 300 * time.Millisecond, []string{"to b", "unreached", "to c", "to b", "to c"}},
+		}, fault.TurnNotKnownYet, 300 * time.Millisecond, []string{"to b", "unreached", "to c", "to b", "to c"}},
 		{"at most ownerCandidates boxes are asked", func(w *fakeBox) {
 			w.nextOwners, w.turnResults = boxes("c", "d", "e", "f", "g"), []error{notOwner, notOwner, notOwner, notOwner, nil}
 		}, "", 0, []string{"to b", "to c", "to d", "to e", "to b"}},
 		{"no other box is tried once one may have run the turn", func(w *fakeBox) {
-			w.nextOwners, w.turnResults = boxes("c", "d"), []error{notOwner, fault.Fail(fault.PeerLost, "broke off")}
-		}, fault.PeerLost, 0, []string{"to b", "to c", "unreached"}},
+			w.nextOwners, w.turnResults = boxes("c", "d"), []error{notOwner, fault.Fail(fault.PeerUnreachable, "broke off")}
+		}, fault.PeerUnreachable, 0, []string{"to b", "to c", "unreached"}},
 		{"retried after a handover", func(w *fakeBox) { w.turnResults = []error{notOwner, nil} }, "", 0, []string{"to b", "to b"}},
-		{"owner not reached", func(w *fakeBox) { w.turnResults, w.takeoverDelay = []error{gone}, 400*time.Millisecond }, fault.TurnUnknown, 400 * time.Millisecond, []string{"to b", "unreached", "to b", "unreached"}},
+		{"owner not reached", func(w *fakeBox) { w.turnResults, w.takeoverDelay = []error{gone}, 400*time.Millisecond }, fault.TurnNotKnownYet, 400 * time.Millisecond, []string{"to b", "unreached", "to b", "unreached"}},
 		{"no free connection to the owner", func(w *fakeBox) {
-			w.turnResults = []error{fault.Refuse(fault.OwnerUnknown, "full").After(200 * time.Millisecond)}
-		}, fault.TurnUnknown, 0, []string{"to b", "to b"}},
-		{"owner recently unreachable", func(w *fakeBox) { w.recentlyUnreached = true }, fault.TurnUnknown, 0, nil},
-		{"cut off", func(w *fakeBox) { w.cutOff = true }, fault.OwnerUnknown, 100 * time.Millisecond, nil},
-		{"no box", func(w *fakeBox) { w.owner = work.Box{} }, fault.TurnUnknown, retryOwnerUnknown, nil},
-		{"may have run", func(w *fakeBox) { w.turnResults = []error{fault.Fail(fault.PeerLost, "broke off")} }, fault.PeerLost, 0, []string{"to b", "unreached"}},
+			w.turnResults = []error{fault.Refuse(fault.OwnerUnavailable, "full").WithRetryAfter(200 * time.Millisecond)}
+		}, fault.TurnNotKnownYet, 0, []string{"to b", "to b"}},
+		{"owner recently unreachable", func(w *fakeBox) { w.recentlyUnreached = true }, fault.TurnNotKnownYet, 0, nil},
+		{"cut off", func(w *fakeBox) { w.cutOff = true }, fault.OwnerUnavailable, 100 * time.Millisecond, nil},
+		{"no box", func(w *fakeBox) { w.owner = work.Box{} }, fault.TurnNotKnownYet, retryOwnerUnknown, nil},
+		{"may have run", func(w *fakeBox) { w.turnResults = []error{fault.Fail(fault.PeerUnreachable, "broke off")} }, fault.PeerUnreachable, 0, []string{"to b", "unreached"}},
 		{"budget spent", func(w *fakeBox) { w.turnResults = []error{fault.Refuse(fault.BudgetSpent, "spent")} }, fault.BudgetSpent, 0, []string{"to b"}},
 		{"the owner lies outside of the route's regions", func(w *fakeBox) {
 			w.conf.Routes[0].Regions, w.owner.Zone = []string{"north"}, "b"
@@ -201,8 +201,8 @@
 	}{
 		{"found", findReply{text: []byte("x")}, findReply{}, ""},
 		{"ruled out by all slots", findReply{slots: []int{0}}, findReply{slots: []int{1}}, fault.NoTurn},
-		{"not ruled out by one slot", findReply{slots: []int{0}}, findReply{}, fault.TurnUnknown},
-		{"a box does not answer", findReply{slots: []int{0}}, findReply{err: fault.Refuse(fault.PeerLost, "gone")}, fault.TurnUnknown},
+		{"not ruled out by one slot", findReply{slots: []int{0}}, findReply{}, fault.TurnNotKnownYet},
+		{"a box does not answer", findReply{slots: []int{0}}, findReply{err: fault.Refuse(fault.PeerUnreachable, "gone")}, fault.TurnNotKnownYet},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -239,7 +239,7 @@
 			t.Errorf("asked (-want +got):\n%s", diff)
 		}
 		w.findReplies, w.searched = map[string]findReply{}, nil
-		if err := w.handle(turnCall("before")); !fault.Is(err, fault.TurnUnknown) {
+		if err := w.handle(turnCall("before")); !fault.Is(err, fault.TurnNotKnownYet) {
 			t.Errorf("fault %v", err)
 		}
 		if got := len(w.searched); got != ownerCandidates {
--- a/gate/entry/find.go
+++ b/gate/entry/find.go
@@ -32,7 +32,7 @@
 			return nil, fault.Refuse(fault.NoTurn, "the turn to go on from is not kept")
 		}
 	}
-	return nil, fault.Refuse(fault.OwnerUnknown, "not all slot owners could be asked for the turn")
+	return nil, fault.Refuse(fault.OwnerUnavailable, "not all slot owners could be asked for the turn")
 }
 
 // turnSearch is the state of one search for a turn.
--- a/gate/feed/feed_test.go
+++ b/gate/feed/feed_test.go
@@ -105,7 +105,7 @@
 func (fakeDecoder) Config(rec work.Record) (*work.Config, error) {
 	version, err := strconv.ParseInt(string(rec.Value), 10, 64)
 	if err != nil {
-		return nil, fault.Fail(fault.BadConfig, "malformed").Because(err)
+		return nil, fault.Fail(fault.BadConfig, "malformed").WithCause(err)
 	}
 	return work.NewConfig(version, nil, nil, work.Limits{}), nil
 }
--- a/gate/fold/chain.go
+++ b/gate/fold/chain.go
@@ -7,22 +7,22 @@
 	"mulleingate.dev/base/types"
 )
 
-// Head is the number of the last answered turn, 0 before the first.
-func Head(prog *types.Program) int {
+// LastTurn is the number of the last answered turn, 0 before the first.
+func LastTurn(prog *types.Program) int {
 	return len(prog.Turns)
 }
 
-// Last is the digest of the last answered turn, nil before the first.
-func Last(prog *types.Program) []byte {
+// LastDigest is the digest of the last answered turn, nil before the first.
+func LastDigest(prog *types.Program) []byte {
 	if len(prog.Turns) == 0 {
 		return nil
 	}
 	return prog.Turns[len(prog.Turns)-1].Digest
 }
 
-// Digest chains a turn to the one before it: it covers program, workspace, number, what
+// TurnDigest chains a turn to the one before it: it covers program, workspace, number, what
 // was asked, the sealed content and the digest before.
-func Digest(b types.Begin, t types.Turn, before []byte) []byte {
+func TurnDigest(b types.Begin, t types.Turn, before []byte) []byte {
 	sum := sha256.New()
 	part := func(data []byte) {
 		_ = binary.Write(sum, binary.BigEndian, uint64(len(data)))
@@ -31,7 +31,7 @@
 	part([]byte(b.ID))
 	part([]byte(b.Workspace))
 	_ = binary.Write(sum, binary.BigEndian, uint64(t.Number))
-	part(t.Ask)
+	part(t.RequestDigest)
 	part(t.Sealed)
 	part(before)
 	return sum.Sum(nil)
--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -7,22 +7,22 @@
 	"mulleingate.dev/base/types"
 )
 
-// Verdict says what became of an entry.
-type Verdict int
+// Result says what became of an entry.
+type Result int
 
 // The verdicts.
 const (
-	Applied Verdict = iota
+	Applied Result = iota
 	Claimed
 	Stale
-	Copy
-	Garbage
+	Duplicate
+	Malformed
 )
 
 // State is the folded state of one slot.
 type State struct {
-	// Next is the offset to read from.
-	Next int64
+	// NextOffset is the offset to read from.
+	NextOffset int64
 	// Epoch is the offset of the newest claim; it never falls.
 	Epoch int64
 	// Owner made the newest claim; it is zero if that claim is no longer retained.
@@ -32,7 +32,7 @@
 	// Seq is the newest entry of Epoch that was applied.
 	Seq      int64
 	Programs map[string]*types.Program
-	Purses   map[string]*types.Purse
+	Purses   map[string]*types.TreeBudget
 	Keys     map[string]*types.KeyState
 }
 
@@ -40,24 +40,24 @@
 func New() *State {
 	return &State{
 		Programs: map[string]*types.Program{},
-		Purses:   map[string]*types.Purse{},
+		Purses:   map[string]*types.TreeBudget{},
 		Keys:     map[string]*types.KeyState{},
 	}
 }
 
-// Read folds one raw entry.
-func (s *State) Read(entry types.LogEntry) Verdict {
-	s.Next = max(s.Next, entry.Offset+1)
+// ApplyLogEntry folds one raw entry.
+func (s *State) ApplyLogEntry(entry types.LogEntry) Result {
+	s.NextOffset = max(s.NextOffset, entry.Offset+1)
 	var e types.Entry
 	if json.Unmarshal(entry.Data, &e) != nil {
-		return Garbage
+		return Malformed
 	}
 	return s.Apply(entry.Offset, e)
 }
 
 // Apply folds one entry. Entries of an epoch older than the newest claim are ignored,
 // and so are copies of an entry that was applied.
-func (s *State) Apply(offset int64, e types.Entry) Verdict {
+func (s *State) Apply(offset int64, e types.Entry) Result {
 	if e.Claim != nil {
 		s.claim(offset, *e.Claim)
 		return Claimed
@@ -69,11 +69,11 @@
 		s.truncated(e.Epoch)
 	}
 	if e.Seq <= s.Seq {
-		return Copy
+		return Duplicate
 	}
 	s.Seq = e.Seq
 	for _, rec := range e.Records {
-		s.Record(rec)
+		s.ApplyRecord(rec)
 	}
 	return Applied
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// Record applies one record of the epoch in force.
-func (s *State) Record(rec types.Record) {
+// ApplyRecord applies one record of the epoch in force.
+func (s *State) ApplyRecord(rec types.Record) {
 	switch {
 	case rec.Begin != nil:
 		s.begin(*rec.Begin)
@@ -117,8 +117,8 @@
 		s.Released = true
 	case rec.Program != nil:
 		s.program(*rec.Program)
-	case rec.Purse != nil:
-		purse := *rec.Purse
+	case rec.TreeBudget != nil:
+		purse := *rec.TreeBudget
 		s.Purses[purse.Root] = &purse
 	case rec.KeyState != nil:
 		key := *rec.KeyState
@@ -132,7 +132,7 @@
 	}
 	s.Programs[b.ID] = &types.Program{Begin: b, LastAt: b.Created}
 	if b.ID == b.Root {
-		s.Purses[b.ID] = &types.Purse{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
+		s.Purses[b.ID] = &types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
 	}
 	if parent, ok := s.Programs[b.Parent]; ok {
 		parent.Children++
@@ -145,7 +145,7 @@
 		return
 	}
 	switch {
-	case t.Instead && Replaces(prog, t):
+	case t.Replaces && Replaces(prog, t):
 		prog.Turns = append(prog.Turns[:len(prog.Turns)-1:len(prog.Turns)-1], t)
 	case Extends(prog, t):
 		prog.Turns = append(prog.Turns, t)
@@ -154,7 +154,7 @@
 	}
 	prog.LastAt = t.At
 	if purse, ok := s.Purses[prog.Begin.Root]; ok {
-		purse.Spent = min(max(purse.Spent, t.Spent), purse.Granted)
+		purse.Spent = min(max(purse.Spent, t.TreeSpent), purse.Granted)
 	}
 }
 
@@ -212,19 +212,19 @@
 
 // Extends reports whether the turn is the next link of the program's hash chain.
 func Extends(prog *types.Program, t types.Turn) bool {
-	if t.Program != prog.Begin.ID || t.Number != Head(prog)+1 {
+	if t.Program != prog.Begin.ID || t.Number != LastTurn(prog)+1 {
 		return false
 	}
-	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(prog)))
+	return bytes.Equal(t.Digest, TurnDigest(prog.Begin, t, LastDigest(prog)))
 }
 
 // Replaces reports whether the turn is another answer to the program's head turn.
 func Replaces(prog *types.Program, t types.Turn) bool {
-	head := Head(prog)
+	head := LastTurn(prog)
 	if head == 0 || t.Program != prog.Begin.ID || t.Number != head {
 		return false
 	}
 	before := *prog
 	before.Turns = prog.Turns[:head-1]
-	return bytes.Equal(t.Digest, Digest(prog.Begin, t, Last(&before)))
+	return bytes.Equal(t.Digest, TurnDigest(prog.Begin, t, LastDigest(&before)))
 }
--- a/gate/fold/fold_test.go
+++ b/gate/fold/fold_test.go
@@ -30,13 +30,13 @@
 
 func TestOldEpochsAndCopiesAreIgnored(t *testing.T) {
 	s := New()
-	var got []Verdict
+	var got []Result
 	for i, e := range []types.Entry{
 		claim("a"), begin(1, 1, "p"), begin(1, 1, "copy"), claim("b"), begin(1, 2, "stale"), begin(4, 1, "q"),
 	} {
-		got = append(got, s.Read(entry(t, int64(i+1), e)))
+		got = append(got, s.ApplyLogEntry(entry(t, int64(i+1), e)))
 	}
-	want := []Verdict{Claimed, Applied, Copy, Claimed, Stale, Applied}
+	want := []Result{Claimed, Applied, Duplicate, Claimed, Stale, Applied}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
 	}
@@ -53,10 +53,10 @@
 
 func TestClaimSpendsWhatWasGranted(t *testing.T) {
 	s := New()
-	s.Read(entry(t, 1, claim("a")))
-	s.Read(entry(t, 2, begin(1, 1, "p")))
-	s.Read(entry(t, 3, claim("b")))
-	want := &types.Purse{Root: "p", Budget: 100, Granted: 30, Spent: 30}
+	s.ApplyLogEntry(entry(t, 1, claim("a")))
+	s.ApplyLogEntry(entry(t, 2, begin(1, 1, "p")))
+	s.ApplyLogEntry(entry(t, 3, claim("b")))
+	want := &types.TreeBudget{Root: "p", Budget: 100, Granted: 30, Spent: 30}
 	if diff := cmp.Diff(want, s.Purses["p"]); diff != "" {
 		t.Errorf("purse (-want +got):\n%s", diff)
 	}
@@ -64,29 +64,29 @@
 
 func TestHistoryOnlyGrowsByLinks(t *testing.T) {
 	s := New()
-	s.Read(entry(t, 1, claim("a")))
-	s.Read(entry(t, 2, begin(1, 1, "p")))
+	s.ApplyLogEntry(entry(t, 1, claim("a")))
+	s.ApplyLogEntry(entry(t, 2, begin(1, 1, "p")))
 	prog := s.Programs["p"]
 	link := func(n int, sealed string) types.Turn {
 		turn := types.Turn{Program: "p", Number: n, Sealed: []byte(sealed)}
-		turn.Digest = Digest(prog.Begin, turn, Last(prog))
+		turn.Digest = TurnDigest(prog.Begin, turn, LastDigest(prog))
 		return turn
 	}
 	one := link(1, "one")
-	s.Record(types.Record{Turn: &one})
+	s.ApplyRecord(types.Record{Turn: &one})
 	for name, turn := range map[string]types.Turn{
 		"a gap":           link(3, "three"),
 		"altered content": {Program: "p", Number: 2, Sealed: []byte("x"), Digest: link(2, "two").Digest},
 		"of another":      {Program: "q", Number: 2, Digest: link(2, "two").Digest},
 	} {
-		s.Record(types.Record{Turn: &turn})
-		if Head(prog) != 1 {
+		s.ApplyRecord(types.Record{Turn: &turn})
+		if LastTurn(prog) != 1 {
 			t.Errorf("%s was taken", name)
 		}
 	}
 	two := link(2, "two")
-	s.Record(types.Record{Turn: &two})
-	if diff := cmp.Diff(2, Head(prog)); diff != "" {
+	s.ApplyRecord(types.Record{Turn: &two})
+	if diff := cmp.Diff(2, LastTurn(prog)); diff != "" {
 		t.Errorf("head (-want +got):\n%s", diff)
 	}
 }
@@ -96,11 +96,11 @@
 	f.Add([]byte(`{"epoch":1,"seq":1,"records":[{"turn":{"program":"p"}},{"purse":{"root":"p"}}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := New()
-		s.Read(entry(t, 1, claim("a")))
-		s.Read(entry(t, 2, begin(1, 1, "p")))
-		s.Read(types.LogEntry{Offset: 3, Data: raw})
-		if s.Next != 4 || s.Epoch < 1 {
-			t.Errorf("state went back: next %d, epoch %d", s.Next, s.Epoch)
+		s.ApplyLogEntry(entry(t, 1, claim("a")))
+		s.ApplyLogEntry(entry(t, 2, begin(1, 1, "p")))
+		s.ApplyLogEntry(types.LogEntry{Offset: 3, Data: raw})
+		if s.NextOffset != 4 || s.Epoch < 1 {
+			t.Errorf("state went back: next %d, epoch %d", s.NextOffset, s.Epoch)
 		}
 	})
 }
--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -77,20 +77,20 @@
 		return movable(p) && c.hop == 0
 	}
 	s.touched = true
-	return !s.here && p.Kind == fault.PeerLost && c.hop == 0
+	return !s.here && p.Kind == fault.PeerUnreachable && c.hop == 0
 }
 
 // movable reports whether another box may take the request.
 func movable(p *fault.Fault) bool {
-	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnknown || p.Kind == fault.Stopping || p.Kind == fault.PeerLost
+	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnavailable || p.Kind == fault.Stopping || p.Kind == fault.PeerUnreachable
 }
 
 // settled is the failure as the caller sees it.
 func (s *search) settled(p *fault.Fault) error {
 	out := *p
 	out.NotRun = p.NotRun && !s.touched
-	if p.Kind == fault.PeerLost || p.Kind == fault.NotOwner {
-		out.Kind, out.Detail = fault.OwnerUnknown, "the owner of the program could not be reached"
+	if p.Kind == fault.PeerUnreachable || p.Kind == fault.NotOwner {
+		out.Kind, out.Detail = fault.OwnerUnavailable, "the owner of the program could not be reached"
 		out.RetryAfter = time.Second
 	}
 	return &out
@@ -105,7 +105,7 @@
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, c.r.Method, f.dialer.URL(to.Peer, path), bytes.NewReader(c.body))
 	if err != nil {
-		return fault.Refuse(fault.Internal, "forward cannot be built").Because(err)
+		return fault.Refuse(fault.Internal, "forward cannot be built").WithCause(err)
 	}
 	for _, name := range []string{"Authorization", "Content-Type", "Idempotency-Key"} {
 		if v := c.r.Header.Get(name); v != "" {
@@ -141,7 +141,7 @@
 
 func away(err error) error {
 	p := *fault.From(err)
-	p.Kind = fault.PeerLost
+	p.Kind = fault.PeerUnreachable
 	return &p
 }
 
@@ -159,7 +159,7 @@
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if _, werr := c.w.Write(buf[:n]); werr != nil {
-				return fault.Fail(fault.DeadlineMissed, "caller is gone").Because(werr)
+				return fault.Fail(fault.DeadlineMissed, "caller is gone").WithCause(werr)
 			}
 			_ = out.Flush()
 		}
@@ -167,7 +167,7 @@
 			return nil
 		}
 		if err != nil {
-			return away(fault.Fail(fault.TargetFailed, "answer broke off").Because(err))
+			return away(fault.Fail(fault.TargetFailed, "answer broke off").WithCause(err))
 		}
 	}
 }
--- a/gate/front/front.go
+++ b/gate/front/front.go
@@ -21,7 +21,7 @@
 // Programs runs programs on this box.
 type Programs interface {
 	Begin(ctx context.Context, begin types.Begin, parent string) (types.ProgramState, error)
-	Turn(ctx context.Context, ask prog.TurnAsk) (*prog.Run, error)
+	Turn(ctx context.Context, ask prog.TurnCall) (*prog.Run, error)
 	State(ctx context.Context, workspace, id, token string) (types.ProgramState, error)
 	End(ctx context.Context, workspace, id string) (types.ProgramState, error)
 	Continuation(workspace, program, token string) (*types.Continuation, error)
@@ -29,7 +29,7 @@
 
 // Calls runs calls of services on this box.
 type Calls interface {
-	Call(ctx context.Context, slot ident.Slot, ask plain.Ask) (types.ServiceAnswer, error)
+	Call(ctx context.Context, slot ident.Slot, ask plain.ServiceCall) (types.ServiceAnswer, error)
 }
 
 // Owners finds the box that owns a slot.
@@ -164,7 +164,7 @@
 	stopping := f.stopping && !c.peer
 	f.mu.Unlock()
 	if stopping {
-		return fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)
+		return fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 	if err := f.policies.Ready(); err != nil {
 		return err
@@ -183,10 +183,10 @@
 	f.counts.Count("front.failed."+string(p.Kind), 1)
 	f.logger.Debug("front: request refused", "request", c.id, "kind", string(p.Kind), "not_run", p.NotRun, "error", err)
 	if c.sent {
-		server.Cut(c.w)
+		server.CloseConnection(c.w)
 		return
 	}
-	server.Fail(c.w, c.id, err)
+	server.WriteProblem(c.w, c.id, err)
 }
 
 // Start implements a service.
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -115,7 +115,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return "", fault.Refuse(fault.NoPlace, "the policy allows no box for the data")
+		return "", fault.Refuse(fault.NoAllowedPlace, "the policy allows no box for the data")
 	}
 	local := slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		slot, err := ident.ParseSlot(name)
@@ -124,7 +124,7 @@
 	if len(local) > 0 {
 		names = local
 	}
-	slot, err := ident.ParseSlot(ident.Winner(c.id, names))
+	slot, err := ident.ParseSlot(ident.Rendezvous(c.id, names))
 	if err != nil {
 		return "", err
 	}
@@ -172,7 +172,7 @@
 		if err != nil {
 			return err
 		}
-		server.Write(c.w, status, body)
+		server.WriteJSON(c.w, status, body)
 		return nil
 	}
 }
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	ask := prog.TurnAsk{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
+	ask := prog.TurnCall{Program: id, Workspace: c.workspace, Request: c.id, Body: body}
 	return f.onOwner(c, slot, PathPrograms+"/"+id+"/turns", func() error {
 		run, err := f.programs.Turn(c.r.Context(), ask)
 		if err != nil {
@@ -226,7 +226,7 @@
 		if err != nil {
 			return err
 		}
-		server.Write(c.w, http.StatusOK, answer)
+		server.WriteJSON(c.w, http.StatusOK, answer)
 		return nil
 	})
 }
@@ -250,7 +250,7 @@
 }
 
 // stream sends the answer as server-sent events.
-func (f *Front) stream(c *call, run *prog.Run, ask prog.TurnAsk) error {
+func (f *Front) stream(c *call, run *prog.Run, ask prog.TurnCall) error {
 	// A failure before the first piece is still a plain problem.
 	piece, err := run.Next(c.r.Context(), 0, 0)
 	if err != nil {
@@ -287,7 +287,7 @@
 	return out.Close()
 }
 
-func chunk(ask prog.TurnAsk, seq int, text string) types.TurnAnswer {
+func chunk(ask prog.TurnCall, seq int, text string) types.TurnAnswer {
 	delta := types.Message{Role: "assistant", Content: text}
 	return types.TurnAnswer{
 		ID: ask.Request, Object: "chat.completion.chunk", Program: ask.Program, Turn: ask.Body.Turn, Sequence: seq,
--- a/gate/front/request.go
+++ b/gate/front/request.go
@@ -31,7 +31,7 @@
 	if id := r.Header.Get(peer.RequestHeader); fromPeer && id != "" && len(id) <= ident.MaxLen {
 		return id
 	}
-	return ident.Random()
+	return ident.RandomID()
 }
 
 func hop(r *http.Request, fromPeer bool) int {
@@ -50,7 +50,7 @@
 	limit := opts.BodyBytes
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(opts.BodyTimeout)); err != nil {
-		return nil, fault.Refuse(fault.Internal, "body cannot be bounded in time").Because(err)
+		return nil, fault.Refuse(fault.Internal, "body cannot be bounded in time").WithCause(err)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -59,7 +59,7 @@
 	}
 	if err != nil {
 		// The deadline stays: the server would wait for the rest of the body without one.
-		return nil, fault.Refuse(fault.BadRequest, "body could not be read").Because(err)
+		return nil, fault.Refuse(fault.BadRequest, "body could not be read").WithCause(err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return raw, nil
--- a/gate/front/services.go
+++ b/gate/front/services.go
@@ -23,7 +23,7 @@
 	}
 	path := PathPrograms + "/" + ask.Program + "/calls/" + ask.Service.Name
 	return f.onOwner(c, slot, path, func() error {
-		ask.Adopt, err = f.programs.Continuation(c.workspace, ask.Program, token)
+		ask.Continuation, err = f.programs.Continuation(c.workspace, ask.Program, token)
 		if err != nil {
 			return err
 		}
@@ -54,34 +54,34 @@
 	})
 }
 
-func (f *Front) serviceAsk(c *call) (plain.Ask, string, error) {
+func (f *Front) serviceAsk(c *call) (plain.ServiceCall, string, error) {
 	svc, err := f.policies.Service(c.path("service"))
 	if err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	key, err := c.key()
 	if err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	var body types.ServiceCall
 	if err := c.decode(&body); err != nil {
-		return plain.Ask{}, "", err
+		return plain.ServiceCall{}, "", err
 	}
 	if len(body.Input) == 0 {
-		return plain.Ask{}, "", fault.Refuse(fault.BadRequest, "input is missing")
+		return plain.ServiceCall{}, "", fault.Refuse(fault.BadRequest, "input is missing")
 	}
-	ask := plain.Ask{
+	ask := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: c.workspace}, Key: key, Body: body.Input,
 		Chunk: f.policies.Defaults().GrantChunk,
 	}
 	return ask, body.Continuation, nil
 }
 
-func (f *Front) call(c *call, slot ident.Slot, ask plain.Ask) error {
+func (f *Front) call(c *call, slot ident.Slot, ask plain.ServiceCall) error {
 	answer, err := f.calls.Call(c.r.Context(), slot, ask)
 	if err != nil {
 		return err
 	}
-	server.Write(c.w, http.StatusOK, answer)
+	server.WriteJSON(c.w, http.StatusOK, answer)
 	return nil
 }
--- a/gate/lease/message.go
+++ b/gate/lease/message.go
@@ -17,17 +17,17 @@
 // Leaving says that an engine takes no new work.
 type Leaving struct{ Name string }
 
-// Others is what another box has under way, by target.
-type Others struct {
+// RemoteStreams is what another box has under way, by target.
+type RemoteStreams struct {
 	Box     string
 	Streams map[string]int
 }
 
-// Forget drops what is believed of programs' caches.
-type Forget struct{ Programs []string }
+// ForgetPrograms drops what is believed of programs' caches.
+type ForgetPrograms struct{ Programs []string }
 
-// Cached is the whole list of what an engine holds.
-type Cached struct {
+// CacheList is the whole list of what an engine holds.
+type CacheList struct {
 	Target string
 	Tokens map[string]int
 }
@@ -38,11 +38,11 @@
 // Dropped says that an engine no longer holds a program's cache.
 type Dropped struct{ Program, Target string }
 
-func (Dropped) isMessage() {}
-func (Moved) isMessage()   {}
-func (Report) isMessage()  {}
-func (Targets) isMessage() {}
-func (Leaving) isMessage() {}
-func (Others) isMessage()  {}
-func (Forget) isMessage()  {}
-func (Cached) isMessage()  {}
+func (Dropped) isMessage()        {}
+func (Moved) isMessage()          {}
+func (Report) isMessage()         {}
+func (Targets) isMessage()        {}
+func (Leaving) isMessage()        {}
+func (RemoteStreams) isMessage()  {}
+func (ForgetPrograms) isMessage() {}
+func (CacheList) isMessage()      {}
--- a/gate/limit/adapt.go
+++ b/gate/limit/adapt.go
@@ -23,12 +23,12 @@
 	return int(a.limit)
 }
 
-// Good notes a call that met no queue.
-func (a *Adaptive) Good() {
+// Success notes a call that met no queue.
+func (a *Adaptive) Success() {
 	a.limit = math.Min(a.Max, a.limit+1/a.limit)
 }
 
-// Crowded notes that the target queues or refuses.
-func (a *Adaptive) Crowded() {
+// Overloaded notes that the target queues or refuses.
+func (a *Adaptive) Overloaded() {
 	a.limit = math.Max(a.Min, a.limit*shrink)
 }
--- a/gate/limit/eject.go
+++ b/gate/limit/eject.go
@@ -22,17 +22,17 @@
 	return &Ejector{fails: map[string]int{}, until: map[string]time.Time{}, spells: map[string]int{}}
 }
 
-// Good notes a success.
-func (e *Ejector) Good(name string) {
+// Success notes a success.
+func (e *Ejector) Success(name string) {
 	delete(e.fails, name)
 	delete(e.spells, name)
 	delete(e.until, name)
 }
 
-// Bad notes a failure; of is the number of targets in the pool. It reports an ejection.
-func (e *Ejector) Bad(now time.Time, name string, of int) bool {
+// Failure notes a failure; of is the number of targets in the pool. It reports an ejection.
+func (e *Ejector) Failure(now time.Time, name string, of int) bool {
 	e.fails[name]++
-	if e.fails[name] < failsToEject || 2*(e.Out(now)+1) > of {
+	if e.fails[name] < failsToEject || 2*(e.EjectedCount(now)+1) > of {
 		return false
 	}
 	spell := min(firstSpell<<e.spells[name], longestSpell)
@@ -47,8 +47,8 @@
 	return now.Before(e.until[name])
 }
 
-// Out counts the ejected targets.
-func (e *Ejector) Out(now time.Time) int {
+// EjectedCount counts the ejected targets.
+func (e *Ejector) EjectedCount(now time.Time) int {
 	n := 0
 	for _, until := range e.until {
 		if now.Before(until) {
--- a/gate/limit/limit_test.go
+++ b/gate/limit/limit_test.go
@@ -11,13 +11,13 @@
 func TestAdaptiveStaysInBounds(t *testing.T) {
 	a := NewAdaptive(4, 1, 8)
 	for range 1000 {
-		a.Good()
+		a.Success()
 	}
 	if diff := cmp.Diff(8, a.Limit()); diff != "" {
 		t.Errorf("limit after good calls (-want +got):\n%s", diff)
 	}
 	for range 1000 {
-		a.Crowded()
+		a.Overloaded()
 	}
 	if diff := cmp.Diff(1, a.Limit()); diff != "" {
 		t.Errorf("limit of a crowded target (-want +got):\n%s", diff)
@@ -26,10 +26,10 @@
 
 func TestRetriesAreAShareOfCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewRetries(0.1, 1, 5)
+		r := NewRetryBudget(0.1, 1, 5)
 		allowed := 0
 		for range 1000 {
-			r.Call()
+			r.RecordCall()
 			if r.Allow() {
 				allowed++
 			}
@@ -54,10 +54,10 @@
 	names := []string{"a", "b", "c", "d", "e"}
 	for range 10 {
 		for _, name := range names {
-			e.Bad(now, name, len(names))
+			e.Failure(now, name, len(names))
 		}
 	}
-	if diff := cmp.Diff(2, e.Out(now)); diff != "" {
+	if diff := cmp.Diff(2, e.EjectedCount(now)); diff != "" {
 		t.Errorf("ejected of five (-want +got):\n%s", diff)
 	}
 	if e.Ejected(now.Add(time.Hour), "a") {
--- a/gate/limit/retry.go
+++ b/gate/limit/retry.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Retries is a budget for retries: a share of the calls plus a small rate, so that
+// RetryBudget is a budget for retries: a share of the calls plus a small rate, so that
 // retries never multiply an overload.
-type Retries struct {
+type RetryBudget struct {
 	// share of calls that may be retries, and how many are saved up at most.
 	share, most float64
 	// rate is in retries a second that are allowed whatever the calls.
@@ -18,20 +18,20 @@
 	since time.Time
 }
 
-// NewRetries makes a budget that starts full.
-func NewRetries(share, rate, most float64) *Retries {
-	return &Retries{share: share, rate: rate, most: most, left: most, since: time.Now()}
+// NewRetryBudget makes a budget that starts full.
+func NewRetryBudget(share, rate, most float64) *RetryBudget {
+	return &RetryBudget{share: share, rate: rate, most: most, left: most, since: time.Now()}
 }
 
-// Call notes a first attempt.
-func (r *Retries) Call() {
+// RecordCall notes a first attempt.
+func (r *RetryBudget) RecordCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.left = min(r.most, r.left+r.share)
 }
 
 // Allow takes one retry from the budget, if there is one.
-func (r *Retries) Allow() bool {
+func (r *RetryBudget) Allow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/gate/lines/handler.go
+++ b/gate/lines/handler.go
@@ -34,8 +34,8 @@
 	counts map[string]*count
 }
 
-// Sum wraps a handler.
-func Sum(next slog.Handler) *Handler {
+// LimitRepeats wraps a handler.
+func LimitRepeats(next slog.Handler) *Handler {
 	return &Handler{next: next, sums: &sums{counts: map[string]*count{}}}
 }
 
--- a/gate/lines/lines_test.go
+++ b/gate/lines/lines_test.go
@@ -77,7 +77,7 @@
 func TestRepeatedLinesAreSummed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		log := slog.New(Sum(slog.NewTextHandler(&out, nil))).With("box", "b")
+		log := slog.New(LimitRepeats(slog.NewTextHandler(&out, nil))).With("box", "b")
 		for range maxPerWindow + 37 {
 			log.Info("part: again")
 		}
@@ -97,7 +97,7 @@
 func BenchmarkLine(b *testing.B) {
 	w := New(io.Discard)
 	defer w.Close()
-	log := slog.New(Sum(slog.NewJSONHandler(w, nil))).With("box", "frontend-1")
+	log := slog.New(LimitRepeats(slog.NewJSONHandler(w, nil))).With("box", "frontend-1")
 	for b.Loop() {
 		log.Info("turns: turn answered", "id", "e5b2907c14da6f38", "program", "3fa81c", "slot", 3, "replica", "i-7f3a91c2",
 			"prompt", 3590, "cached", 2560, "events", 11, "first", 60*time.Millisecond, "took", 200*time.Millisecond)
--- a/gate/load/load.go
+++ b/gate/load/load.go
@@ -101,7 +101,7 @@
 func (w *Watch) Start(context.Context) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(w.self.Peer))
 	if err != nil {
-		return fault.Refuse(fault.BadSettings, "cannot listen for datagrams on "+w.self.Peer.String()).Because(err)
+		return fault.Refuse(fault.BadSettings, "cannot listen for datagrams on "+w.self.Peer.String()).WithCause(err)
 	}
 	w.conn = conn
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,7 +148,7 @@
 	for _, box := range knowing {
 		names = append(names, box.Name)
 	}
-	return ident.Winner(rep.ID, names) == w.self.Name
+	return ident.Rendezvous(rep.ID, names) == w.self.Name
 }
 
 // boxesKnowing returns those of the boxes that know the replica.
--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -16,7 +16,7 @@
 
 // Lister reads the platform's list.
 type Lister interface {
-	List(ctx context.Context) (types.List, error)
+	List(ctx context.Context) (types.PlatformList, error)
 }
 
 // Beater sends a heartbeat to a box.
@@ -61,10 +61,10 @@
 	mu      sync.Mutex
 	self    types.Member
 	boxes   map[string]*box
-	list    types.List
+	list    types.PlatformList
 	fills   []func(*wire.BeatRequest)
 	heard   []func(*wire.BeatRequest)
-	lists   []func(types.List)
+	lists   []func(types.PlatformList)
 	rounds  int
 	listed  bool
 	started time.Time
@@ -117,7 +117,7 @@
 }
 
 // OnList is told of every list that was read.
-func (v *View) OnList(take func(types.List)) {
+func (v *View) OnList(take func(types.PlatformList)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lists = append(v.lists, take)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (v *View) take(list types.List) {
+func (v *View) take(list types.PlatformList) {
 	v.list = list
 	now := time.Now()
 	listed := map[string]bool{}
@@ -231,7 +231,7 @@
 		return members
 	}
 	var near []types.Member
-	for _, i := range ident.Closest(v.self.Name, len(members), func(i int) string { return members[i].Name }, v.timing.Fanout) {
+	for _, i := range ident.RendezvousTop(v.self.Name, len(members), func(i int) string { return members[i].Name }, v.timing.Fanout) {
 		near = append(near, members[i])
 	}
 	return near
--- a/gate/meter/meter.go
+++ b/gate/meter/meter.go
@@ -75,8 +75,8 @@
 }
 
 // Report reads all figures.
-func (m *Meter) Report() types.Figures {
-	out := types.Figures{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]types.Histogram{}}
+func (m *Meter) Report() types.Metrics {
+	out := types.Metrics{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]types.Histogram{}}
 	m.reg.Each(func(name string, v any) {
 		switch v := v.(type) {
 		case metrics.Counter:
--- a/gate/mirror/members.go
+++ b/gate/mirror/members.go
@@ -43,7 +43,7 @@
 		return members, nil
 	}
 	if len(others) > 0 && !m.mayReadMembers() {
-		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone returned the members")
+		return nil, fault.Refuse(fault.OwnerUnavailable, "no source of the zone returned the members")
 	}
 	return m.log.Members(ctx)
 }
@@ -98,7 +98,7 @@
 		return m.recordMembers(members, nil)
 	}
 	if len(announced) > 0 && !contains(announced, m.self.Name) && attempts < attemptsBeforeLog {
-		return nil, fault.Refuse(fault.OwnerUnknown, "no source of the zone has answered yet")
+		return nil, fault.Refuse(fault.OwnerUnavailable, "no source of the zone has answered yet")
 	}
 	members, err := m.recordMembers(m.log.Members(ctx))
 	if err != nil {
--- a/gate/mirror/mirror.go
+++ b/gate/mirror/mirror.go
@@ -189,5 +189,5 @@
 
 // errNotSource returns the fault for a request to a box that is not a source.
 func errNotSource() error {
-	return fault.Refuse(fault.OwnerUnknown, "this box is not a source")
+	return fault.Refuse(fault.OwnerUnavailable, "this box is not a source")
 }
--- a/gate/mirror/sources.go
+++ b/gate/mirror/sources.go
@@ -44,7 +44,7 @@
 		return zoneBoxes[i].Name, cores * cores
 	}
 	var sources []work.Box
-	for _, i := range ident.Shared(sourceRankKey, len(zoneBoxes), weight, minSources+len(zoneBoxes)/boxesPerSource) {
+	for _, i := range ident.WeightedRendezvousTop(sourceRankKey, len(zoneBoxes), weight, minSources+len(zoneBoxes)/boxesPerSource) {
 		sources = append(sources, zoneBoxes[i])
 	}
 	return sources
@@ -98,7 +98,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	var preferred, failed []work.Box
-	for _, i := range ident.Closest(self, len(boxes), name, len(boxes)) {
+	for _, i := range ident.RendezvousTop(self, len(boxes), name, len(boxes)) {
 		box := boxes[i]
 		switch {
 		case box.Name == self:
--- a/gate/mirror/world_test.go
+++ b/gate/mirror/world_test.go
@@ -235,11 +235,11 @@
 	to.requests.Add(1)
 	if to.frozen.Load() {
 		<-ctx.Done()
-		return nil, fault.Fail(fault.PeerLost, "no answer")
+		return nil, fault.Fail(fault.PeerUnreachable, "no answer")
 	}
 	time.Sleep(2 * time.Millisecond)
 	if to.dead.Load() {
-		return nil, fault.Refuse(fault.PeerLost, "reset")
+		return nil, fault.Refuse(fault.PeerUnreachable, "reset")
 	}
 	return to, nil
 }
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -137,8 +137,8 @@
 // others are the boxes by whose way the log may be called.
 type others struct{ node *Node }
 
-// Others implements detour.Others. What goes to the log may be bound to regions, and other regions are far.
-func (o others) Others() []work.Box {
+// Boxes implements detour.Others. What goes to the log may be bound to regions, and other regions are far.
+func (o others) Boxes() []work.Box {
 	regions, self := o.node.deps.Regions, o.node.deps.Self
 	var boxes []work.Box
 	for _, box := range o.node.view.Live() {
@@ -149,9 +149,9 @@
 	return boxes
 }
 
-// Via implements detour.Others.
-func (o others) Via(box work.Box) work.Log {
-	return o.node.peers.Via(box)
+// LogVia implements detour.Others.
+func (o others) LogVia(box work.Box) work.Log {
+	return o.node.peers.LogVia(box)
 }
 
 func (n *Node) boxesChanged() {
@@ -159,7 +159,7 @@
 	n.targets.SetBoxCount(len(live))
 	n.places.Renew()
 	n.targets.SetPlacerCount(n.places.Placers())
-	n.peers.Keep(live)
+	n.peers.CloseAllExcept(live)
 	n.counter.Update(time.Now(), n.feed.Config())
 	n.shards.Rebalance()
 }
@@ -228,7 +228,7 @@
 			continue
 		}
 		all.Go(func() {
-			if err := n.peers.Leaving(ctx, box, n.deps.Self.Member()); err != nil {
+			if err := n.peers.AnnounceLeave(ctx, box, n.deps.Self.Member()); err != nil {
 				n.deps.Logger.Info("node: box not told that this one leaves", "to", box.Name, "cause", err)
 			}
 		})
@@ -241,8 +241,8 @@
 	return !n.leaving.Load() && n.feed.Ready() && n.view.HasSettled() && !n.reach.CutOff()
 }
 
-// Figures writes what the box measures, in the usual text exposition format.
-func (n *Node) Figures(out io.Writer) error {
+// WriteMetrics writes what the box measures, in the usual text exposition format.
+func (n *Node) WriteMetrics(out io.Writer) error {
 	figures := n.deps.Meter
 	figures.Gauge("node.slots", int64(n.shards.HeldCount()))
 	figures.Gauge("node.boxes", int64(len(n.view.Live())))
@@ -291,7 +291,7 @@
 // Handle serves one call; see entry.Entry.Handle.
 func (n *Node) Handle(ctx context.Context, call *work.Call, left time.Duration, out work.Answer) error {
 	if n.feed.Config() != nil && !n.feed.Ready() {
-		return fault.Refuse(fault.NoConfig, "the list of replicas is not known yet").After(time.Second)
+		return fault.Refuse(fault.NoConfig, "the list of replicas is not known yet").WithRetryAfter(time.Second)
 	}
 	return n.entry.Handle(ctx, call, left, out)
 }
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -87,7 +87,7 @@
 	}
 	knows := func(name string) bool { return p.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
 	senders = slices.DeleteFunc(slices.Clone(senders), func(name string) bool { return !knows(name) })
-	return ident.Winner(rep.ID, senders) == p.self.Name
+	return ident.Rendezvous(rep.ID, senders) == p.self.Name
 }
 
 func names(boxes []work.Box) []string {
--- a/gate/node/place_test.go
+++ b/gate/node/place_test.go
@@ -76,7 +76,7 @@
 		}
 		owners := func(slot string, most int) []work.Box {
 			var boxes []work.Box
-			for _, i := range ident.Closest(slot, n, func(i int) string { return live[i].Name }, most) {
+			for _, i := range ident.RendezvousTop(slot, n, func(i int) string { return live[i].Name }, most) {
 				boxes = append(boxes, live[i])
 			}
 			return boxes
--- a/gate/node/reach.go
+++ b/gate/node/reach.go
@@ -144,7 +144,7 @@
 	var all []asked
 	for _, boxes := range zones {
 		name := func(i int) string { return boxes[i].Name }
-		for place, i := range ident.Closest(r.self, len(boxes), name, mostAsked) {
+		for place, i := range ident.RendezvousTop(r.self, len(boxes), name, mostAsked) {
 			all = append(all, asked{box: boxes[i], place: (float64(place) + 0.5) / float64(len(boxes))})
 		}
 	}
--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -29,7 +29,7 @@
 	// Incarnation is new for every start.
 	Incarnation string
 	Self        types.Member
-	Log         *logc.Log
+	Log         *logc.Client
 }
 
 // maker describes a service of a box.
@@ -50,7 +50,7 @@
 // New makes a box from settings; nothing runs yet.
 func New(set conf.Settings, logger *slog.Logger) *Box {
 	env := &Env{
-		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.Random(),
+		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.RandomID(),
 		Self: types.Member{Name: set.Box.Name, Zone: set.Box.Zone, Peer: set.Listen.Peers},
 		Log:  logc.New(set.Platform.Log, time.Duration(set.Platform.LogTimeout)),
 	}
--- a/gate/parts/engine.go
+++ b/gate/parts/engine.go
@@ -32,7 +32,7 @@
 	register("engine", func(env *Env) kernel.Part {
 		return kernel.Part{Needs: []string{"admit", "member", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set := env.Settings.Engines
-			timing := engine.Timing{Poll: time.Duration(set.Poll), IdlePoll: time.Duration(set.IdlePoll), Sync: time.Duration(set.Sync), Subset: set.Subset}
+			timing := engine.Timing{PollInterval: time.Duration(set.Poll), IdlePollInterval: time.Duration(set.IdlePoll), SyncInterval: time.Duration(set.Sync), SubsetSize: set.Subset}
 			return engine.New(env.Self.Name, env.Self.Zone, k.Find("admit").(*admit.Loop),
 				k.Find("member").(*member.View), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
 		}}
@@ -55,7 +55,7 @@
 		for _, s := range beat.GetSent() {
 			streams[s.GetTarget()] = int(s.GetStreams())
 		}
-		queue.Tell(lease.Others{Box: beat.GetBox(), Streams: streams})
+		queue.Tell(lease.RemoteStreams{Box: beat.GetBox(), Streams: streams})
 		for _, name := range beat.GetLeavingTargets() {
 			queue.Tell(lease.Leaving{Name: name})
 		}
--- a/gate/parts/errors_test.go
+++ b/gate/parts/errors_test.go
@@ -63,8 +63,8 @@
 		{"unknown model", request{"POST", "/v1/programs", token, "", `{"model":"m","data_class":"personal","budget":1}`}, fault.UnknownModel},
 		{"no data class", request{"POST", "/v1/programs", token, "", `{"model":"planner","budget":1}`}, fault.BadRequest},
 		{"no budget", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"personal"}`}, fault.BadRequest},
-		{"no allowed box", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"secret","budget":1}`}, fault.NoPlace},
-		{"no allowed target", request{"POST", turns(noPlace.ID), token, "", ask}, fault.NoPlace},
+		{"no allowed box", request{"POST", "/v1/programs", token, "", `{"model":"planner","data_class":"secret","budget":1}`}, fault.NoAllowedPlace},
+		{"no allowed target", request{"POST", turns(noPlace.ID), token, "", ask}, fault.NoAllowedPlace},
 		{"spent budget", request{"POST", turns(poor.ID), token, "", turnBody("1", strings.Repeat("w ", 40), "")}, fault.BudgetSpent},
 		{"missed deadline", request{"POST", turns(late.ID), token, "", ask}, fault.DeadlineMissed},
 		{"unknown service", request{"POST", "/v1/services/none/calls", token, "", `{"input":1}`}, fault.UnknownService},
@@ -219,7 +219,7 @@
 	if diff := cmp.Diff(0, len(engine.Items())); diff != "" {
 		t.Errorf("caches after tightening (-want +got):\n%s", diff)
 	}
-	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoPlace) {
+	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoAllowedPlace) {
 		t.Errorf("turn 2: %+v", problem)
 	}
 }
--- a/gate/parts/member.go
+++ b/gate/parts/member.go
@@ -20,29 +20,29 @@
 
 	mu   sync.Mutex
 	tag  string
-	last types.List
+	last types.PlatformList
 }
 
 // List implements member.Lister.
-func (l *lister) List(ctx context.Context) (types.List, error) {
+func (l *lister) List(ctx context.Context) (types.PlatformList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	req, err := client.Request(ctx, http.MethodGet, "http://"+l.addr.String()+"/v1/list", nil)
 	if err != nil {
-		return types.List{}, err
+		return types.PlatformList{}, err
 	}
 	if l.tag != "" {
 		req.Header.Set("If-None-Match", l.tag)
 	}
 	resp, err := l.http.Do(req)
 	if err != nil {
-		return types.List{}, err
+		return types.PlatformList{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotModified {
 		return l.last, nil
 	}
-	var list types.List
+	var list types.PlatformList
 	if err := client.Decode(resp, &list); err != nil {
 		return list, err
 	}
--- a/gate/parts/prog.go
+++ b/gate/parts/prog.go
@@ -30,7 +30,7 @@
 			svc := prog.New(env.Self.Zone, owners, k.Find("admit").(*admit.Loop), k.Find("engine").(*engine.Engines),
 				k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), k.Find("trail").(*trail.Trail), env.Logger)
 			owners.Watch(svc)
-			k.Find("policy").(*policy.Store).OnChange(func(*policy.State) { svc.Tightened() })
+			k.Find("policy").(*policy.Store).OnChange(func(*policy.State) { svc.ReleaseDisallowedCaches() })
 			return svc, nil
 		}}
 	})
@@ -38,11 +38,13 @@
 		return kernel.Part{Needs: []string{"policy", "meter", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			p := plain.NewPools(env.Self.Zone, k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter))
 			view := k.Find("member").(*member.View)
-			view.OnList(p.Take)
-			view.Announce(func(beat *wire.BeatRequest) { beat.LeavingTargets = append(beat.LeavingTargets, p.Left()...) })
+			view.OnList(p.UpdateTargets)
+			view.Announce(func(beat *wire.BeatRequest) {
+				beat.LeavingTargets = append(beat.LeavingTargets, p.LeavingReplicas()...)
+			})
 			view.Listen(func(beat *wire.BeatRequest) {
 				for _, name := range beat.GetLeavingTargets() {
-					p.Leaving(name)
+					p.MarkLeaving(name)
 				}
 			})
 			return pools{p}, nil
--- a/gate/parts/slots.go
+++ b/gate/parts/slots.go
@@ -15,8 +15,8 @@
 		return kernel.Part{Needs: []string{"member", "policy", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set, plat := env.Settings.Slots, env.Settings.Platform
 			timing := slots.Timing{
-				Tick: time.Duration(set.Tick), FlushAfter: time.Duration(set.FlushAfter), AdoptAfter: time.Duration(set.AdoptAfter),
-				Retention: time.Duration(plat.Retention), AppendShare: plat.AppendShare(), MaxQueued: set.MaxQueued,
+				CheckInterval: time.Duration(set.Tick), FlushDelay: time.Duration(set.FlushAfter), AdoptionDelay: time.Duration(set.AdoptAfter),
+				Retention: time.Duration(plat.Retention), AppendRate: plat.AppendShare(), MaxQueued: set.MaxQueued,
 			}
 			return slots.New(env.Self, env.Incarnation, env.Log, k.Find("member").(*member.View),
 				k.Find("policy").(*policy.Store), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
--- a/gate/parts/tls.go
+++ b/gate/parts/tls.go
@@ -63,7 +63,7 @@
 	if k.cert != nil {
 		return k.cert, k.pool, nil
 	}
-	return nil, nil, fault.Refuse(fault.BadSettings, "certificate cannot be read").Because(err)
+	return nil, nil, fault.Refuse(fault.BadSettings, "certificate cannot be read").WithCause(err)
 }
 
 func readPool(path string) (*x509.CertPool, error) {
@@ -72,7 +72,7 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Refuse(fault.BadSettings, "CA file cannot be read").Because(err)
+		return nil, fault.Refuse(fault.BadSettings, "CA file cannot be read").WithCause(err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
@@ -150,7 +150,7 @@
 	}
 	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: between})
 	if err != nil {
-		return fault.Refuse(fault.BadKey, "the box's certificate is not signed by the CA").Because(err)
+		return fault.Refuse(fault.BadKey, "the box's certificate is not signed by the CA").WithCause(err)
 	}
 	return nil
 }
--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -61,7 +61,7 @@
 func (d *Dialer) Beat(ctx context.Context, addr netip.AddrPort, beat *wire.BeatRequest) (*wire.BeatReply, error) {
 	reply, err := d.peer(addr).Beat(ctx, beat)
 	if err != nil {
-		return nil, fault.Fail(fault.TargetFailed, "heartbeat failed").Because(err)
+		return nil, fault.Fail(fault.TargetFailed, "heartbeat failed").WithCause(err)
 	}
 	return reply, nil
 }
@@ -70,7 +70,7 @@
 func (d *Dialer) Revision(ctx context.Context, addr netip.AddrPort, have int64) ([]byte, error) {
 	reply, err := d.peer(addr).Revision(ctx, &wire.RevisionRequest{Have: have})
 	if err != nil {
-		return nil, fault.Fail(fault.TargetFailed, "revision fetch failed").Because(err)
+		return nil, fault.Fail(fault.TargetFailed, "revision fetch failed").WithCause(err)
 	}
 	return reply.GetRevision(), nil
 }
@@ -85,8 +85,8 @@
 	return d.stream.Do(req)
 }
 
-// Views answers heartbeats.
-type Views interface {
+// HeartbeatHandler answers heartbeats.
+type HeartbeatHandler interface {
 	Beat(ctx context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error)
 }
 
@@ -97,12 +97,12 @@
 
 // Server answers other boxes.
 type Server struct {
-	views Views
+	views HeartbeatHandler
 	revs  Revisions
 }
 
 // NewServer makes the twirp handler for the boxes' listener.
-func NewServer(views Views, revs Revisions) http.Handler {
+func NewServer(views HeartbeatHandler, revs Revisions) http.Handler {
 	return wire.NewPeersServer(&Server{views: views, revs: revs})
 }
 
--- a/gate/plain/flight.go
+++ b/gate/plain/flight.go
@@ -62,13 +62,13 @@
 	case <-limit.Done():
 	}
 	if f.leave() {
-		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log has not taken the intent in time").After(intentWait)
+		return types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the log has not taken the intent in time").WithRetryAfter(intentWait)
 	}
 	select {
 	case <-f.done:
 		return f.answer, f.err
 	case <-ctx.Done():
-		return types.ServiceAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").Because(ctx.Err())
+		return types.ServiceAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").WithCause(ctx.Err())
 	}
 }
 
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -22,14 +22,14 @@
 
 // Replicas sends calls to services.
 type Replicas interface {
-	Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
-	Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
+	SendOnce(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
+	SendRepeatable(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error)
 	Probe(ctx context.Context, svc types.Service, in types.RuleInput, key string) (json.RawMessage, bool, error)
 }
 
 // Sealer encrypts what the log keeps.
 type Sealer interface {
-	Ring() (*seal.Ring, error)
+	Ring() (*seal.Keyring, error)
 }
 
 const (
@@ -40,8 +40,8 @@
 	probeWait   = 2 * time.Second
 )
 
-// Ask is a call to a tool or plain service.
-type Ask struct {
+// ServiceCall is a call to a tool or plain service.
+type ServiceCall struct {
 	Service types.Service
 	Input   types.RuleInput
 	// Key is empty for calls without one. It is the caller's, within its workspace.
@@ -49,8 +49,8 @@
 	Program string
 	Body    json.RawMessage
 	Chunk   int64
-	// Adopt is the program's opened continuation, if the caller sent one.
-	Adopt *types.Continuation
+	// Continuation is the program's opened continuation, if the caller sent one.
+	Continuation *types.Continuation
 }
 
 // Plain is the service.
@@ -88,20 +88,20 @@
 }
 
 // Call runs the call on the slot's owner.
-func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
+func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
 	if !ask.Service.Repeatable && ask.Key != "" {
 		return p.keyed(ctx, slot, ask)
 	}
 	if err := p.pay(ctx, slot, ask); err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	body := Body{Key: ident.Random(), Input: ask.Body}
+	body := Body{Key: ident.RandomID(), Input: ask.Body}
 	if ask.Key != "" {
 		body.Key = scoped(ask)
 	}
-	send := p.pools.Repeat
+	send := p.pools.SendRepeatable
 	if !ask.Service.Repeatable {
-		send = p.pools.Once
+		send = p.pools.SendOnce
 	}
 	out, err := send(ctx, ask.Service, ask.Input, body)
 	if err != nil {
@@ -111,19 +111,19 @@
 }
 
 // scoped is the key as the log and the service see it.
-func scoped(ask Ask) string {
+func scoped(ask ServiceCall) string {
 	return ask.Input.Workspace + "/" + ask.Key
 }
 
 // pay charges a call without an intent before it is sent.
-func (p *Plain) pay(ctx context.Context, slot ident.Slot, ask Ask) error {
+func (p *Plain) pay(ctx context.Context, slot ident.Slot, ask ServiceCall) error {
 	if ask.Program == "" || ask.Service.Price == 0 {
 		return nil
 	}
 	intent := types.Intent{Workspace: ask.Input.Workspace, Program: ask.Program}
 	price := desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk}
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adopt(d, ask.Adopt)
+		adopted, err := adopt(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
@@ -149,18 +149,18 @@
 	return ticket.Wait(ctx)
 }
 
-func (p *Plain) keyed(ctx context.Context, slot ident.Slot, ask Ask) (types.ServiceAnswer, error) {
+func (p *Plain) keyed(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
 	sum := sha256.New()
 	_, _ = sum.Write([]byte(ask.Service.Name + "\x00"))
 	_, _ = sum.Write(ask.Body)
 	intent := types.Intent{
-		Key: scoped(ask), Attempt: ident.Random(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
-		Program: ask.Program, Ask: sum.Sum(nil), At: time.Now(),
+		Key: scoped(ask), Attempt: ident.RandomID(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
+		Program: ask.Program, RequestDigest: sum.Sum(nil), At: time.Now(),
 	}
 	fl := newFlight(intent.Attempt)
 	var start desk.CallStart
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
-		adopted, err := adopt(d, ask.Adopt)
+		adopted, err := adopt(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
@@ -191,11 +191,11 @@
 }
 
 // fly waits for the log to hold the intent, dispatches once, and logs the outcome.
-func (p *Plain) fly(slot ident.Slot, ask Ask, callRun *desk.CallRun, fl *flight, ticket *desk.Ticket) {
+func (p *Plain) fly(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, fl *flight, ticket *desk.Ticket) {
 	began := time.Now()
 	<-ticket.Done()
 	if err := ticket.Wait(context.Background()); err != nil {
-		fl.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the slot was lost before dispatch").After(time.Second).Because(err))
+		fl.finish(types.ServiceAnswer{}, fault.Refuse(fault.LogUnavailable, "the slot was lost before dispatch").WithRetryAfter(time.Second).WithCause(err))
 		return
 	}
 	p.counts.Time("plain.intent_time", time.Since(began))
@@ -206,18 +206,18 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
-	out, err := p.pools.Once(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
+	out, err := p.pools.SendOnce(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
 	p.land(slot, ask, callRun, fl, out, err)
 }
 
 // land logs how the dispatched call ended, then tells the callers. A refusal with not_run
 // frees the key; any other failure leaves the outcome unknown.
-func (p *Plain) land(slot ident.Slot, ask Ask, callRun *desk.CallRun, fl *flight, out json.RawMessage, err error) {
+func (p *Plain) land(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, fl *flight, out json.RawMessage, err error) {
 	if err != nil {
 		f := fault.From(err)
 		p.end(slot, callRun, types.Outcome{NotRun: f.NotRun, Unknown: !f.NotRun})
 		if !f.NotRun {
-			f = fault.Fail(fault.OutcomeUnknown, "the call was dispatched and its outcome is not known").Because(err)
+			f = fault.Fail(fault.OutcomeUnknown, "the call was dispatched and its outcome is not known").WithCause(err)
 		}
 		fl.finish(types.ServiceAnswer{}, f)
 		return
@@ -245,7 +245,7 @@
 	}
 }
 
-func (p *Plain) seal(ask Ask, out json.RawMessage) ([]byte, error) {
+func (p *Plain) seal(ask ServiceCall, out json.RawMessage) ([]byte, error) {
 	ring, err := p.sealer.Ring()
 	if err != nil {
 		return nil, err
@@ -253,21 +253,21 @@
 	return ring.Seal(ask.Input.Workspace, scoped(ask), out)
 }
 
-func (p *Plain) stored(ask Ask, out types.Outcome) (types.ServiceAnswer, error) {
+func (p *Plain) stored(ask ServiceCall, out types.Outcome) (types.ServiceAnswer, error) {
 	ring, err := p.sealer.Ring()
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
 	plain, err := ring.Open(ask.Input.Workspace, scoped(ask), out.Sealed)
 	if err != nil {
-		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").Because(err)
+		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").WithCause(err)
 	}
 	return types.ServiceAnswer{ID: out.Attempt, Output: plain, Stored: true}, nil
 }
 
 // unknown settles an intent of which nobody here knows the outcome, if the service can
 // be asked; it never runs the call again.
-func (p *Plain) unknown(ctx context.Context, slot ident.Slot, ask Ask, intent types.Intent) (types.ServiceAnswer, error) {
+func (p *Plain) unknown(ctx context.Context, slot ident.Slot, ask ServiceCall, intent types.Intent) (types.ServiceAnswer, error) {
 	failed := fault.Fail(fault.OutcomeUnknown, "the call was begun and its outcome is not known")
 	if ask.Service.ProbePath == "" {
 		return types.ServiceAnswer{}, failed
@@ -276,7 +276,7 @@
 	defer stop()
 	out, done, err := p.pools.Probe(ctx, ask.Service, ask.Input, intent.Key)
 	if err != nil || !done {
-		return types.ServiceAnswer{}, failed.Because(err)
+		return types.ServiceAnswer{}, failed.WithCause(err)
 	}
 	sealed, err := p.seal(ask, out)
 	if err != nil {
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -19,14 +19,14 @@
 // Pools routes to the replicas of services.
 type Pools struct {
 	zone   string
-	places Places
+	places PlacementPolicy
 	counts Counts
 	http   *client.Client
 
 	mu       sync.Mutex
 	replicas map[string]*replica
 	eject    *limit.Ejector
-	retries  map[string]*limit.Retries
+	retries  map[string]*limit.RetryBudget
 }
 
 type replica struct {
@@ -51,8 +51,8 @@
 	backoffMost = 500 * time.Millisecond
 )
 
-// Places says where a use of data is allowed.
-type Places interface {
+// PlacementPolicy says where a use of data is allowed.
+type PlacementPolicy interface {
 	Allowed(in types.RuleInput) bool
 }
 
@@ -63,15 +63,15 @@
 }
 
 // NewPools makes the pools of a box in zone.
-func NewPools(zone string, places Places, counts Counts) *Pools {
+func NewPools(zone string, places PlacementPolicy, counts Counts) *Pools {
 	return &Pools{
 		zone: zone, places: places, counts: counts, http: client.New("plain", nil),
-		replicas: map[string]*replica{}, eject: limit.NewEjector(), retries: map[string]*limit.Retries{},
+		replicas: map[string]*replica{}, eject: limit.NewEjector(), retries: map[string]*limit.RetryBudget{},
 	}
 }
 
-// Take follows the platform's list.
-func (p *Pools) Take(list types.List) {
+// UpdateTargets follows the platform's list.
+func (p *Pools) UpdateTargets(list types.PlatformList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	seen := map[string]bool{}
@@ -95,8 +95,8 @@
 	}
 }
 
-// Leaving notes that another box has seen a replica leave.
-func (p *Pools) Leaving(name string) {
+// MarkLeaving notes that another box has seen a replica leave.
+func (p *Pools) MarkLeaving(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r, ok := p.replicas[name]; ok {
@@ -104,8 +104,8 @@
 	}
 }
 
-// Left lists the replicas known to leave.
-func (p *Pools) Left() []string {
+// LeavingReplicas lists the replicas known to leave.
+func (p *Pools) LeavingReplicas() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
@@ -129,14 +129,14 @@
 	Output json.RawMessage `json:"output,omitempty"`
 }
 
-// Once sends the call to one replica. Only a failure that proves that nothing was handed
+// SendOnce sends the call to one replica. Only a failure that proves that nothing was handed
 // over moves it to another.
-func (p *Pools) Once(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
+func (p *Pools) SendOnce(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
 	return p.attempts(ctx, svc, in, body, func(err error) bool { return fault.From(err).NotRun })
 }
 
-// Repeat sends a repeatable call, again elsewhere after any failure of the target.
-func (p *Pools) Repeat(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
+// SendRepeatable sends a repeatable call, again elsewhere after any failure of the target.
+func (p *Pools) SendRepeatable(ctx context.Context, svc types.Service, in types.RuleInput, body Body) (json.RawMessage, error) {
 	again := func(err error) bool {
 		f := fault.From(err)
 		return f.NotRun || f.Kind == fault.TargetFailed || f.Kind == fault.Protocol
@@ -185,7 +185,7 @@
 
 func (p *Pools) attempts(ctx context.Context, svc types.Service, in types.RuleInput, body Body, again func(error) bool) (json.RawMessage, error) {
 	budget := p.budget(svc.Name)
-	budget.Call()
+	budget.RecordCall()
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = backoffBase, backoffMost
 	var failed []string
@@ -223,16 +223,16 @@
 	case <-time.After(d):
 		return nil
 	case <-ctx.Done():
-		return fault.Refuse(fault.DeadlineMissed, "no time is left for another attempt").Because(ctx.Err())
+		return fault.Refuse(fault.DeadlineMissed, "no time is left for another attempt").WithCause(ctx.Err())
 	}
 }
 
-func (p *Pools) budget(service string) *limit.Retries {
+func (p *Pools) budget(service string) *limit.RetryBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b, ok := p.retries[service]
 	if !ok {
-		b = limit.NewRetries(retryShare, retryRate, retryMost)
+		b = limit.NewRetryBudget(retryShare, retryRate, retryMost)
 		p.retries[service] = b
 	}
 	return b
@@ -284,11 +284,11 @@
 func none(known, allowed, busy int) error {
 	switch {
 	case known > 0 && allowed == 0:
-		return fault.Refuse(fault.NoPlace, "the policy allows no target for the data")
+		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
 	case busy > 0:
-		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").After(firstTook * firstLimit)
+		return fault.Refuse(fault.Overloaded, "all replicas are at their limit").WithRetryAfter(firstTook * firstLimit)
 	default:
-		return fault.Refuse(fault.NoTarget, "no allowed replica serves now").After(time.Second)
+		return fault.Refuse(fault.NoTarget, "no allowed replica serves now").WithRetryAfter(time.Second)
 	}
 }
 
@@ -341,18 +341,18 @@
 	switch {
 	case err == nil:
 		if took > slowFactor*r.took && r.mine > 1 {
-			r.limit.Crowded()
+			r.limit.Overloaded()
 		} else {
-			r.limit.Good()
+			r.limit.Success()
 		}
 		r.took += time.Duration(tookGain * float64(took-r.took))
-		p.eject.Good(r.target.Name)
+		p.eject.Success(r.target.Name)
 	case f.Kind == fault.Overloaded:
-		r.limit.Crowded()
+		r.limit.Overloaded()
 	case f.Kind == fault.Stopping:
 		r.target.Leaving = true
 	default:
-		if p.eject.Bad(time.Now(), r.target.Name, p.size(r.target.Service)) {
+		if p.eject.Failure(time.Now(), r.target.Name, p.size(r.target.Service)) {
 			p.counts.Count("plain.ejections", 1)
 		}
 	}
--- a/gate/plain/pool_test.go
+++ b/gate/plain/pool_test.go
@@ -31,9 +31,9 @@
 	}))
 	defer srv.Close()
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-	list := types.List{Targets: []types.Target{{Name: "r", Kind: types.Plain, Service: "booking", Addr: addr}}}
+	list := types.PlatformList{Targets: []types.Target{{Name: "r", Kind: types.Plain, Service: "booking", Addr: addr}}}
 	pools := NewPools("a", anywhere{}, noCounts{})
-	pools.Take(list)
+	pools.UpdateTargets(list)
 	stop := make(chan struct{})
 	var lists sync.WaitGroup
 	lists.Go(func() {
@@ -42,13 +42,13 @@
 			case <-stop:
 				return
 			default:
-				pools.Take(list)
+				pools.UpdateTargets(list)
 			}
 		}
 	})
 	svc := types.Service{Name: "booking", ProbePath: "/v1/probe"}
 	for range 50 {
-		if _, err := pools.Once(context.Background(), svc, types.RuleInput{}, Body{Input: json.RawMessage(`{}`)}); err != nil {
+		if _, err := pools.SendOnce(context.Background(), svc, types.RuleInput{}, Body{Input: json.RawMessage(`{}`)}); err != nil {
 			t.Error(err)
 		}
 		if _, _, err := pools.Probe(context.Background(), svc, types.RuleInput{}, "k"); err != nil {
--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -58,7 +58,7 @@
 // Store is the service.
 type Store struct {
 	self    string
-	root    *seal.Root
+	root    *seal.RootKey
 	log     Log
 	fetch   Fetcher
 	view    View
@@ -69,7 +69,7 @@
 	confirmed atomic.Int64
 
 	mu       sync.Mutex
-	fold     *revs.Fold
+	fold     *revs.StreamState
 	appended time.Time
 	hooks    []func(*State)
 	behind   chan netip.AddrPort
@@ -79,7 +79,7 @@
 }
 
 // New makes the service; keys are the operators' public keys.
-func New(self string, root *seal.Root, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
+func New(self string, root *seal.RootKey, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
 	return &Store{
 		self: self, root: root, log: log, fetch: fetch, view: view, timing: timing, logger: logger,
 		fold: revs.New(keys), behind: make(chan netip.AddrPort, 1),
@@ -113,7 +113,7 @@
 func (s *Store) Current() (*State, error) {
 	st := s.current.Load()
 	if st == nil {
-		return nil, fault.Refuse(fault.StaleConfig, "no configuration is known yet").After(time.Second)
+		return nil, fault.Refuse(fault.StaleConfig, "no configuration is known yet").WithRetryAfter(time.Second)
 	}
 	return st, nil
 }
@@ -126,7 +126,7 @@
 	}
 	bound := time.Duration(st.Revision.Config.Policy.MaxStale)
 	if bound > 0 && s.Age() > bound {
-		return nil, fault.Refuse(fault.StaleConfig, "the configuration was not confirmed for too long").After(time.Second)
+		return nil, fault.Refuse(fault.StaleConfig, "the configuration was not confirmed for too long").WithRetryAfter(time.Second)
 	}
 	return st, nil
 }
@@ -167,7 +167,7 @@
 		return nil
 	}
 	rev := st.Revision
-	rev.Carry = true
+	rev.IsCopy = true
 	raw, err := json.Marshal(rev)
 	if err != nil {
 		return nil
@@ -236,7 +236,7 @@
 	s.fold.Next = max(s.fold.Next, page.First)
 	for _, entry := range page.Entries {
 		rev, verdict := s.fold.Apply(entry)
-		if s.fold.At == entry.Offset {
+		if s.fold.CurrentOffset == entry.Offset {
 			s.appended = time.Now()
 		}
 		s.logger.Debug("policy: entry read", "revision", rev.Number, "verdict", string(verdict))
@@ -274,10 +274,10 @@
 	if json.Unmarshal(raw, &rev) != nil {
 		return
 	}
-	rev.Carry = true
+	rev.IsCopy = true
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.fold.Offer(rev)
+	verdict := s.fold.ApplyRevision(rev)
 	if verdict == revs.Accepted {
 		s.confirmed.Store(time.Now().UnixNano())
 	}
@@ -299,11 +299,11 @@
 		names = append(names, m.Name)
 	}
 	late := age > 2*s.timing.Retention/carryDiv
-	if ident.Winner(revs.Stream, names) != s.self && !late {
+	if ident.Rendezvous(revs.Stream, names) != s.self && !late {
 		return
 	}
 	copied := *rev
-	copied.Carry = true
+	copied.IsCopy = true
 	raw, err := json.Marshal(copied)
 	if err != nil {
 		return
--- a/gate/policy/rules.go
+++ b/gate/policy/rules.go
@@ -6,7 +6,7 @@
 )
 
 // Ring is the key ring in force.
-func (s *Store) Ring() (*seal.Ring, error) {
+func (s *Store) Ring() (*seal.Keyring, error) {
 	st, err := s.Current()
 	if err != nil {
 		return nil, err
--- a/gate/policy/state.go
+++ b/gate/policy/state.go
@@ -16,8 +16,8 @@
 // State is one revision in force, with what was made from it. It never changes.
 type State struct {
 	Revision types.Revision
-	Rules    *rules.Set
-	Ring     *seal.Ring
+	Rules    *rules.Policy
+	Ring     *seal.Keyring
 
 	slots      []ident.Slot
 	workspaces map[string]types.Workspace
@@ -31,13 +31,13 @@
 
 const maxVerdicts = 100_000
 
-func newState(rev types.Revision, root *seal.Root) (*State, error) {
+func newState(rev types.Revision, root *seal.RootKey) (*State, error) {
 	cfg := rev.Config
 	set, err := rules.Compile(cfg.Policy)
 	if err != nil {
 		return nil, err
 	}
-	ring, err := seal.NewRing(root, cfg.Keys)
+	ring, err := seal.NewKeyring(root, cfg.Keys)
 	if err != nil {
 		return nil, err
 	}
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -13,14 +13,14 @@
 
 // Owners tells which slots this box holds.
 type Owners interface {
-	Held() map[ident.Slot]int64
+	Owned() map[ident.Slot]int64
 }
 
 // Engines reads and orders engines.
 type Engines interface {
 	Targets() []types.Target
 	Models(ctx context.Context, target types.Target) (map[string]string, error)
-	Order(ctx context.Context, target types.Target, order types.EngineOrder) error
+	SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error
 }
 
 // Policies is the configuration in force.
@@ -29,8 +29,8 @@
 	Models() []types.Model
 }
 
-// Leavers tells which engines leave.
-type Leavers interface {
+// LeavingEngines tells which engines leave.
+type LeavingEngines interface {
 	Leaving() []string
 }
 
@@ -51,7 +51,7 @@
 	owners   Owners
 	engines  Engines
 	policies Policies
-	leavers  Leavers
+	leavers  LeavingEngines
 	counts   Counts
 	logger   *slog.Logger
 
@@ -63,7 +63,7 @@
 }
 
 // New makes the service.
-func New(owners Owners, engines Engines, policies Policies, leavers Leavers, counts Counts, logger *slog.Logger) *Pool {
+func New(owners Owners, engines Engines, policies Policies, leavers LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
 	p := &Pool{
 		owners: owners, engines: engines, policies: policies, leavers: leavers, counts: counts, logger: logger,
 		quiet: map[string]time.Time{},
@@ -104,7 +104,7 @@
 	if len(slots) == 0 {
 		return
 	}
-	held := p.owners.Held()
+	held := p.owners.Owned()
 	for _, model := range p.policies.Models() {
 		epoch, mine := held[Slot(model.Name, slots)]
 		if !mine || model.MinWarm == 0 || time.Now().Before(p.quiet[model.Name]) {
@@ -116,12 +116,12 @@
 
 // tend gives at most one order for the model: the weight store is shared.
 func (p *Pool) tend(model types.Model, epoch int64) {
-	target, ok := Choose(model, p.read())
+	target, ok := ChooseEngine(model, p.read())
 	if !ok {
 		return
 	}
 	order := types.EngineOrder{Kind: loadOrder, Model: model.Name, Version: model.Version, Fence: epoch}
-	err := p.engines.Order(p.ctx, target, order)
+	err := p.engines.SendModelOrder(p.ctx, target, order)
 	if err == nil {
 		p.counts.Count("pool.orders", 1)
 		p.logger.Info("pool: engine ordered to load", "target", target.Name, "model", model.Name, "version", model.Version, "fence", epoch)
@@ -158,10 +158,10 @@
 	return out
 }
 
-// Choose picks the engine that should load the model next, if any. An engine that serves
+// ChooseEngine picks the engine that should load the model next, if any. An engine that serves
 // another version is only changed while a second one serves the model, so that an order
 // never takes the last warm replica away.
-func Choose(model types.Model, replicas []Replica) (types.Target, bool) {
+func ChooseEngine(model types.Model, replicas []Replica) (types.Target, bool) {
 	var warm, stale, cold []types.Target
 	for _, r := range replicas {
 		version, loaded := r.Models[model.Name]
--- a/gate/pool/pool_test.go
+++ b/gate/pool/pool_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, _ := Choose(model, c.replicas)
+			got, _ := ChooseEngine(model, c.replicas)
 			if diff := cmp.Diff(c.want, got.Name); diff != "" {
 				t.Errorf("target (-want +got):\n%s", diff)
 			}
--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -134,7 +134,7 @@
 	ctx, stop := context.WithTimeout(ctx, endWait)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log does not hold the end yet").After(time.Second).Because(err)
+		return types.ProgramState{}, fault.Fail(fault.LogUnavailable, "the log does not hold the end yet").WithRetryAfter(time.Second).WithCause(err)
 	}
 	return state, nil
 }
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -33,7 +33,7 @@
 	if !ok {
 		return
 	}
-	to, ok := p.queue.Refuge(lease.Ask{Input: input(begin), Program: id})
+	to, ok := p.queue.EvacuationTarget(lease.Request{Input: input(begin), Program: id})
 	if !ok {
 		return
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return types.Begin{}, false
 	}
-	if _, mine := p.owner.Held()[slot]; !mine {
+	if _, mine := p.owner.Owned()[slot]; !mine {
 		return types.Begin{}, false
 	}
 	var begin types.Begin
@@ -60,9 +60,9 @@
 	return begin, found && err == nil
 }
 
-// Tightened releases caches on engines where the policy in force no longer allows them.
+// ReleaseDisallowedCaches releases caches on engines where the policy in force no longer allows them.
 // A turn that runs there is let finish; the next one goes elsewhere.
-func (p *Prog) Tightened() {
+func (p *Prog) ReleaseDisallowedCaches() {
 	for name, ids := range p.queue.Holders() {
 		target, ok := p.engines.Target(name)
 		if !ok {
