--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -37,7 +37,7 @@
 		return
 	}
 	content := types.TurnContent{
-		Ask: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
+		Request: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
 		Usage: end.Usage, Finish: end.Finish, ID: attempt.id,
 	}
 	p.conclude(j, run, turnRun, cont, content)
@@ -47,7 +47,7 @@
 	ctx, stop := context.WithTimeout(ctx, grantWait)
 	defer stop()
 	if err := ticket.Wait(ctx); err != nil {
-		return fault.Refuse(fault.LogUnavailable, "the log has not granted the call in time").After(time.Second).Because(err)
+		return fault.Refuse(fault.LogUnavailable, "the log has not granted the call in time").WithRetryAfter(time.Second).WithCause(err)
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 			touched = true
 			try.spent = turnRun.Reserved
 		}
-		p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "attempt failed", Why: string(f.Kind), Target: target})
+		p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
 		if target == "" || n == maxAttempts || ctx.Err() != nil {
 			return end, try, told(f, touched)
 		}
@@ -126,21 +126,21 @@
 	in := input(j.begin)
 	in.Turn = int64(j.ask.Body.Turn)
 	work := sched.ProgramProgress{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
-	place, err := p.queue.Acquire(ctx, lease.Ask{
-		Input: in, Program: j.ask.Program, Work: work, Prompt: j.known + tokens(j.ask.Body.Messages),
-		Expected: int(float64(j.maxTokens) * expectShare), Fresh: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
-		Deadline: j.begin.Deadline, Avoid: avoid,
+	place, err := p.queue.Acquire(ctx, lease.Request{
+		Input: in, Program: j.ask.Program, Progress: work, PromptTokens: j.known + tokens(j.ask.Body.Messages),
+		ExpectedTokens: int(float64(j.maxTokens) * expectShare), NewProgram: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
+		Deadline: j.begin.Deadline, Exclude: avoid,
 	})
 	if err != nil {
 		return types.EngineEvent{}, "", err
 	}
-	p.notes.Note(types.Step{
-		Request: j.ask.Request, Program: j.ask.Program, What: "target chosen", Target: place.Target.Name, Weighed: place.Weighed,
+	p.notes.Record(types.TraceEvent{
+		Request: j.ask.Request, Program: j.ask.Program, Event: "target chosen", Target: place.Target.Name, Candidates: place.Candidates,
 	})
 	call := types.EngineCall{
 		Attempt: id, Model: j.begin.Model, Messages: append(j.history[:len(j.history):len(j.history)], j.ask.Body.Messages...),
 		MaxTokens: j.maxTokens, Priority: place.Rank, CacheKey: j.ask.Program,
-		Hold: place.Hold, Class: j.begin.Kind,
+		Hold: place.KeepCache, Class: j.begin.Kind,
 	}
 	end, err := p.stream(ctx, j, run, place, call)
 	return end, place.Target.Name, err
@@ -171,15 +171,15 @@
 		res.Refused = fault.From(err).NotRun
 		if ctx.Err() != nil {
 			p.done.Go(func() { p.engines.Cancel(place.Target, call.Attempt) })
-			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").Because(ctx.Err())
+			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").WithCause(ctx.Err())
 		}
 		place.Finish(res)
 		return end, err
 	}
-	res.First = first.Sub(began)
+	res.TimeToFirstToken = first.Sub(began)
 	if n := end.Usage.CompletionTokens; n > 1 {
-		res.PerToken = time.Since(first) / time.Duration(n-1)
-		p.counts.Time("prog.token_gap", res.PerToken)
+		res.TimePerToken = time.Since(first) / time.Duration(n-1)
+		p.counts.Time("prog.token_gap", res.TimePerToken)
 	}
 	place.Finish(res)
 	if movedHere(place) {
@@ -190,8 +190,8 @@
 
 // movedHere reports whether another engine holds an older prefix of the program.
 func movedHere(place *lease.Lease) bool {
-	for _, w := range place.Weighed {
-		if w.Cached > 0 && w.Name != place.Target.Name {
+	for _, w := range place.Candidates {
+		if w.CachedTokens > 0 && w.Name != place.Target.Name {
 			return true
 		}
 	}
@@ -210,7 +210,7 @@
 		p.logger.Debug("prog: failed turn was not settled", "program", j.ask.Program, "error", doErr)
 	}
 	p.counts.Count("prog.failed_turns", 1)
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn failed", Why: string(fault.From(err).Kind)})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
 	run.finish(types.TurnAnswer{}, err)
 }
 
@@ -222,8 +222,8 @@
 		p.fail(j, run, turnRun, turnRun.Reserved, err)
 		return
 	}
-	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, Ask: j.digest, Sealed: sealed, At: time.Now()}
-	turn.Digest = fold.Digest(j.begin, turn, before.Digest)
+	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, RequestDigest: j.digest, Sealed: sealed, At: time.Now()}
+	turn.Digest = fold.TurnDigest(j.begin, turn, before.Digest)
 	cont, err := p.record(j, turnRun, turn, content.Usage)
 	if fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Stopping) {
 		// The slot went to another box during the run: the token carries the turn there.
@@ -241,7 +241,7 @@
 	}
 	p.counts.Count("prog.turns", 1)
 	p.counts.Latency("prog.turn", j.begin.Workspace, j.begin.DataClass, time.Since(j.started))
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn answered"})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn answered"})
 	run.finish(reply(j, content, token), nil)
 }
 
@@ -267,8 +267,8 @@
 	var cont types.Continuation
 	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		prog, err := d.Program(j.ask.Program, j.ask.Workspace)
-		if err != nil || fold.Head(prog) < turn.Number {
-			return nil, fault.Fail(fault.NotOwner, "the program has moved").Because(err)
+		if err != nil || fold.LastTurn(prog) < turn.Number {
+			return nil, fault.Fail(fault.NotOwner, "the program has moved").WithCause(err)
 		}
 		cont = d.Continuation(prog, turn.Number)
 		return nil, nil
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -17,15 +17,15 @@
 // Owner decides on a slot's memory.
 type Owner interface {
 	Do(ctx context.Context, id ident.Slot, mode desk.Mode, op desk.Op) (*desk.Ticket, error)
-	Held() map[ident.Slot]int64
+	Owned() map[ident.Slot]int64
 }
 
 // Queue gives places at engines.
 type Queue interface {
-	Acquire(ctx context.Context, ask lease.Ask) (*lease.Lease, error)
+	Acquire(ctx context.Context, ask lease.Request) (*lease.Lease, error)
 	Leaving() []string
 	Holders() map[string][]string
-	Refuge(ask lease.Ask) (types.Target, bool)
+	EvacuationTarget(ask lease.Request) (types.Target, bool)
 }
 
 // Engines run model calls.
@@ -42,15 +42,15 @@
 
 // Policies is the configuration in force.
 type Policies interface {
-	Ring() (*seal.Ring, error)
+	Ring() (*seal.Keyring, error)
 	Defaults() types.Defaults
 	Allowed(in types.RuleInput) bool
 	Order(in types.RuleInput) int64
 }
 
-// Notes keeps decisions for operators.
-type Notes interface {
-	Note(step types.Step)
+// StepRecorder keeps decisions for operators.
+type StepRecorder interface {
+	Record(step types.TraceEvent)
 }
 
 // Counts receives figures.
@@ -75,7 +75,7 @@
 	engines  Engines
 	policies Policies
 	counts   Counts
-	notes    Notes
+	notes    StepRecorder
 	logger   *slog.Logger
 
 	ctx  context.Context
@@ -85,7 +85,7 @@
 }
 
 // New makes the service for a box in zone.
-func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, notes Notes, logger *slog.Logger) *Prog {
+func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, notes StepRecorder, logger *slog.Logger) *Prog {
 	p := &Prog{
 		zone: zone, owner: owner, queue: queue, engines: engines, policies: policies,
 		counts: counts, notes: notes, logger: logger,
@@ -146,7 +146,7 @@
 
 // sweep releases cached programs of held slots that are gone.
 func (p *Prog) sweep() {
-	held := p.owner.Held()
+	held := p.owner.Owned()
 	live := map[string]bool{}
 	for slot := range held {
 		_, err := p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
@@ -175,7 +175,7 @@
 	for _, use := range []string{"plaintext", "checkpoint"} {
 		in.Use = use
 		if !p.policies.Allowed(in) {
-			return fault.Refuse(fault.NoPlace, "the policy does not allow the data on this box")
+			return fault.Refuse(fault.NoAllowedPlace, "the policy does not allow the data on this box")
 		}
 	}
 	return nil
--- a/gate/prog/run.go
+++ b/gate/prog/run.go
@@ -86,7 +86,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Piece{}, fault.Fail(fault.DeadlineMissed, "the call is still running").Because(ctx.Err())
+			return Piece{}, fault.Fail(fault.DeadlineMissed, "the call is still running").WithCause(ctx.Err())
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return types.TurnAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").Because(ctx.Err())
+			return types.TurnAnswer{}, fault.Fail(fault.DeadlineMissed, "the call is still running").WithCause(ctx.Err())
 		}
 	}
 }
--- a/gate/prog/token.go
+++ b/gate/prog/token.go
@@ -17,7 +17,7 @@
 	}
 	raw, err := json.Marshal(cont)
 	if err != nil {
-		return "", fault.Fail(fault.Internal, "continuation does not encode").Because(err)
+		return "", fault.Fail(fault.Internal, "continuation does not encode").WithCause(err)
 	}
 	return ring.SealText(cont.Workspace, tokenPlace, raw)
 }
@@ -62,7 +62,7 @@
 	}
 	raw, err := json.Marshal(content)
 	if err != nil {
-		return nil, fault.Fail(fault.Internal, "turn does not encode").Because(err)
+		return nil, fault.Fail(fault.Internal, "turn does not encode").WithCause(err)
 	}
 	return ring.Seal(b.Workspace, contentPlace(b.ID), raw)
 }
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -13,8 +13,8 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// TurnAsk is a call of one turn.
-type TurnAsk struct {
+// TurnCall is a call of one turn.
+type TurnCall struct {
 	Program   string
 	Workspace string
 	Request   string
@@ -29,7 +29,7 @@
 }
 
 // Turn starts the turn, joins it if it runs, or finds its kept answer.
-func (p *Prog) Turn(ctx context.Context, ask TurnAsk) (*Run, error) {
+func (p *Prog) Turn(ctx context.Context, ask TurnCall) (*Run, error) {
 	slot, err := ident.ProgramSlot(ask.Program)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 }
 
 // look adopts the continuation and copies the program.
-func (p *Prog) look(ctx context.Context, slot ident.Slot, ask TurnAsk, cont *types.Continuation) (view, error) {
+func (p *Prog) look(ctx context.Context, slot ident.Slot, ask TurnCall, cont *types.Continuation) (view, error) {
 	var seen view
 	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
 		recs, err := adopt(d, cont)
@@ -73,7 +73,7 @@
 // job is a turn with all that its run needs.
 type job struct {
 	slot    ident.Slot
-	ask     TurnAsk
+	ask     TurnCall
 	begin   types.Begin
 	digest  []byte
 	history []types.Message
@@ -90,7 +90,7 @@
 // than a byte, so bytes bound the tokens of text that was not counted yet.
 const bytesPerMessage = 8
 
-func (p *Prog) prepare(slot ident.Slot, ask TurnAsk, seen view) (*job, error) {
+func (p *Prog) prepare(slot ident.Slot, ask TurnCall, seen view) (*job, error) {
 	j := &job{slot: slot, ask: ask, begin: seen.begin, digest: digest(ask.Body.Messages), started: time.Now()}
 	before := min(max(ask.Body.Turn-1, 0), len(seen.turns))
 	for _, turn := range seen.turns[:before] {
@@ -98,7 +98,7 @@
 		if err != nil {
 			return nil, err
 		}
-		j.history = append(j.history, content.Ask...)
+		j.history = append(j.history, content.Request...)
 		j.history = append(j.history, content.Answer)
 		j.known = content.Usage.PromptTokens + content.Usage.CompletionTokens
 		j.attained += int64(content.Usage.PromptTokens - content.Usage.CachedTokens + content.Usage.CompletionTokens)
@@ -124,7 +124,7 @@
 // start decides on the turn in the slot's loop.
 func (p *Prog) start(ctx context.Context, j *job) (*Run, error) {
 	defaults := p.policies.Defaults()
-	run := newRun(p.ctx, ident.Random())
+	run := newRun(p.ctx, ident.RandomID())
 	var start desk.TurnStart
 	var cont types.Continuation
 	covered := false
@@ -165,7 +165,7 @@
 		ticket = nil
 	}
 	j.maxTokens = int(start.MaxTokens)
-	p.notes.Note(types.Step{Request: j.ask.Request, Program: j.ask.Program, What: "turn started"})
+	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn started"})
 	p.runs.Go(func() { p.execute(j, run, start.Run, cont, ticket) })
 	return run, nil
 }
@@ -176,7 +176,7 @@
 	if start.Stored != nil {
 		return start.Stored.Number
 	}
-	return fold.Head(start.Program)
+	return fold.LastTurn(start.Program)
 }
 
 // tailFits bounds what continuations have to carry while the log is away.
@@ -191,7 +191,7 @@
 		size += len(turn.Sealed)
 	}
 	if size > most {
-		return fault.Refuse(fault.TailTooLong, "the log has been away too long for this program").After(time.Second)
+		return fault.Refuse(fault.TailTooLong, "the log has been away too long for this program").WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -86,7 +86,7 @@
 		}
 		f := fault.From(err)
 		touched = touched || !f.NotRun
-		moved := f.Kind == fault.NotOwner || f.Kind == fault.OwnerUnknown || f.Kind == fault.PeerLost || f.Kind == fault.Stopping
+		moved := f.Kind == fault.NotOwner || f.Kind == fault.OwnerUnavailable || f.Kind == fault.PeerUnreachable || f.Kind == fault.Stopping
 		if !moved || time.Now().After(until) || ctx.Err() != nil {
 			out := *f
 			out.NotRun = f.NotRun && !touched
@@ -99,7 +99,7 @@
 func (o *oracle) once(entry int, slot ident.Slot, do func(b *box) error) error {
 	b := o.w.box(entry)
 	if !b.answers() {
-		return fault.Refuse(fault.PeerLost, "entry box is dead")
+		return fault.Refuse(fault.PeerUnreachable, "entry box is dead")
 	}
 	if err := b.store.Ready(); err != nil {
 		return err
@@ -124,7 +124,7 @@
 	if !b.isUp() || o.live() >= mostPrograms {
 		return
 	}
-	slot, ok := b.owners.Pick(ident.Random())
+	slot, ok := b.owners.Pick(ident.RandomID())
 	if !ok {
 		return
 	}
@@ -226,7 +226,7 @@
 	defer stop()
 	var answer types.TurnAnswer
 	err := o.route(ctx, entry, slot, func(b *box) error {
-		run, err := b.progs.Turn(ctx, prog.TurnAsk{Program: p.id, Workspace: p.workspace, Request: "r", Body: body})
+		run, err := b.progs.Turn(ctx, prog.TurnCall{Program: p.id, Workspace: p.workspace, Request: "r", Body: body})
 		if err != nil {
 			return err
 		}
@@ -330,7 +330,7 @@
 	if k.service == "probed" {
 		svc.ProbePath = "/v1/probe"
 	}
-	ask := plain.Ask{
+	ask := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: k.workspace}, Key: k.key, Body: json.RawMessage(k.input), Chunk: 150,
 	}
 	slot := ident.KeySlot(k.workspace, k.key, o.w.slots())
@@ -345,7 +345,7 @@
 			if err != nil {
 				return err
 			}
-			ask.Adopt = cont
+			ask.Continuation = cont
 		}
 		var err error
 		answer, err = b.calls.Call(ctx, slot, ask)
--- a/gate/proof/fakes_test.go
+++ b/gate/proof/fakes_test.go
@@ -34,13 +34,13 @@
 	return t.counts[key]
 }
 
-// Once implements the replicas of services.
-func (t *tools) Once(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// SendOnce implements the replicas of services.
+func (t *tools) SendOnce(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
-// Repeat implements the replicas of services.
-func (t *tools) Repeat(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
+// SendRepeatable implements the replicas of services.
+func (t *tools) SendRepeatable(_ context.Context, _ types.Service, _ types.RuleInput, body plain.Body) (json.RawMessage, error) {
 	return t.run(body.Key, body.Input)
 }
 
--- a/gate/proof/fuzz_test.go
+++ b/gate/proof/fuzz_test.go
@@ -327,15 +327,15 @@
 		return
 	}
 	rev := all[i%len(all)].Revision
-	rev.Carry = true
+	rev.IsCopy = true
 	raw, err := json.Marshal(rev)
-	if err != nil || all[i%len(all)].Verdict == revs.Lost {
+	if err != nil || all[i%len(all)].Verdict == revs.LostRace {
 		return
 	}
 	_, _ = o.w.log.Append(ctx, revs.Stream, raw)
 }
 
-func (o *oracle) history() (*revs.Fold, error) {
+func (o *oracle) history() (*revs.StreamState, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	fold, _, err := revs.History(ctx, o.w.log, o.w.operators())
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -82,7 +82,7 @@
 	w := &world{log: applog.New(applog.Faults{Keep: types.Duration(keep), Limit: 300}), keys: sample.NewKeys("proof")}
 	w.tools = &tools{counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
 	w.models = newModels()
-	cfg, err := sample.Config(sample.Shape{
+	cfg, err := sample.Config(sample.Deployment{
 		Region: "home", Zones: zones, Slots: slotCount, Workspaces: []string{"one", "two"}, Models: []string{"m"},
 		Services: []types.Service{{Name: "book", Price: 40}, {Name: "probed", Price: 40, ProbePath: "/v1/probe"}},
 	}, w.keys)
@@ -115,17 +115,17 @@
 func (w *world) start(i int) {
 	b := &box{w: w, index: i, up: true}
 	b.self = types.Member{Name: fmt.Sprintf("box-%d", i), Zone: zones[i%zoneCount], Peer: addr(i)}
-	inc := ident.Random()
+	inc := ident.RandomID()
 	logger := slog.New(slog.NewTextHandler(logTo(), &slog.HandlerOptions{Level: slog.LevelDebug})).With("box", b.self.Name)
 	counts := meter.New()
-	root, _ := seal.NewRoot(w.keys.Root)
+	root, _ := seal.NewRootKey(w.keys.Root)
 	timing := member.Timing{Beat: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, List: 200 * time.Millisecond, Fanout: 8}
 	b.view = member.New(b.self, inc, b, b, timing, logger)
 	b.store = policy.New(b.self.Name, root, []ed25519.PublicKey{w.keys.Public()}, b, b, b.view,
 		policy.Timing{Poll: 300 * time.Millisecond, Retention: keep}, logger)
 	b.owners = slots.New(b.self, inc, b, b.view, b.store, slots.Timing{
-		Tick: 100 * time.Millisecond, FlushAfter: 10 * time.Millisecond, AdoptAfter: 2 * time.Second,
-		Retention: keep, AppendShare: 100, MaxQueued: 1000,
+		CheckInterval: 100 * time.Millisecond, FlushDelay: 10 * time.Millisecond, AdoptionDelay: 2 * time.Second,
+		Retention: keep, AppendRate: 100, MaxQueued: 1000,
 	}, counts, logger)
 	b.queue = admit.New(b.self.Zone, admit.Options{
 		Strategy: sched.Scored, Order: sched.Age, MaxWait: 2 * time.Second, Starve: time.Second, Holds: true, Seed: uint64(i),
@@ -327,8 +327,8 @@
 }
 
 // List implements the platform's list: all boxes, live or not, since it lags.
-func (b *box) List(context.Context) (types.List, error) {
-	var list types.List
+func (b *box) List(context.Context) (types.PlatformList, error) {
+	var list types.PlatformList
 	for i := range boxCount {
 		list.Boxes = append(list.Boxes, types.Member{Name: fmt.Sprintf("box-%d", i), Zone: zones[i%zoneCount], Peer: addr(i)})
 	}
@@ -339,7 +339,7 @@
 func (b *box) reach(to netip.AddrPort) (*box, error) {
 	time.Sleep(time.Millisecond)
 	if !b.pass() {
-		return nil, fault.Refuse(fault.PeerLost, "box is dead")
+		return nil, fault.Refuse(fault.PeerUnreachable, "box is dead")
 	}
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
@@ -348,11 +348,11 @@
 			continue
 		}
 		if !other.up || other.paused != nil || b.w.cut[b.index][i] || b.w.cut[i][b.index] {
-			return nil, fault.Refuse(fault.PeerLost, "box cannot be reached")
+			return nil, fault.Refuse(fault.PeerUnreachable, "box cannot be reached")
 		}
 		return other, nil
 	}
-	return nil, fault.Refuse(fault.PeerLost, "no such box")
+	return nil, fault.Refuse(fault.PeerUnreachable, "no such box")
 }
 
 // Beat implements heartbeats.
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -51,7 +51,7 @@
 	f.mu.Unlock()
 	if cut {
 		<-ctx.Done()
-		return GrantReply{}, fault.Fail(fault.PeerLost, "silent")
+		return GrantReply{}, fault.Fail(fault.PeerUnreachable, "silent")
 	}
 	time.Sleep(askDelay)
 	for i, other := range f.boxes {
@@ -78,7 +78,7 @@
 	if len(candidates) == 0 {
 		return work.Box{}, false
 	}
-	return candidates[ident.Closest(workspace, len(candidates), func(i int) string { return candidates[i].Name }, 1)[0]], true
+	return candidates[ident.RendezvousTop(workspace, len(candidates), func(i int) string { return candidates[i].Name }, 1)[0]], true
 }
 
 // newFleet returns a fleet of n boxes in turn in all zones.
@@ -280,7 +280,7 @@
 					if splits[box].take(time.Now(), space) {
 						return nil
 					}
-					return fault.Refuse(fault.QuotaReached, "").After(300 * time.Millisecond)
+					return fault.Refuse(fault.QuotaReached, "").WithRetryAfter(300 * time.Millisecond)
 				}
 				_, err := f.quotas[box].Take(ctx, space, begins)
 				return err
--- a/gate/quota/part.go
+++ b/gate/quota/part.go
@@ -56,7 +56,7 @@
 func (b Bounds) countingZones(space work.Workspace, zones []string) []string {
 	n := min(len(zones), max(1, int(b.windowLimit(space)/minPartCalls)))
 	var counting []string
-	for _, i := range ident.Closest(space.Name, len(zones), func(i int) string { return zones[i] }, n) {
+	for _, i := range ident.RendezvousTop(space.Name, len(zones), func(i int) string { return zones[i] }, n) {
 		counting = append(counting, zones[i])
 	}
 	return counting
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -136,9 +136,9 @@
 		}
 	}
 	if unknown && after == 0 {
-		return pass, fault.Refuse(fault.OwnerUnknown, "the workspace's quota counters cannot be reached now").After(retryCountersLost)
+		return pass, fault.Refuse(fault.OwnerUnavailable, "the workspace's quota counters cannot be reached now").WithRetryAfter(retryCountersLost)
 	}
-	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").After(max(after, minRetryDelay))
+	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").WithRetryAfter(max(after, minRetryDelay))
 }
 
 // Refund gives back the quota of a call that has not run.
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -143,9 +143,9 @@
 		"after", time.Since(a.call.Arrived), "cause", a.last)
 	a.counts.Count("relay.failed", 1)
 	if a.runs == 0 {
-		return fault.Refuse(fault.Overloaded, "no replica accepted the call").After(retryAfter).Because(a.last)
+		return fault.Refuse(fault.Overloaded, "no replica accepted the call").WithRetryAfter(retryAfter).WithCause(a.last)
 	}
-	return fault.Fail(kind, "no replica answered the call").Because(a.last)
+	return fault.Fail(kind, "no replica answered the call").WithCause(a.last)
 }
 
 // try sends the call to one replica.
@@ -224,7 +224,7 @@
 		reply.Body.Close()
 		stop()
 		a.runs--
-		return answer{}, a.endFailed(ctx, lease, start, fault.Fail(fault.TargetFailed, "the answer broke off").Because(err))
+		return answer{}, a.endFailed(ctx, lease, start, fault.Fail(fault.TargetFailed, "the answer broke off").WithCause(err))
 	}
 	if reply.Head.Status < http.StatusMultipleChoices && !reply.Signed {
 		end(target.Incomplete)
--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -69,8 +69,8 @@
 	return p
 }
 
-// Keep ends the connections to boxes that live no longer.
-func (c *Client) Keep(live []work.Box) {
+// CloseAllExcept ends the connections to boxes that live no longer.
+func (c *Client) CloseAllExcept(live []work.Box) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	keep := map[netip.AddrPort]bool{}
@@ -120,20 +120,20 @@
 	if err := out.Begin(*head.Head); err != nil {
 		return err
 	}
-	return work.CopyBody(resp, out, fault.PeerLost)
+	return work.CopyBody(resp, out, fault.PeerUnreachable)
 }
 
 // lost keeps a box's failure apart from a target's.
 func lost(err error) error {
 	f := fault.From(err)
-	return &fault.Fault{Kind: fault.PeerLost, Detail: "the owner of the slot is not reached: " + f.Error(), NotRun: f.NotRun}
+	return &fault.Fault{Kind: fault.PeerUnreachable, Detail: "the owner of the slot is not reached: " + f.Error(), NotRun: f.NotRun}
 }
 
 // notSent is the fault of a turn that got no answer. Where this box has no connection free, the
 // other one is sound and must not be taken for lost; another may hold the slot.
 func notSent(err error) error {
 	if fault.Is(err, fault.Overloaded) {
-		return fault.Refuse(fault.OwnerUnknown, "no connection to the owner of the slot is free").After(retryFull).Because(err)
+		return fault.Refuse(fault.OwnerUnavailable, "no connection to the owner of the slot is free").WithRetryAfter(retryFull).WithCause(err)
 	}
 	return lost(err)
 }
@@ -149,7 +149,7 @@
 	defer resp.Close()
 	raw, err = io.ReadAll(io.LimitReader(resp, maxBody))
 	if err != nil {
-		return 0, nil, fault.Fail(fault.PeerLost, "another box's answer broke off").Because(err)
+		return 0, nil, fault.Fail(fault.PeerUnreachable, "another box's answer broke off").WithCause(err)
 	}
 	return resp.Status, raw, nil
 }
@@ -161,7 +161,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fault.Fail(fault.PeerLost, "the box does not do as asked: status "+strconv.Itoa(status))
+		return fault.Fail(fault.PeerUnreachable, "the box does not do as asked: status "+strconv.Itoa(status))
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 	}
 	var out findAnswer
 	if err := json.Unmarshal(raw, &out); err != nil {
-		return nil, nil, fault.Fail(fault.Protocol, "another box's answer does not decode").Because(err)
+		return nil, nil, fault.Fail(fault.Protocol, "another box's answer does not decode").WithCause(err)
 	}
 	return out.Text, out.Slots, nil
 }
@@ -189,13 +189,13 @@
 func (c *Client) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
 	raw, err := json.Marshal(recs)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "records do not encode").Because(err)
+		return fault.Refuse(fault.Internal, "records do not encode").WithCause(err)
 	}
 	return c.order(ctx, box, deliverPath, url.Values{slotParam: {strconv.Itoa(slot)}}, raw)
 }
 
-// Leaving tells a box that another, named by its member text, leaves.
-func (c *Client) Leaving(ctx context.Context, box work.Box, member string) error {
+// AnnounceLeave tells a box that another, named by its member text, leaves.
+func (c *Client) AnnounceLeave(ctx context.Context, box work.Box, member string) error {
 	return c.order(ctx, box, leftPath, url.Values{memberParam: {member}}, nil)
 }
 
@@ -212,7 +212,7 @@
 func (c *Client) exchange(ctx context.Context, box work.Box, path string, msg, answer any) error {
 	body, err := json.Marshal(msg)
 	if err != nil {
-		return fault.Refuse(fault.Internal, "a message to another box does not encode").Because(err)
+		return fault.Refuse(fault.Internal, "a message to another box does not encode").WithCause(err)
 	}
 	status, raw, err := c.ask(ctx, box, http.MethodPost, path, nil, body)
 	if err != nil {
@@ -222,7 +222,7 @@
 		return fault.Fail(fault.Protocol, "another box does not answer: status "+strconv.Itoa(status))
 	}
 	if err := json.Unmarshal(raw, answer); err != nil {
-		return fault.Fail(fault.Protocol, "another box's answer does not decode").Because(err)
+		return fault.Fail(fault.Protocol, "another box's answer does not decode").WithCause(err)
 	}
 	return nil
 }
--- a/gate/remote/client_test.go
+++ b/gate/remote/client_test.go
@@ -52,11 +52,11 @@
 			t.Fatal("the connection is not taken")
 		}
 	}
-	if f := turnTo(t, c, box); f.Kind != fault.OwnerUnknown || !f.NotRun || f.RetryAfter <= 0 {
+	if f := turnTo(t, c, box); f.Kind != fault.OwnerUnavailable || !f.NotRun || f.RetryAfter <= 0 {
 		t.Errorf("no connection is free: %v, not run %v, again after %v", f, f.NotRun, f.RetryAfter)
 	}
 	gone := work.Box{Name: "c", Peer: netip.MustParseAddrPort(closedAddr(t))}
-	if f := turnTo(t, c, gone); f.Kind != fault.PeerLost || !f.NotRun {
+	if f := turnTo(t, c, gone); f.Kind != fault.PeerUnreachable || !f.NotRun {
 		t.Errorf("nobody listens: %v, not run %v", f, f.NotRun)
 	}
 }
@@ -85,7 +85,7 @@
 			}()
 			start := time.Now()
 			f := turnTo(t, NewClient(), work.Box{Name: "b", Peer: netip.MustParseAddrPort(ln.Addr().String())})
-			if f.Kind != fault.PeerLost || !f.NotRun || time.Since(start) > 2*confirmWait {
+			if f.Kind != fault.PeerUnreachable || !f.NotRun || time.Since(start) > 2*confirmWait {
 				t.Errorf("%v, not run %v, after %v", f, f.NotRun, time.Since(start))
 			}
 		})
--- a/gate/remote/frame.go
+++ b/gate/remote/frame.go
@@ -41,7 +41,7 @@
 func frame(header any) ([]byte, error) {
 	raw, err := json.Marshal(header)
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "message does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "message does not encode").WithCause(err)
 	}
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(raw)+4), uint32(len(raw))), raw...), nil
 }
@@ -50,7 +50,7 @@
 func unframe(in io.Reader, header any) error {
 	var size [4]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
-		return fault.Fail(fault.PeerLost, "message broke off").Because(err)
+		return fault.Fail(fault.PeerUnreachable, "message broke off").WithCause(err)
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n > maxHeader {
@@ -58,10 +58,10 @@
 	}
 	raw := make([]byte, n)
 	if _, err := io.ReadFull(in, raw); err != nil {
-		return fault.Fail(fault.PeerLost, "message broke off").Because(err)
+		return fault.Fail(fault.PeerUnreachable, "message broke off").WithCause(err)
 	}
 	if err := json.Unmarshal(raw, header); err != nil {
-		return fault.Fail(fault.Protocol, "header of a message does not decode").Because(err)
+		return fault.Fail(fault.Protocol, "header of a message does not decode").WithCause(err)
 	}
 	return nil
 }
--- a/gate/remote/log.go
+++ b/gate/remote/log.go
@@ -46,54 +46,54 @@
 	Problem    *fault.Problem `json:"problem,omitempty"`
 }
 
-// Via is the log by way of another box.
-type Via struct {
+// Log is the log by way of another box.
+type Log struct {
 	client *Client
 	box    work.Box
 }
 
-// Via returns the log by way of the box.
-func (c *Client) Via(box work.Box) work.Log {
-	return Via{client: c, box: box}
+// LogVia returns the log by way of the box.
+func (c *Client) LogVia(box work.Box) work.Log {
+	return Log{client: c, box: box}
 }
 
 // Append implements work.Log.
-func (v Via) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
+func (v Log) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
 	_, err := v.call(ctx, logAsk{Op: opAppend, Shard: shard, Writer: writer, Records: recs})
 	return err
 }
 
 // Join implements work.Log.
-func (v Via) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
+func (v Log) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
 	out, err := v.call(ctx, logAsk{Op: opJoin, Member: member, Generation: generation, TTLMS: ttl.Milliseconds()})
 	return out.Generation, err
 }
 
 // Leave implements work.Log.
-func (v Via) Leave(ctx context.Context, member string) error {
+func (v Log) Leave(ctx context.Context, member string) error {
 	_, err := v.call(ctx, logAsk{Op: opLeave, Member: member})
 	return err
 }
 
 // Members implements work.Log.
-func (v Via) Members(ctx context.Context) ([]string, error) {
+func (v Log) Members(ctx context.Context) ([]string, error) {
 	out, err := v.call(ctx, logAsk{Op: opMembers})
 	return out.Members, err
 }
 
 // Newest implements work.Log.
-func (v Via) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
+func (v Log) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
 	out, err := v.call(ctx, logAsk{Op: opNewest, Shard: shard, After: after})
 	return out.Batch, err
 }
 
 // Read implements work.Log.
-func (v Via) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
+func (v Log) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
 	out, err := v.call(ctx, logAsk{Op: opRead, Shard: shard, From: from, WaitMS: wait.Milliseconds()})
 	return out.Page, err
 }
 
-func (v Via) call(ctx context.Context, msg logAsk) (logAnswer, error) {
+func (v Log) call(ctx context.Context, msg logAsk) (logAnswer, error) {
 	if end, ok := ctx.Deadline(); ok {
 		msg.LimitMS = time.Until(end).Milliseconds()
 	}
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -34,7 +34,7 @@
 
 // Slots gives slots up.
 type Slots interface {
-	Yield(ctx context.Context, slot int) error
+	Handover(ctx context.Context, slot int) error
 	// Deliver writes records of a turn that began at an owner before.
 	Deliver(ctx context.Context, slot int, recs []work.Record) error
 }
@@ -52,7 +52,7 @@
 
 // Boxes hears of boxes that leave.
 type Boxes interface {
-	Left(box work.Box)
+	MarkLeaving(box work.Box)
 }
 
 // Server takes the calls of other boxes.
@@ -67,7 +67,7 @@
 	logger *slog.Logger
 	http   *http.Server
 	// running is nil until the start.
-	running *serve.Running
+	running *serve.Server
 }
 
 // NewServer makes a server that does not listen yet.
@@ -107,7 +107,7 @@
 func (s *Server) yield(w http.ResponseWriter, r *http.Request) {
 	slot, err := strconv.Atoi(r.URL.Query().Get(slotParam))
 	if err == nil {
-		err = s.slots.Yield(r.Context(), slot)
+		err = s.slots.Handover(r.Context(), slot)
 	}
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -136,7 +136,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.boxes.Left(box)
+	s.boxes.MarkLeaving(box)
 }
 
 func (s *Server) quota(w http.ResponseWriter, r *http.Request) {
@@ -203,7 +203,7 @@
 	call.Arrived = now.Add(-time.Duration(msg.WaitedMillis) * time.Millisecond)
 	var err error
 	if call.Body, err = io.ReadAll(body); err != nil {
-		return msg, fault.Refuse(fault.BadRequest, "forwarded turn broke off").Because(err)
+		return msg, fault.Refuse(fault.BadRequest, "forwarded turn broke off").WithCause(err)
 	}
 	return msg, nil
 }
--- a/gate/replay/replay_test.go
+++ b/gate/replay/replay_test.go
@@ -174,7 +174,7 @@
 func placeAdmitted(box *target.Targets, ask target.Ask) (*target.Lease, error) {
 	if ask.Turn.NewProgram {
 		if verdict := box.Admit(ask); verdict.Refuse {
-			return nil, fault.Refuse(fault.Overloaded, "not admitted").After(verdict.RetryAfter)
+			return nil, fault.Refuse(fault.Overloaded, "not admitted").WithRetryAfter(verdict.RetryAfter)
 		}
 	}
 	return box.Take(ask)
--- a/gate/sched/engine.go
+++ b/gate/sched/engine.go
@@ -124,10 +124,10 @@
 
 // Pick chooses one of the candidates with room and returns its index, or -1 if there is none or if
 // the call should wait for a full one. It also returns the score of every candidate.
-func Pick(strategy Strategy, ask PlacementRequest, cands []Candidate, rng *rand.Rand) (int, []types.Weighed) {
-	weighed := make([]types.Weighed, len(cands))
+func Pick(strategy Strategy, ask PlacementRequest, cands []Candidate, rng *rand.Rand) (int, []types.ScoredTarget) {
+	weighed := make([]types.ScoredTarget, len(cands))
 	for i, c := range cands {
-		weighed[i] = types.Weighed{Name: c.Name, Score: Score(ask, c), Load: c.Load(), Cached: c.CachedTokens, Room: c.HasRoom}
+		weighed[i] = types.ScoredTarget{Name: c.Name, Score: Score(ask, c), Load: c.Load(), CachedTokens: c.CachedTokens, HasRoom: c.HasRoom}
 	}
 	switch strategy {
 	case Random:
@@ -144,7 +144,7 @@
 // pickScored draws one of the near-best candidates, so that boxes with the same stale reports don't
 // all choose the same target. It returns -1 where a full target scores so much better, usually
 // since it caches the prefix, that the call should wait for it.
-func pickScored(cands []Candidate, weighed []types.Weighed, rng *rand.Rand) int {
+func pickScored(cands []Candidate, weighed []types.ScoredTarget, rng *rand.Rand) int {
 	best, worst, bestOfAll := time.Duration(math.MaxInt64), time.Duration(0), time.Duration(math.MaxInt64)
 	for i := range cands {
 		bestOfAll = min(bestOfAll, weighed[i].Score)
@@ -199,7 +199,7 @@
 			names = append(names, c.Name)
 		}
 	}
-	winner := ident.Winner(ask.Program, names)
+	winner := ident.Rendezvous(ask.Program, names)
 	for i, c := range cands {
 		if c.Name == winner {
 			return i
--- a/gate/shard/claim.go
+++ b/gate/shard/claim.go
@@ -60,7 +60,7 @@
 	slot := newSlot(s, number, epoch, loader.state)
 	raw, err := json.Marshal(ownerRecord{Box: s.self.Name, Incarnation: s.self.Incarnation, Epoch: epoch})
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "cannot encode the owner record").Because(err)
+		return nil, fault.Refuse(fault.Internal, "cannot encode the owner record").WithCause(err)
 	}
 	return slot, slot.Write(ctx, []work.Record{{Key: ownerKey, Value: raw}})
 }
--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	return to.Yield(ctx, slot)
+	return to.Handover(ctx, slot)
 }
 
 func (e boxView) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
@@ -251,7 +251,7 @@
 	e.fleet.mu.Unlock()
 	if hung {
 		<-ctx.Done()
-		return fault.Fail(fault.PeerLost, "no answer")
+		return fault.Fail(fault.PeerUnreachable, "no answer")
 	}
 	return to.Deliver(ctx, slot, recs)
 }
@@ -261,7 +261,7 @@
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	if e.fleet.unreachable[box.Name] || e.fleet.unreachable[e.self] || e.fleet.shards[box.Name] == nil {
-		return nil, fault.Refuse(fault.PeerLost, "cut")
+		return nil, fault.Refuse(fault.PeerUnreachable, "cut")
 	}
 	return e.fleet.shards[box.Name], nil
 }
--- a/gate/shard/forward.go
+++ b/gate/shard/forward.go
@@ -33,7 +33,7 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return fault.Fail(fault.LogUnavailable, "no owner accepted the records").Because(f.lastErr)
+			return fault.Fail(fault.LogUnavailable, "no owner accepted the records").WithCause(f.lastErr)
 		}
 		s.logger.Info("shard: failed to forward records to the slot's owner", "slot", number, "cause", f.lastErr)
 	}
@@ -62,7 +62,7 @@
 func (f *forwarder) tryCandidates(ctx context.Context) bool {
 	boxes := f.shards.boxes.Owners(f.shards.layout.Name(f.number), maxCandidates)
 	if len(boxes) == 0 {
-		f.lastErr = fault.Refuse(fault.OwnerUnknown, "no box owns the slot")
+		f.lastErr = fault.Refuse(fault.OwnerUnavailable, "no box owns the slot")
 	}
 	for _, box := range boxes {
 		if f.pending[box.Name] {
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -185,7 +185,7 @@
 		slot, _ = s.lookup(number)
 	}
 	if slot == nil {
-		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").After(retryAfter)
+		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").WithRetryAfter(retryAfter)
 	}
 	return slot, nil
 }
@@ -242,8 +242,8 @@
 	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.ProgramCount(), "took", time.Since(start))
 }
 
-// Yield releases the slot to a box that asks for it.
-func (s *Manager) Yield(ctx context.Context, number int) error {
+// Handover releases the slot to a box that asks for it.
+func (s *Manager) Handover(ctx context.Context, number int) error {
 	if number < 0 || number >= len(s.slots) {
 		return fault.Refuse(fault.BadRequest, "no such slot")
 	}
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -52,7 +52,7 @@
 	if started != nil {
 		if err := started.Wait(ctx); err != nil {
 			slot.Update(func(state *chain.State) { state.Abort(o) })
-			return fault.Fail(fault.LogUnavailable, "start not written").Because(err)
+			return fault.Fail(fault.LogUnavailable, "start not written").WithCause(err)
 		}
 	}
 	onTokens(o.MaxTokens)
@@ -61,7 +61,7 @@
 		ended = slot.QueueLocked(recs)
 	})
 	if err := slot.WaitOrForward(ctx, ended); err != nil {
-		return fault.Fail(fault.LogUnavailable, "end not written").Because(err)
+		return fault.Fail(fault.LogUnavailable, "end not written").WithCause(err)
 	}
 	if ended.Wait(ctx) == nil {
 		slot.Update(func(state *chain.State) { state.FreeReservation(o) })
@@ -103,7 +103,7 @@
 	if started != nil {
 		if err := started.Wait(ctx); err != nil {
 			finish(0)
-			return fault.Fail(fault.LogUnavailable, "grant not written").Because(err)
+			return fault.Fail(fault.LogUnavailable, "grant not written").WithCause(err)
 		}
 		slot.Update(func(state *chain.State) { state.ConfirmGrant(o.Program, o.GrantedTokens) })
 	}
@@ -515,7 +515,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := f.shards["c"].Yield(ctx, 0); err != nil {
+	if err := f.shards["c"].Handover(ctx, 0); err != nil {
 		return []string{err.Error()}
 	}
 	time.Sleep(2 * reclaimDelay)
--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || s.lost {
-		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").After(retryAfter)
+		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").WithRetryAfter(retryAfter)
 	}
 	return do(s.state)
 }
@@ -89,7 +89,7 @@
 	ctx, stop := context.WithTimeout(ctx, confirmTimeout)
 	defer stop()
 	if err := s.Write(ctx, []work.Record{{Key: confirmKey}}); err != nil {
-		return fault.Refuse(fault.NotOwner, "the log did not confirm ownership of the slot").After(logRetryAfter).Because(err)
+		return fault.Refuse(fault.NotOwner, "the log did not confirm ownership of the slot").WithRetryAfter(logRetryAfter).WithCause(err)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 	s.mu.Lock()
 	if s.closing || s.lost {
 		s.mu.Unlock()
-		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").After(retryAfter)
+		return fault.Refuse(fault.NotOwner, "this box is releasing the slot").WithRetryAfter(retryAfter)
 	}
 	for _, rec := range recs {
 		if err := s.state.Apply(rec); err != nil {
@@ -201,7 +201,7 @@
 		}
 		err := s.append(recs)
 		if err != nil {
-			err = slotLostFault().Because(err)
+			err = slotLostFault().WithCause(err)
 		}
 		for _, b := range batches {
 			b.err = err
--- a/gate/slots/claim.go
+++ b/gate/slots/claim.go
@@ -40,10 +40,10 @@
 // claim appends a claim and reads the stream up to it. It succeeds only if the claim is
 // the newest in the log.
 func (s *Slots) claim(ctx context.Context, id ident.Slot) (*fold.State, error) {
-	mine := types.Claim{Box: s.self.Name, Incarnation: s.inc, Attempt: ident.Random()}
+	mine := types.Claim{Box: s.self.Name, Incarnation: s.inc, Attempt: ident.RandomID()}
 	data, err := json.Marshal(types.Entry{Claim: &mine})
 	if err != nil {
-		return nil, fault.Refuse(fault.Internal, "claim does not encode").Because(err)
+		return nil, fault.Refuse(fault.Internal, "claim does not encode").WithCause(err)
 	}
 	_, appendErr := s.log.Append(ctx, id.Stream(), data)
 	if appendErr != nil && fault.From(appendErr).NotRun {
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if state.Owner != mine {
-		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").After(claimPause)
+		return nil, fault.Refuse(fault.NotOwner, "another claim is newer").WithRetryAfter(claimPause)
 	}
 	return state, nil
 }
@@ -64,15 +64,15 @@
 func (s *Slots) readAll(ctx context.Context, id ident.Slot) (*fold.State, error) {
 	state := fold.New()
 	for {
-		page, err := s.log.Read(ctx, id.Stream(), state.Next, pageSize)
+		page, err := s.log.Read(ctx, id.Stream(), state.NextOffset, pageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, entry := range page.Entries {
-			state.Read(entry)
+			state.ApplyLogEntry(entry)
 		}
-		state.Next = max(state.Next, page.First)
-		if state.Next >= page.Next {
+		state.NextOffset = max(state.NextOffset, page.First)
+		if state.NextOffset >= page.Next {
 			return state, nil
 		}
 	}
--- a/gate/slots/owner.go
+++ b/gate/slots/owner.go
@@ -117,7 +117,7 @@
 	case r := <-reply:
 		return r.ticket, r.err
 	case <-o.svc.ctx.Done():
-		return nil, fault.Refuse(fault.Stopping, "box is stopping").After(time.Second)
+		return nil, fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 }
 
@@ -191,12 +191,12 @@
 }
 
 func notOwner() error {
-	return fault.Refuse(fault.NotOwner, "this box does not own the slot").After(claimPause)
+	return fault.Refuse(fault.NotOwner, "this box does not own the slot").WithRetryAfter(claimPause)
 }
 
 func (o *owner) perform(m doMsg) {
 	if m.ctx.Err() != nil {
-		m.reply <- doReply{err: fault.Refuse(fault.DeadlineMissed, "caller is gone").Because(m.ctx.Err())}
+		m.reply <- doReply{err: fault.Refuse(fault.DeadlineMissed, "caller is gone").WithCause(m.ctx.Err())}
 		return
 	}
 	if o.releasing != nil && m.mode < desk.Finish {
@@ -204,11 +204,11 @@
 		return
 	}
 	if m.mode == desk.Durable && !o.desk.LogUp {
-		m.reply <- doReply{err: fault.Refuse(fault.LogUnavailable, "the log is away").After(time.Second)}
+		m.reply <- doReply{err: fault.Refuse(fault.LogUnavailable, "the log is away").WithRetryAfter(time.Second)}
 		return
 	}
 	if o.queuedLen > o.svc.timing.MaxQueued && m.mode < desk.Finish {
-		m.reply <- doReply{err: fault.Refuse(fault.Overloaded, "too much waits for the log").After(time.Second)}
+		m.reply <- doReply{err: fault.Refuse(fault.Overloaded, "too much waits for the log").WithRetryAfter(time.Second)}
 		return
 	}
 	// Records are kept even if the operation fails after them: they are applied already.
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -50,16 +50,16 @@
 
 // Timing holds the intervals of ownership.
 type Timing struct {
-	// Tick is how often ownership is looked at.
-	Tick time.Duration
-	// FlushAfter is how long a record that nobody waits for may wait for company.
-	FlushAfter time.Duration
-	// AdoptAfter is how long a zone must be without boxes before another zone takes its slots.
-	AdoptAfter time.Duration
+	// CheckInterval is how often ownership is looked at.
+	CheckInterval time.Duration
+	// FlushDelay is how long a record that nobody waits for may wait for company.
+	FlushDelay time.Duration
+	// AdoptionDelay is how long a zone must be without boxes before another zone takes its slots.
+	AdoptionDelay time.Duration
 	// Retention is how long the log keeps entries; 0 is for ever.
 	Retention time.Duration
-	// AppendShare bounds this box's appends a second; 0 is without bound.
-	AppendShare float64
+	// AppendRate bounds this box's appends a second; 0 is without bound.
+	AppendRate float64
 	// MaxQueued bounds the records waiting for one slot's stream.
 	MaxQueued int
 }
@@ -96,12 +96,12 @@
 // New makes the service; self must hold the name, zone and peer address of the box.
 func New(self types.Member, inc string, log Log, view View, settings Settings, timing Timing, counts Counts, logger *slog.Logger) *Slots {
 	limit := rate.Inf
-	if timing.AppendShare > 0 {
-		limit = rate.Limit(timing.AppendShare)
+	if timing.AppendRate > 0 {
+		limit = rate.Limit(timing.AppendRate)
 	}
 	return &Slots{
 		self: self, inc: inc, log: log, view: view, settings: settings, timing: timing, counts: counts, logger: logger,
-		pace:   rate.NewLimiter(limit, max(1, int(timing.AppendShare))),
+		pace:   rate.NewLimiter(limit, max(1, int(timing.AppendRate))),
 		owners: map[ident.Slot]*owner{}, emptySince: map[string]time.Time{},
 	}
 }
@@ -154,7 +154,7 @@
 }
 
 func (s *Slots) run() {
-	tick := time.NewTicker(s.timing.Tick)
+	tick := time.NewTicker(s.timing.CheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -171,7 +171,7 @@
 func (s *Slots) look() {
 	live := s.view.Live()
 	s.noteEmpty(live)
-	held := s.Held()
+	held := s.Owned()
 	idle := !s.view.Settled() || s.isLeaving()
 	for _, id := range s.settings.Slots() {
 		holder, epoch, ok := s.view.Owner(id.String())
@@ -226,15 +226,15 @@
 		}
 	}
 	if len(home) > 0 {
-		return ident.Winner(id.String(), home)
+		return ident.Rendezvous(id.String(), home)
 	}
 	s.mu.Lock()
 	since, empty := s.emptySince[id.Zone]
 	s.mu.Unlock()
-	if !empty || time.Since(since) < s.timing.AdoptAfter {
+	if !empty || time.Since(since) < s.timing.AdoptionDelay {
 		return ""
 	}
-	return ident.Winner(id.String(), all)
+	return ident.Rendezvous(id.String(), all)
 }
 
 // Locate says which box serves the slot: this one (true) or another.
@@ -256,7 +256,7 @@
 			return m, false, nil
 		}
 	}
-	return types.Member{}, false, fault.Refuse(fault.OwnerUnknown, "no box serves the slot now").After(time.Second)
+	return types.Member{}, false, fault.Refuse(fault.OwnerUnavailable, "no box serves the slot now").WithRetryAfter(time.Second)
 }
 
 // Live reports whether a box answers heartbeats, as far as this one knows.
@@ -272,8 +272,8 @@
 	return ok && o.epoch.Load() > 0
 }
 
-// Held lists the slots that this box holds, and their epochs.
-func (s *Slots) Held() map[ident.Slot]int64 {
+// Owned lists the slots that this box holds, and their epochs.
+func (s *Slots) Owned() map[ident.Slot]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[ident.Slot]int64{}
@@ -299,13 +299,13 @@
 // Pick chooses a held slot for a new program: one of this zone first, at random by seed.
 func (s *Slots) Pick(seed string) (ident.Slot, bool) {
 	var names []string
-	for id := range s.Held() {
+	for id := range s.Owned() {
 		names = append(names, id.String())
 	}
 	if len(names) == 0 {
 		return ident.Slot{}, false
 	}
-	id, err := ident.ParseSlot(ident.Winner(seed, names))
+	id, err := ident.ParseSlot(ident.Rendezvous(seed, names))
 	return id, err == nil
 }
 
--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -46,7 +46,7 @@
 		o.flushLater()
 		return
 	}
-	b := &batch{expect: o.desk.State.Next, pause: firstRetry, first: time.Now()}
+	b := &batch{expect: o.desk.State.NextOffset, pause: firstRetry, first: time.Now()}
 	for _, q := range o.queue {
 		b.recs = append(b.recs, q.recs...)
 		b.tickets = append(b.tickets, q.ticket)
@@ -55,7 +55,7 @@
 	o.seq++
 	data, err := json.Marshal(types.Entry{Epoch: o.desk.State.Epoch, Seq: o.seq, Records: b.recs})
 	if err != nil {
-		b.fail(fault.Refuse(fault.Internal, "entry does not encode").Because(err))
+		b.fail(fault.Refuse(fault.Internal, "entry does not encode").WithCause(err))
 		o.stepDown("an entry does not encode")
 		return
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	o.timed = true
-	time.AfterFunc(o.svc.timing.FlushAfter, func() { o.send(flushMsg{}) })
+	time.AfterFunc(o.svc.timing.FlushDelay, func() { o.send(flushMsg{}) })
 }
 
 func (o *owner) transmit(b *batch) {
@@ -80,7 +80,7 @@
 
 func (s *Slots) transmit(ctx context.Context, stream string, b *batch) sent {
 	if err := s.pace.Wait(ctx); err != nil {
-		return sent{err: fault.Refuse(fault.Stopping, "box is stopping").Because(err)}
+		return sent{err: fault.Refuse(fault.Stopping, "box is stopping").WithCause(err)}
 	}
 	offset, err := s.log.Append(ctx, stream, b.data)
 	if err != nil {
@@ -128,7 +128,7 @@
 	}
 	now := time.Now()
 	o.sending = nil
-	o.desk.State.Next = m.sent.offset + 1
+	o.desk.State.NextOffset = m.sent.offset + 1
 	o.desk.State.Seq = o.seq
 	o.desk.Confirm(now, m.batch.recs)
 	if !o.desk.LogUp {
--- a/gate/target/judge.go
+++ b/gate/target/judge.go
@@ -58,10 +58,10 @@
 	switch out {
 	case Answered:
 		s.recordOutcome(now, 0)
-		t.ejectorFor(s.Service).Good(s.ID)
+		t.ejectorFor(s.Service).Success(s.ID)
 	case Failed:
 		s.recordOutcome(now, t.failureWeight(s))
-		t.ejectorFor(s.Service).Good(s.ID)
+		t.ejectorFor(s.Service).Success(s.ID)
 		t.announceFailing(now, s)
 	case Unreached:
 		s.suspectUntil = now.Add(suspectFor)
@@ -72,7 +72,7 @@
 		}
 	case Incomplete:
 		s.recordOutcome(now, 1)
-		if t.ejectorFor(s.Service).Bad(now, s.ID, len(t.services[s.Service])) {
+		if t.ejectorFor(s.Service).Failure(now, s.ID, len(t.services[s.Service])) {
 			t.log.Warn("target: replica ejected after repeated failures", "replica", s.ID, "service", s.Service)
 		}
 	case Refused, Abandoned:
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -216,7 +216,7 @@
 // discardRestarted removes the state of a replica's earlier start and cancels the calls in flight there.
 func (t *Targets) discardRestarted(s *state) {
 	t.remove(s)
-	t.ejectorFor(s.Service).Good(s.ID)
+	t.ejectorFor(s.Service).Success(s.ID)
 	s.cancel()
 }
 
--- a/gate/trail/trail.go
+++ b/gate/trail/trail.go
@@ -11,13 +11,13 @@
 // Trail is the service.
 type Trail struct {
 	mu    sync.Mutex
-	steps []types.Step
+	steps []types.TraceEvent
 	next  int
 }
 
 // New makes a trail that keeps the last size steps.
 func New(size int) *Trail {
-	return &Trail{steps: make([]types.Step, size)}
+	return &Trail{steps: make([]types.TraceEvent, size)}
 }
 
 // Start implements a service.
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Note keeps a step.
-func (t *Trail) Note(step types.Step) {
+// Record keeps a step.
+func (t *Trail) Record(step types.TraceEvent) {
 	step.At = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,10 +40,10 @@
 }
 
 // Find returns the steps of a program or request, oldest first.
-func (t *Trail) Find(id string) []types.Step {
+func (t *Trail) Find(id string) []types.TraceEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []types.Step
+	var out []types.TraceEvent
 	for i := range t.steps {
 		step := t.steps[(t.next+i)%len(t.steps)]
 		if !step.At.IsZero() && (step.Program == id || step.Request == id) {
--- a/gate/turns/answer.go
+++ b/gate/turns/answer.go
@@ -45,7 +45,7 @@
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxLine))
 	if err != nil {
 		t.lease.Done(target.Incomplete, 0)
-		return fault.Fail(fault.TargetFailed, "the answer broke off").Because(err)
+		return fault.Fail(fault.TargetFailed, "the answer broke off").WithCause(err)
 	}
 	t.lease.Done(statusOutcome(reply.Head.Status), 0)
 	t.log.Info("turns: replica answered with an error status", "id", t.call.ID, "replica", t.lease.Replica.ID, "status", reply.Head.Status)
@@ -87,7 +87,7 @@
 	}
 	t.answer.partial = nil // drop the incomplete event; a replica that resumes sends it again
 	if fault.Is(err, fault.TargetFailed) && ctx.Err() != nil {
-		return fault.Fail(fault.TimedOut, "the turn's deadline passed before the end of its answer").Because(err)
+		return fault.Fail(fault.TimedOut, "the turn's deadline passed before the end of its answer").WithCause(err)
 	}
 	return err
 }
--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -127,7 +127,7 @@
 		t.log.Warn("turns: end of turn not confirmed by the log", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
 		t.counts.Count("turns.unconfirmed", 1)
 		go t.releaseReservation(context.Background(), pending) // returns at the latest when the slot is given up
-		return fault.Fail(fault.LogUnavailable, "the log did not confirm the answer").Because(err)
+		return fault.Fail(fault.LogUnavailable, "the log did not confirm the answer").WithCause(err)
 	}
 	t.releaseReservation(ctx, pending)
 	t.counts.Time("turns.confirm_time", time.Since(start))
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -160,7 +160,7 @@
 	t.log.Info("turns: program not begun", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "left", t.call.Turn.Left,
 		"stretch", verdict.Slowdown, "taken", verdict.Utilization, "retry_after", verdict.RetryAfter)
 	t.counts.Count("turns.not_begun", 1)
-	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").After(verdict.RetryAfter)
+	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").WithRetryAfter(verdict.RetryAfter)
 }
 
 // maxAnswerTokens returns the most tokens that the call's answer may have, zero without a prompt.
@@ -204,10 +204,10 @@
 		}
 	}
 	if t.mayHaveRun {
-		return fault.Fail(fault.TargetFailed, "no replica resumed the turn").Because(last)
+		return fault.Fail(fault.TargetFailed, "no replica resumed the turn").WithCause(last)
 	}
 	t.counts.Count("turns.no_replica", 1)
-	return fault.Refuse(fault.Overloaded, "no replica accepted the turn").After(retryAfter).Because(last)
+	return fault.Refuse(fault.Overloaded, "no replica accepted the turn").WithRetryAfter(retryAfter).WithCause(last)
 }
 
 // postpone refuses the last try of a turn that needs the log while the log is unavailable, provided that its
@@ -223,7 +223,7 @@
 		return nil
 	}
 	t.counts.Count("turns.postponed", 1)
-	return fault.Refuse(fault.LogUnavailable, "the log is unavailable").After(after)
+	return fault.Refuse(fault.LogUnavailable, "the log is unavailable").WithRetryAfter(after)
 }
 
 // ask returns the placement request for the turn; avoid lists the replicas already tried.
@@ -330,7 +330,7 @@
 		return nil
 	}
 	if err := t.started.Wait(ctx); err != nil {
-		return fault.Fail(fault.LogUnavailable, "the log did not confirm the turn's start").Because(err)
+		return fault.Fail(fault.LogUnavailable, "the log did not confirm the turn's start").WithCause(err)
 	}
 	t.started = nil
 	t.ledger.onStartLogged()
--- a/gate/view/owners.go
+++ b/gate/view/owners.go
@@ -72,7 +72,7 @@
 // rankOwners returns the n highest-ranked boxes for the slot by weighted rendezvous hashing.
 func rankOwners(live []work.Box, slot string, n int) []work.Box {
 	var owners []work.Box
-	for _, i := range ident.Shared(slot, len(live), func(i int) (string, float64) { return live[i].Name, slotWeight(live[i]) }, n) {
+	for _, i := range ident.WeightedRendezvousTop(slot, len(live), func(i int) (string, float64) { return live[i].Name, slotWeight(live[i]) }, n) {
 		owners = append(owners, live[i])
 	}
 	return owners
--- a/gate/view/view.go
+++ b/gate/view/view.go
@@ -184,8 +184,8 @@
 	v.update(time.Now())
 }
 
-// Left records that the box announced that it leaves. It can still be asked for its slots.
-func (v *View) Left(box work.Box) {
+// MarkLeaving records that the box announced that it leaves. It can still be asked for its slots.
+func (v *View) MarkLeaving(box work.Box) {
 	v.mu.Lock()
 	v.departed[box.Name] = peerState{Box: box, lastSeen: time.Now()}
 	if have, ok := v.peers[box.Name]; ok && have.Incarnation == box.Incarnation {
--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -426,7 +426,7 @@
 		defer stopViews(views)
 		time.Sleep(2 * time.Second)
 		views["b"].Leave(context.Background())
-		views["a"].Left(views["b"].self)
+		views["a"].MarkLeaving(views["b"].self)
 		time.Sleep(time.Second)
 		for _, v := range views {
 			if diff := cmp.Diff([]string{"a"}, liveNames(v)); diff != "" {
--- a/gate/work/copy.go
+++ b/gate/work/copy.go
@@ -17,7 +17,7 @@
 		err = flush.Flush()
 	}
 	if err != nil {
-		return fault.Fail(fault.CallerGone, detail).Because(err)
+		return fault.Fail(fault.CallerGone, detail).WithCause(err)
 	}
 	return nil
 }
@@ -40,7 +40,7 @@
 			return nil
 		}
 		if err != nil {
-			return fault.Fail(readFault, "the answer broke off").Because(err)
+			return fault.Fail(readFault, "the answer broke off").WithCause(err)
 		}
 	}
 }
--- a/gate/work/record.go
+++ b/gate/work/record.go
@@ -96,15 +96,15 @@
 	}
 	peer, err := netip.ParseAddrPort(fields[2])
 	if err != nil {
-		return Box{}, fault.Fail(fault.Protocol, "member with a malformed peer address").Because(err)
+		return Box{}, fault.Fail(fault.Protocol, "member with a malformed peer address").WithCause(err)
 	}
 	cores, err := strconv.ParseFloat(fields[4], 64)
 	if err != nil {
-		return Box{}, fault.Fail(fault.Protocol, "member with malformed cores").Because(err)
+		return Box{}, fault.Fail(fault.Protocol, "member with malformed cores").WithCause(err)
 	}
 	link, err := strconv.ParseFloat(fields[5], 64)
 	if err != nil {
-		return Box{}, fault.Fail(fault.Protocol, "member with a malformed link").Because(err)
+		return Box{}, fault.Fail(fault.Protocol, "member with a malformed link").WithCause(err)
 	}
 	return Box{Name: fields[0], Zone: fields[1], Peer: peer, Incarnation: fields[3], Cores: cores, Link: link}, nil
 }
--- a/stand/applog/serve.go
+++ b/stand/applog/serve.go
@@ -28,10 +28,10 @@
 		{Method: http.MethodGet, Path: "/v1/streams/:name", Handler: s.serveRead},
 		{Method: http.MethodPut, Path: "/control", Handler: s.serveControl},
 		{Method: http.MethodGet, Path: "/control", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, s.Faults())
+			server.WriteJSON(w, http.StatusOK, s.Faults())
 		}},
 		{Method: http.MethodGet, Path: "/control/stats", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, s.Stats())
+			server.WriteJSON(w, http.StatusOK, s.Stats())
 		}},
 	}
 }
@@ -46,27 +46,27 @@
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) {
 	var in types.LogAppend
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	// An append that has arrived takes effect even if its caller has gone.
 	at, err := s.Append(context.WithoutCancel(r.Context()), streamName(r), in.Data)
 	if fault.Is(err, fault.LogUnavailable) && !fault.From(err).NotRun {
-		server.Cut(w)
+		server.CloseConnection(w)
 		return
 	}
 	if err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, types.LogOffset{Offset: at})
+	server.WriteJSON(w, http.StatusOK, types.LogOffset{Offset: at})
 }
 
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(strings.TrimSpace(r.URL.Query().Get("from")), 10, 64)
 	if err != nil {
-		server.Fail(w, "", fault.Refuse(fault.BadRequest, "from is not an offset"))
+		server.WriteProblem(w, "", fault.Refuse(fault.BadRequest, "from is not an offset"))
 		return
 	}
 	limit, err := strconv.Atoi(r.URL.Query().Get("limit"))
@@ -75,18 +75,18 @@
 	}
 	page, err := s.Read(r.Context(), streamName(r), from, limit)
 	if err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, page)
+	server.WriteJSON(w, http.StatusOK, page)
 }
 
 func (s *Store) serveControl(w http.ResponseWriter, r *http.Request) {
 	faults := s.Faults()
-	if err := server.Read(w, r, maxBody, &faults); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &faults); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	s.Set(faults)
-	server.Write(w, http.StatusOK, faults)
+	server.WriteJSON(w, http.StatusOK, faults)
 }
--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -105,7 +105,7 @@
 	defer s.mu.Unlock()
 	if !s.limiter.Allow() {
 		s.stats.Refused++
-		return 0, fault.Refuse(fault.Overloaded, "append limit").After(time.Second)
+		return 0, fault.Refuse(fault.Overloaded, "append limit").WithRetryAfter(time.Second)
 	}
 	if s.faults.LateAppends > 0 {
 		s.faults.LateAppends--
@@ -162,7 +162,7 @@
 	case <-time.After(time.Duration(faults.Slow)):
 		return nil
 	case <-ctx.Done():
-		return fault.Refuse(fault.LogUnavailable, "log is slow").Because(ctx.Err())
+		return fault.Refuse(fault.LogUnavailable, "log is slow").WithCause(ctx.Err())
 	}
 }
 
--- a/stand/cmds/list.go
+++ b/stand/cmds/list.go
@@ -35,14 +35,14 @@
 }
 
 func (l *list) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	var first types.List
+	var first types.PlatformList
 	if l.file != "" {
 		raw, err := os.ReadFile(l.file)
 		if err != nil {
-			return fault.Refuse(fault.BadSettings, "file: cannot be read").Because(err)
+			return fault.Refuse(fault.BadSettings, "file: cannot be read").WithCause(err)
 		}
 		if err := json.Unmarshal(raw, &first); err != nil {
-			return fault.Refuse(fault.BadSettings, "file: not a list in JSON").Because(err)
+			return fault.Refuse(fault.BadSettings, "file: not a list in JSON").WithCause(err)
 		}
 	}
 	return l.serve(ctx, out, roster.New(first, l.lag).Routes())
--- a/stand/model/cache.go
+++ b/stand/model/cache.go
@@ -89,7 +89,7 @@
 
 func (c *cache) note(key string, tokens int, gone bool) {
 	c.seq++
-	c.events = append(c.events, types.CacheEvent{Seq: c.seq, Key: key, Tokens: tokens, Gone: gone})
+	c.events = append(c.events, types.CacheEvent{Seq: c.seq, Key: key, Tokens: tokens, Removed: gone})
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
 	}
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -342,7 +342,7 @@
 		e.wake.Wait()
 	}
 	if ctx.Err() != nil || e.stopped {
-		return nil, false, fault.Fail(fault.TargetFailed, "reader is gone").Because(ctx.Err())
+		return nil, false, fault.Fail(fault.TargetFailed, "reader is gone").WithCause(ctx.Err())
 	}
 	broken := st.broken
 	if len(st.events) >= breakAt {
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -70,7 +70,7 @@
 	defer e.mu.Unlock()
 	if e.spec.Fenced && order.Fence < e.fence {
 		e.stats.Stale++
-		return fault.Refuse(fault.Conflict, "fencing number is old")
+		return fault.Refuse(fault.RevisionConflict, "fencing number is old")
 	}
 	e.fence = max(e.fence, order.Fence)
 	switch order.Kind {
--- a/stand/model/serve.go
+++ b/stand/model/serve.go
@@ -53,12 +53,12 @@
 
 func (s *Server) serveStart(w http.ResponseWriter, r *http.Request) {
 	var call types.EngineCall
-	if err := server.Read(w, r, maxBody, &call); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &call); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	if err := s.engine.Start(call); err != nil {
-		server.Fail(w, call.Attempt, err)
+		server.WriteProblem(w, call.Attempt, err)
 		return
 	}
 	s.follow(w, r, call.Attempt, 0)
@@ -74,13 +74,13 @@
 	_, ok := s.engine.streams[attempt]
 	s.engine.mu.Unlock()
 	if !ok {
-		server.Fail(w, attempt, fault.Refuse(fault.NoProgram, "no such stream"))
+		server.WriteProblem(w, attempt, fault.Refuse(fault.NoProgram, "no such stream"))
 		return
 	}
 	out := server.NewStream(w)
 	err := s.engine.Follow(r.Context(), attempt, after, func(ev types.EngineEvent) error { return out.Send(ev) })
 	if err != nil {
-		server.Cut(w)
+		server.CloseConnection(w)
 		return
 	}
 	_ = out.Close()
@@ -88,27 +88,27 @@
 
 func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request) {
 	s.engine.Cancel(pathvar.Vars(r)["attempt"])
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *Server) serveLoad(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	load, events := s.engine.Load(after)
-	server.Write(w, http.StatusOK, LoadAnswer{Load: load, Events: events})
+	server.WriteJSON(w, http.StatusOK, LoadAnswer{Load: load, Events: events})
 }
 
 func (s *Server) serveCache(w http.ResponseWriter, r *http.Request) {
 	var order types.CacheOrder
-	if err := server.Read(w, r, maxBody, &order); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &order); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	err := s.cacheOrder(r, order)
 	if err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *Server) cacheOrder(r *http.Request, order types.CacheOrder) error {
@@ -131,43 +131,43 @@
 }
 
 func (s *Server) serveItems(w http.ResponseWriter, _ *http.Request) {
-	server.Write(w, http.StatusOK, s.engine.Items())
+	server.WriteJSON(w, http.StatusOK, s.engine.Items())
 }
 
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order types.EngineOrder
-	if err := server.Read(w, r, maxBody, &order); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &order); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	if order.Kind == OrderLoad && s.weights.IsValid() {
 		err := s.http.Call(r.Context(), http.MethodPost, "http://"+s.weights.String()+"/v1/fetch", struct{}{}, nil)
 		if err != nil {
-			server.Fail(w, "", err)
+			server.WriteProblem(w, "", err)
 			return
 		}
 	}
 	if err := s.engine.Order(order); err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *Server) serveModels(w http.ResponseWriter, _ *http.Request) {
-	server.Write(w, http.StatusOK, s.engine.Models())
+	server.WriteJSON(w, http.StatusOK, s.engine.Models())
 }
 
 func (s *Server) serveStats(w http.ResponseWriter, _ *http.Request) {
-	server.Write(w, http.StatusOK, s.engine.Stats())
+	server.WriteJSON(w, http.StatusOK, s.engine.Stats())
 }
 
 func (s *Server) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	s.engine.Set(in)
-	server.Write(w, http.StatusOK, in)
+	server.WriteJSON(w, http.StatusOK, in)
 }
--- a/stand/plat/plat.go
+++ b/stand/plat/plat.go
@@ -44,7 +44,7 @@
 	LogAddr netip.AddrPort
 	ListAt  netip.AddrPort
 
-	list    types.List
+	list    types.PlatformList
 	servers []*server.Server
 	stop    context.CancelFunc
 }
@@ -135,7 +135,7 @@
 
 // Add puts a box on the list at once.
 func (r *Platform) Add(box types.Member) {
-	r.Roster.Change(func(list *types.List) { list.Boxes = append(list.Boxes, box) })
+	r.Roster.Change(func(list *types.PlatformList) { list.Boxes = append(list.Boxes, box) })
 }
 
 // Effects sums up the effects of all replicas of a service by key.
@@ -176,7 +176,7 @@
 	for range n {
 		ln, err := net.Listen("tcp", Loopback().String())
 		if err != nil {
-			return nil, fault.Refuse(fault.BadSettings, "no free port").Because(err)
+			return nil, fault.Refuse(fault.BadSettings, "no free port").WithCause(err)
 		}
 		lns = append(lns, ln)
 		out = append(out, ln.Addr().(*net.TCPAddr).AddrPort())
--- a/stand/proxy/proxy.go
+++ b/stand/proxy/proxy.go
@@ -46,7 +46,7 @@
 func New(addr, target netip.AddrPort) (*Link, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, fault.Refuse(fault.BadSettings, "proxy cannot listen").Because(err)
+		return nil, fault.Refuse(fault.BadSettings, "proxy cannot listen").WithCause(err)
 	}
 	link := &Link{ln: ln, target: target, conns: map[net.Conn]bool{}}
 	go link.accept()
@@ -183,17 +183,17 @@
 
 func (g *Group) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	g.mu.Lock()
 	link, ok := g.links[r.URL.Query().Get("link")]
 	g.mu.Unlock()
 	if !ok {
-		server.Fail(w, "", fault.Refuse(fault.BadRequest, "no such link"))
+		server.WriteProblem(w, "", fault.Refuse(fault.BadRequest, "no such link"))
 		return
 	}
 	link.Set(in)
-	server.Write(w, http.StatusOK, in)
+	server.WriteJSON(w, http.StatusOK, in)
 }
--- a/stand/roster/roster.go
+++ b/stand/roster/roster.go
@@ -24,31 +24,31 @@
 	mu  sync.Mutex
 	lag time.Duration
 	// versions are in order of time; readers get the newest that is older than lag.
-	versions []types.List
+	versions []types.PlatformList
 	down     bool
 }
 
 // Control is the body of a control call. Unset fields change nothing.
 type Control struct {
-	Lag    *types.Duration `json:"lag,omitempty"`
-	Down   *bool           `json:"down,omitempty"`
-	List   *types.List     `json:"list,omitempty"`
-	Remove string          `json:"remove,omitempty"`
-	Leave  string          `json:"leave,omitempty"`
+	Lag    *types.Duration     `json:"lag,omitempty"`
+	Down   *bool               `json:"down,omitempty"`
+	List   *types.PlatformList `json:"list,omitempty"`
+	Remove string              `json:"remove,omitempty"`
+	Leave  string              `json:"leave,omitempty"`
 }
 
 // New makes a roster with a first list, visible at once.
-func New(list types.List, lag time.Duration) *Roster {
+func New(list types.PlatformList, lag time.Duration) *Roster {
 	list.At = time.Now().Add(-lag)
-	return &Roster{lag: lag, versions: []types.List{list}}
+	return &Roster{lag: lag, versions: []types.PlatformList{list}}
 }
 
 // List returns the list as of lag ago.
-func (l *Roster) List() (types.List, error) {
+func (l *Roster) List() (types.PlatformList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return types.List{}, fault.Refuse(fault.TargetFailed, "list is down")
+		return types.PlatformList{}, fault.Refuse(fault.TargetFailed, "list is down")
 	}
 	cutoff := time.Now().Add(-l.lag)
 	out := l.versions[0]
@@ -61,11 +61,11 @@
 }
 
 // Change edits the newest list; readers see it after the lag.
-func (l *Roster) Change(edit func(list *types.List)) {
+func (l *Roster) Change(edit func(list *types.PlatformList)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last := l.versions[len(l.versions)-1]
-	next := types.List{At: time.Now(), Boxes: slices.Clone(last.Boxes), Targets: slices.Clone(last.Targets)}
+	next := types.PlatformList{At: time.Now(), Boxes: slices.Clone(last.Boxes), Targets: slices.Clone(last.Targets)}
 	edit(&next)
 	l.versions = append(l.versions, next)
 	if len(l.versions) > history {
@@ -75,7 +75,7 @@
 
 // Leave marks a box or target as leaving.
 func (l *Roster) Leave(name string) {
-	l.Change(func(list *types.List) {
+	l.Change(func(list *types.PlatformList) {
 		for i := range list.Boxes {
 			list.Boxes[i].Leaving = list.Boxes[i].Leaving || list.Boxes[i].Name == name
 		}
@@ -87,7 +87,7 @@
 
 // Remove takes a box or target off the list.
 func (l *Roster) Remove(name string) {
-	l.Change(func(list *types.List) {
+	l.Change(func(list *types.PlatformList) {
 		list.Boxes = slices.DeleteFunc(list.Boxes, func(m types.Member) bool { return m.Name == name })
 		list.Targets = slices.DeleteFunc(list.Targets, func(t types.Target) bool { return t.Name == name })
 	})
@@ -104,7 +104,7 @@
 func (l *Roster) serveList(w http.ResponseWriter, r *http.Request) {
 	list, err := l.List()
 	if err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
 	tag := strconv.Quote(strconv.FormatInt(list.At.UnixNano(), 36))
@@ -113,17 +113,17 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	server.Write(w, http.StatusOK, list)
+	server.WriteJSON(w, http.StatusOK, list)
 }
 
 func (l *Roster) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Control
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	l.control(in)
-	server.Write(w, http.StatusOK, struct{}{})
+	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (l *Roster) control(in Control) {
@@ -136,7 +136,7 @@
 	}
 	l.mu.Unlock()
 	if in.List != nil {
-		l.Change(func(list *types.List) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
+		l.Change(func(list *types.PlatformList) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
 	}
 	if in.Leave != "" {
 		l.Leave(in.Leave)
--- a/stand/tool/tool.go
+++ b/stand/tool/tool.go
@@ -146,10 +146,10 @@
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/run", Handler: t.serveRun},
 		{Method: http.MethodGet, Path: "/v1/probe", Handler: func(w http.ResponseWriter, r *http.Request) {
-			server.Write(w, http.StatusOK, t.Probe(r.URL.Query().Get("key")))
+			server.WriteJSON(w, http.StatusOK, t.Probe(r.URL.Query().Get("key")))
 		}},
 		{Method: http.MethodGet, Path: "/control/effects", Handler: func(w http.ResponseWriter, _ *http.Request) {
-			server.Write(w, http.StatusOK, t.Effects())
+			server.WriteJSON(w, http.StatusOK, t.Effects())
 		}},
 		{Method: http.MethodPut, Path: "/control", Handler: t.serveControl},
 	}
@@ -157,28 +157,28 @@
 
 func (t *Tool) serveRun(w http.ResponseWriter, r *http.Request) {
 	var in Run
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	res, faults, err := t.Run(in)
 	if err != nil {
-		server.Fail(w, "", err)
+		server.WriteProblem(w, "", err)
 		return
 	}
 	if faults.DropAnswers > 0 {
-		server.Cut(w)
+		server.CloseConnection(w)
 		return
 	}
-	server.Write(w, http.StatusOK, res)
+	server.WriteJSON(w, http.StatusOK, res)
 }
 
 func (t *Tool) serveControl(w http.ResponseWriter, r *http.Request) {
 	var in Faults
-	if err := server.Read(w, r, maxBody, &in); err != nil {
-		server.Fail(w, "", err)
+	if err := server.ReadJSON(w, r, maxBody, &in); err != nil {
+		server.WriteProblem(w, "", err)
 		return
 	}
 	t.Set(in)
-	server.Write(w, http.StatusOK, in)
+	server.WriteJSON(w, http.StatusOK, in)
 }
--- a/stand/weight/weight.go
+++ b/stand/weight/weight.go
@@ -24,7 +24,7 @@
 // Fetch waits for its turn.
 func (s *Store) Fetch(ctx context.Context) error {
 	if err := s.limiter.Wait(ctx); err != nil {
-		return fault.Refuse(fault.Overloaded, "weight store is busy").Because(err)
+		return fault.Refuse(fault.Overloaded, "weight store is busy").WithCause(err)
 	}
 	return nil
 }
@@ -33,9 +33,9 @@
 func (s *Store) Routes() []rest.Route {
 	return []rest.Route{{Method: http.MethodPost, Path: "/v1/fetch", Handler: func(w http.ResponseWriter, r *http.Request) {
 		if err := s.Fetch(r.Context()); err != nil {
-			server.Fail(w, "", err)
+			server.WriteProblem(w, "", err)
 			return
 		}
-		server.Write(w, http.StatusOK, struct{}{})
+		server.WriteJSON(w, http.StatusOK, struct{}{})
 	}}}
 }
