--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -100,10 +100,10 @@
 		}
 		printReadings(out, fits)
 	}
-	table := report.Table{Head: []string{"slope", "value", "base", "range of x", "R²"}}
+	table := report.Table{Header: []string{"slope", "value", "base", "range of x", "R²"}}
 	for _, s := range fits.all() {
 		table.Rows = append(table.Rows, []string{
-			s.name, fmt.Sprintf("%.3f %s", s.line.Slope, s.unit), fmt.Sprintf("%.2f", s.line.Base),
+			s.name, fmt.Sprintf("%.3f %s", s.line.Slope, s.unit), fmt.Sprintf("%.2f", s.line.Intercept),
 			fmt.Sprintf("%.0f to %.0f", s.x[0], s.x[len(s.x)-1]), fmt.Sprintf("%.3f", s.line.R2),
 		})
 	}
@@ -136,7 +136,7 @@
 	}
 	time.Sleep(c.readingLength)
 	after, err := probe.Read(f.PID(0))
-	return probe.Between(before, after), err
+	return probe.RateBetween(before, after), err
 }
 
 const percent = 100
@@ -144,13 +144,13 @@
 // measureProposed measures an idle box of a larger fleet with the proposed settings.
 func (c *capacityCmd) measureProposed(ctx context.Context, b *builder, fits *capacityFits) error {
 	rate, err := c.measureIdle(ctx, b, fleetNeeds{boxes: 32, engines: 32, edit: func(set *conf.Settings) {
-		set.Member.Beat, set.Member.Suspect = types.Duration(proposedHeartbeat*time.Second), types.Duration(3*proposedHeartbeat*time.Second)
-		set.Member.List, set.Member.Fanout = types.Duration(5*time.Second), proposedPeers/2
-		set.Slots.Tick = types.Duration(time.Second)
-		set.Engines.Subset = proposedEngines / 2
-		set.Engines.Poll, set.Engines.IdlePoll = types.Duration(proposedPoll*float64(time.Second)), types.Duration(proposedIdlePoll*time.Second)
-		set.Engines.Sync = types.Duration(time.Minute)
-		set.Platform.ConfigPoll = types.Duration(2 * time.Second)
+		set.Member.HeartbeatInterval, set.Member.SuspectTimeout = types.Duration(proposedHeartbeat*time.Second), types.Duration(3*proposedHeartbeat*time.Second)
+		set.Member.ListInterval, set.Member.Fanout = types.Duration(5*time.Second), proposedPeers/2
+		set.Slots.CheckInterval = types.Duration(time.Second)
+		set.Engines.SubsetSize = proposedEngines / 2
+		set.Engines.PollInterval, set.Engines.IdlePollInterval = types.Duration(proposedPoll*float64(time.Second)), types.Duration(proposedIdlePoll*time.Second)
+		set.Engines.SyncInterval = types.Duration(time.Minute)
+		set.Platform.ConfigPollInterval = types.Duration(2 * time.Second)
 	}})
 	fits.proposed = rate
 	return err
@@ -177,7 +177,7 @@
 func (c *capacityCmd) measurePolls(ctx context.Context, b *builder, fits *capacityFits) error {
 	for _, n := range []int{1, 8, 16, 32} {
 		rate, err := c.measureIdle(ctx, b, fleetNeeds{boxes: 1, engines: n, shape: oneZone, edit: func(set *conf.Settings) {
-			set.Engines.Subset, set.Engines.IdlePoll = 64, set.Engines.Poll
+			set.Engines.SubsetSize, set.Engines.IdlePollInterval = 64, set.Engines.PollInterval
 		}})
 		if err != nil {
 			return err
@@ -323,7 +323,7 @@
 
 // pollConfigOften makes boxes poll for configurations so often that a publication hardly waits for it.
 func pollConfigOften(set *conf.Settings) {
-	set.Platform.ConfigPoll = types.Duration(50 * time.Millisecond)
+	set.Platform.ConfigPollInterval = types.Duration(50 * time.Millisecond)
 }
 
 const capacityRevisions = 12
@@ -346,7 +346,7 @@
 		if err != nil {
 			return err
 		}
-		for !f.InForce(ctx, number) {
+		for !f.RevisionApplied(ctx, number) {
 			time.Sleep(pollInterval)
 		}
 	}
@@ -355,7 +355,7 @@
 		return err
 	}
 	spent := after.CPU - before.CPU
-	idle := time.Duration(probe.Between(idleStart, before).Core * float64(after.At.Sub(before.At)))
+	idle := time.Duration(probe.RateBetween(idleStart, before).Core * float64(after.At.Sub(before.At)))
 	fits.revisionCPU.add(workspaces, float64((spent-idle).Microseconds())/capacityRevisions)
 	fits.revisionBytes.add(workspaces, float64(f.Platform.Log.Stats().Bytes-logged.Bytes)/capacityRevisions)
 	return nil
--- a/bench/cmds/cost.go
+++ b/bench/cmds/cost.go
@@ -118,6 +118,6 @@
 	perTurn := (after.CPU - before.CPU) / time.Duration(max(1, turns.Load()))
 	table.Rows = append(table.Rows,
 		[]string{"turns a second of a box on one core (closed loop, 4 tokens)", fmt.Sprintf("%.0f", float64(turns.Load())/secs)},
-		[]string{"share of the core used, processor time per turn", fmt.Sprintf("%.0f%%, %s", 100*probe.Between(before, after).Core, formatMillis(perTurn))})
+		[]string{"share of the core used, processor time per turn", fmt.Sprintf("%.0f%%, %s", 100*probe.RateBetween(before, after).Core, formatMillis(perTurn))})
 	return nil
 }
--- a/bench/cmds/derive.go
+++ b/bench/cmds/derive.go
@@ -37,7 +37,7 @@
 
 // deriveTable computes the load of a box of the reference deployment from the slopes.
 func deriveTable(fits *capacityFits) report.Table {
-	table := report.Table{Head: []string{"figure at the letter's size", "value", "bound", "from"}}
+	table := report.Table{Header: []string{"figure at the letter's size", "value", "bound", "from"}}
 	addRow := func(name, value, bound, from string) {
 		table.Rows = append(table.Rows, []string{name, value, bound, from})
 	}
@@ -46,9 +46,9 @@
 	polls := proposedBusyEngines/proposedPoll + (proposedEngines-proposedBusyEngines)/proposedIdlePoll
 	pollCPU := fits.pollCPU.line.Slope * defaultPoll * polls
 	pollBytes := fits.pollBytes.line.Slope * defaultPoll * polls
-	perRevision := fits.revisionCPU.line.Base + fits.revisionCPU.line.Slope*refWorkspaces
+	perRevision := fits.revisionCPU.line.Intercept + fits.revisionCPU.line.Slope*refWorkspaces
 	revisionCPU := perRevision * refRevisions / daySeconds / 1e6 * percent
-	revisionSize := fits.revisionBytes.line.Base + fits.revisionBytes.line.Slope*refWorkspaces
+	revisionSize := fits.revisionBytes.line.Intercept + fits.revisionBytes.line.Slope*refWorkspaces
 	revisionBytes := 2 * revisionSize * refRevisions / daySeconds
 	addRow("heartbeats with 12 peers every 2 s", fmt.Sprintf("%.2f%% of a core, %.0f B/s", heartbeatCPU, heartbeatBytes), "", "peer slopes")
 	addRow("polls: 4 engines in use every 0.5 s, 28 others every 10 s", fmt.Sprintf("%.2f%% of a core, %.0f B/s", pollCPU, pollBytes), "", "poll slopes")
@@ -59,11 +59,11 @@
 	addRow("control per node", fmt.Sprintf("%.2f%% of a core", heartbeatCPU+pollCPU+revisionCPU), "1.1%", "sum")
 	addRow("control per node", fmt.Sprintf("%.1f KB/s", (heartbeatBytes+pollBytes+revisionBytes+listRate)/1000), "13 KB/s", "sum")
 	programsPerBox := float64(refPrograms) / refBoxes
-	memoryMiB := (fits.programMemory.line.Base + fits.programMemory.line.Slope*programsPerBox) / 1024
+	memoryMiB := (fits.programMemory.line.Intercept + fits.programMemory.line.Slope*programsPerBox) / 1024
 	addRow("memory of a node with 245 programs at rest, without history", fmt.Sprintf("%.0f MiB", memoryMiB), "128 MB", "memory slope")
 	historyKiB := float64(4 * 720_000 / 1024)
 	addRow("memory of one longest history (720,000 tokens of 4 bytes)", fmt.Sprintf("%.1f MiB", fits.historyMemory.line.Slope*historyKiB/1024), "", "history slope")
-	turnCPU := fits.tokenCPU.line.Base + fits.tokenCPU.line.Slope*float64(refTokens)/refRequests
+	turnCPU := fits.tokenCPU.line.Intercept + fits.tokenCPU.line.Slope*float64(refTokens)/refRequests
 	addRow("data path per node: 15.5 requests/s of 476 tokens", fmt.Sprintf("%.0f%% of a core", turnCPU*refRequests/refBoxes/1e6*percent), "", "token slope")
 	addRow("replicas seen by how many boxes of their zone", fmt.Sprintf("%.0f", float64(proposedEngines)*refBoxes/refReplicas), "", "32 of 333 each")
 	return table
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -64,7 +64,7 @@
 	spec.MaxBatch = 8
 	spec.StepTime = types.Duration(5 * time.Millisecond)
 	spec.PrefillRate = 12_000
-	spec.Chunk = 256
+	spec.PrefillChunk = 256
 	spec.CacheSize = 24_000
 }
 
@@ -104,9 +104,9 @@
 	if err != nil {
 		return err
 	}
-	maxRate := maxProgramRate(load.Plans(load.Mix(e.mix), 100, 20*time.Second, 1), e.engines)
+	maxRate := maxProgramRate(load.DrawPlans(load.Mix(e.mix), 100, 20*time.Second, 1), e.engines)
 	_, _ = fmt.Fprintf(out, "mix %s, %d boxes, %d engines, capacity %.1f programs/s, fault %s\n", e.mix, e.boxes, e.engines, maxRate, e.faultName)
-	table := report.Table{Head: []string{
+	table := report.Table{Header: []string{
 		"variant", "load", "seed", "planned", "finished", "refused", "failed", "p50 ms", "p95 ms", "p99 ms",
 		"long p95 ms", "wasted long %", "wasted short %", "goodput/s", "retries", "violations",
 	}}
@@ -122,7 +122,7 @@
 				violations += len(stats.Violations)
 				row := e.tableRow(variant, loadShare, seed, stats)
 				table.Rows = append(table.Rows, row)
-				_, _ = fmt.Fprintln(out, row, stats.Violations, stats.Refusals)
+				_, _ = fmt.Fprintln(out, row, stats.Violations, stats.Faults)
 				s, ok := series[variant]
 				if !ok {
 					s = &report.Series{Name: variant}
@@ -164,7 +164,7 @@
 	return []string{
 		variant, fmt.Sprintf("%.2f", loadShare), fmt.Sprint(seed), fmt.Sprint(s.Planned), fmt.Sprint(s.Finished), fmt.Sprint(s.Refused),
 		fmt.Sprint(s.Failed), f(toMillis(s.Latency("all", 50))), f(toMillis(s.Latency("all", 95))), f(toMillis(s.Latency("all", 99))),
-		f(toMillis(s.Latency(long, 95))), fmt.Sprintf("%.1f", 100*s.Wasted(long)), fmt.Sprintf("%.1f", 100*s.Wasted(short)),
+		f(toMillis(s.Latency(long, 95))), fmt.Sprintf("%.1f", 100*s.RecomputedShare(long)), fmt.Sprintf("%.1f", 100*s.RecomputedShare(short)),
 		fmt.Sprintf("%.1f", s.Goodput(e.length/4, e.length)), fmt.Sprint(s.Retries), fmt.Sprint(len(s.Violations)),
 	}
 }
@@ -194,12 +194,12 @@
 		return nil, fault.Fail(fault.Internal, "cannot create a temporary folder").WithCause(err)
 	}
 	f, err := fleet.New(ctx, fleet.Spec{
-		Shape: shape, Boxes: e.boxes, Gate: gate, Dir: dir, Proxied: true,
+		Shape: shape, Boxes: e.boxes, GatePath: gate, Dir: dir, Proxied: true,
 		Platform: plat.Spec{
-			Zones: shape.Zones, Engines: e.engines, Model: shape.Models[0], Lag: 500 * time.Millisecond, Engine: engineSpec,
-			Log: applog.Faults{Limit: 400}, Services: map[string]int{lookup: 4, booking: 6},
+			Zones: shape.Zones, Engines: e.engines, Model: shape.Models[0], ListLag: 500 * time.Millisecond, AdjustEngine: engineSpec,
+			Log: applog.Faults{AppendsPerSecond: 400}, Services: map[string]int{lookup: 4, booking: 6},
 		},
-		Edit: func(set *conf.Settings) { set.Admit = settings },
+		EditSettings: func(set *conf.Settings) { set.Admit = settings },
 	})
 	if err != nil {
 		return nil, err
@@ -209,8 +209,8 @@
 	stop := inject(f, balancer, e.faultName, e.length/3)
 	defer stop()
 	stats := load.Run(ctx, load.Spec{
-		Plans: load.Plans(load.Mix(e.mix), rate, e.length, seed), Workspaces: shape.Workspaces, Model: shape.Models[0],
-		Look: lookup, Book: booking, Entries: balancer, Deadline: time.Minute,
+		Plans: load.DrawPlans(load.Mix(e.mix), rate, e.length, seed), Workspaces: shape.Workspaces, Model: shape.Models[0],
+		LookupService: lookup, BookingService: booking, Balancer: balancer, Deadline: time.Minute,
 	})
 	for key, n := range f.Platform.Effects() {
 		if n > 1 {
@@ -228,7 +228,7 @@
 		case i == 0:
 			set.Strategy = sched.Strategy(part)
 		case part == "noholds":
-			set.Holds = false
+			set.HoldCaches = false
 		case part == string(sched.Age), part == string(sched.Attained), part == string(sched.Fifo):
 			set.Order = sched.Order(part)
 		default:
@@ -237,7 +237,7 @@
 	}
 	if set.Strategy != sched.Scored {
 		// The baseline strategies run without holds and serve in order of arrival.
-		set.Holds, set.Order = false, sched.Fifo
+		set.HoldCaches, set.Order = false, sched.Fifo
 	}
 	return set, nil
 }
--- a/bench/cmds/faults.go
+++ b/bench/cmds/faults.go
@@ -69,31 +69,31 @@
 
 // boxStopped drains and stops a box as in a planned stop, and does not restart it.
 func boxStopped(_ context.Context, f *fleet.Fleet, b *fleet.Balancer) {
-	b.Out(0, true)
-	f.Leave(f.Boxes()[0].Name)
+	b.SetOutOfService(0, true)
+	f.MarkLeaving(f.Boxes()[0].Name)
 	f.Signal(0, syscall.SIGTERM)
 }
 
 func engineSlow(_ context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
-	f.Platform.Engines["engine-0"].Set(model.Faults{SlowBy: 4})
+	f.Platform.Engines["engine-0"].SetFaults(model.Faults{SlowdownFactor: 4})
 }
 
 func engineLeave(_ context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
-	f.Leave("engine-0")
+	f.MarkLeaving("engine-0")
 }
 
 func logDown(ctx context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
-	f.Platform.Log.Set(applog.Faults{Limit: 400, Down: true})
+	f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400, Down: true})
 	if pause(ctx, 3*time.Second) {
-		f.Platform.Log.Set(applog.Faults{Limit: 400})
+		f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400})
 	}
 }
 
 func zoneCut(ctx context.Context, f *fleet.Fleet, _ *fleet.Balancer) {
 	zone := f.Boxes()[0].Zone
-	f.CutZone(zone, true)
+	f.PartitionZone(zone, true)
 	if pause(ctx, 3*time.Second) {
-		f.CutZone(zone, false)
+		f.PartitionZone(zone, false)
 	}
 }
 
--- a/bench/cmds/figures.go
+++ b/bench/cmds/figures.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer b.close()
-	table := &report.Table{Head: []string{"figure", "value"}}
+	table := &report.Table{Header: []string{"figure", "value"}}
 	all := []measurement{
 		{"latency", measureLatency}, {"cost", measureCost}, {"takeover", measureTakeovers},
 		{"config", measureConfig}, {"log", measureLog}, {"zone", measureZonePartition},
@@ -110,10 +110,10 @@
 		needs.shape(&shape)
 	}
 	return fleet.New(ctx, fleet.Spec{
-		Shape: shape, Boxes: needs.boxes, Gate: b.gate, Dir: dir, Proxied: needs.proxied, Env: needs.env, Edit: needs.edit,
+		Shape: shape, Boxes: needs.boxes, GatePath: b.gate, Dir: dir, Proxied: needs.proxied, Env: needs.env, EditSettings: needs.edit,
 		Platform: plat.Spec{
-			Zones: shape.Zones, Engines: needs.engines, Model: "planner", Engine: needs.engine, Lag: 200 * time.Millisecond,
-			Log: applog.Faults{Limit: 400}, Services: map[string]int{"booking": 2, "calendar": 1},
+			Zones: shape.Zones, Engines: needs.engines, Model: "planner", AdjustEngine: needs.engine, ListLag: 200 * time.Millisecond,
+			Log: applog.Faults{AppendsPerSecond: 400}, Services: map[string]int{"booking": 2, "calendar": 1},
 		},
 	})
 }
--- a/bench/cmds/mutate.go
+++ b/bench/cmds/mutate.go
@@ -30,8 +30,8 @@
 func (m *mutate) Flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&m.opts.Root, "root", ".", "checkout to copy")
 	cmd.Flags().StringVar(&m.opts.Seed, "seed", "20261202", "seed of the property tests")
-	cmd.Flags().StringVar(&m.opts.Checks, "checks", "300", "most plans that the property test of the fleet tries")
-	cmd.Flags().DurationVar(&m.opts.Wait, "wait", 3*time.Minute, "time limit of one mutant")
+	cmd.Flags().StringVar(&m.opts.MaxPlans, "checks", "300", "most plans that the property test of the fleet tries")
+	cmd.Flags().DurationVar(&m.opts.Timeout, "wait", 3*time.Minute, "time limit of one mutant")
 	cmd.Flags().StringVar(&m.only, "only", "", "run this mutant only")
 }
 
@@ -48,7 +48,7 @@
 		if !res.Found {
 			missed++
 		}
-		_, _ = fmt.Fprintf(out, "| %s | %s | %v | %s | %s | %d | %s | %.0f |\n", res.Mutant.Name, res.Mutant.Promise, res.Found, res.By, res.Tests, res.Steps, res.Broken, res.Took.Seconds())
+		_, _ = fmt.Fprintf(out, "| %s | %s | %v | %s | %s | %d | %s | %.0f |\n", res.Mutant.Name, res.Mutant.Property, res.Found, res.TestedBy, res.PlansTried, res.Steps, res.Violations, res.Took.Seconds())
 	})
 	if err == nil && missed > 0 {
 		return fault.Fail(fault.Internal, fmt.Sprintf("%d mutants were not found", missed))
--- a/bench/cmds/summary.go
+++ b/bench/cmds/summary.go
@@ -50,7 +50,7 @@
 		}
 		all = append(all, read...)
 	}
-	sums := recap.Sum(all, s.every)
+	sums := recap.Summarize(all, s.every)
 	table := sums.Table()
 	table.Markdown(out)
 	if s.csv != "" {
@@ -61,5 +61,5 @@
 	if s.svg == "" {
 		return nil
 	}
-	return report.Plot(s.svg, "calls by route", "s", "calls in "+s.every.String(), sums.Lines(s.routes))
+	return report.Plot(s.svg, "calls by route", "s", "calls in "+s.every.String(), sums.Series(s.routes))
 }
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -84,7 +84,7 @@
 		if s.readState(ctx, other) == nil {
 			longest = max(longest, time.Since(last))
 			last = time.Now()
-			if !f.Up(i) && (planned || longest > 100*time.Millisecond) {
+			if !f.Running(i) && (planned || longest > 100*time.Millisecond) {
 				break
 			}
 		}
@@ -95,7 +95,7 @@
 	if err := f.Start(i); err != nil {
 		return err
 	}
-	return f.Ready(context.WithoutCancel(ctx))
+	return f.WaitReady(context.WithoutCancel(ctx))
 }
 
 func (s *session) readState(ctx context.Context, url string) error {
@@ -117,7 +117,7 @@
 		if err != nil {
 			return err
 		}
-		for !f.InForce(ctx, number) {
+		for !f.RevisionApplied(ctx, number) {
 			time.Sleep(pollInterval)
 		}
 		_ = hist.RecordValue(time.Since(began).Microseconds())
@@ -166,11 +166,11 @@
 	for on {
 		select {
 		case <-stop:
-			f.Platform.Log.Set(applog.Faults{Limit: 400})
+			f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400})
 			return
 		case <-time.After(300 * time.Millisecond):
 			down = !down
-			f.Platform.Log.Set(applog.Faults{Limit: 400, Down: down})
+			f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400, Down: down})
 		}
 	}
 }
@@ -232,10 +232,10 @@
 	cli := client.New("zone", nil)
 	zone := f.Boxes()[0].Zone
 	before := countZoneTurns(ctx, f, cli)
-	f.CutZone(zone, true)
+	f.PartitionZone(zone, true)
 	time.Sleep(2 * time.Second)
 	during := countZoneTurns(ctx, f, cli)
-	f.CutZone(zone, false)
+	f.PartitionZone(zone, false)
 	table.Rows = append(table.Rows, []string{
 		"turns answered in a cut-off zone, as a share of before the cut", fmt.Sprintf("%d / %d = %.2f", during, before, float64(during)/float64(before)),
 	})
--- a/bench/fleet/config.go
+++ b/bench/fleet/config.go
@@ -26,11 +26,11 @@
 	return rev.Number, err
 }
 
-// InForce reports whether every running box has applied the revision or a newer one. A running
+// RevisionApplied reports whether every running box has applied the revision or a newer one. A running
 // box that doesn't answer counts as one that has not.
-func (f *Fleet) InForce(ctx context.Context, number int64) bool {
+func (f *Fleet) RevisionApplied(ctx context.Context, number int64) bool {
 	for i := range f.boxes {
-		if !f.Up(i) {
+		if !f.Running(i) {
 			continue
 		}
 		st, err := f.Status(ctx, i)
--- a/bench/fleet/entry.go
+++ b/bench/fleet/entry.go
@@ -19,8 +19,8 @@
 	return &Balancer{fleet: f, outOfService: map[int]bool{}}
 }
 
-// Out takes box i out of service if out is set, and puts it back if not.
-func (b *Balancer) Out(i int, out bool) {
+// SetOutOfService takes box i out of service if out is set, and puts it back if not.
+func (b *Balancer) SetOutOfService(i int, out bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.outOfService[i] = out
@@ -34,7 +34,7 @@
 	first := rng.IntN(n)
 	for k := range n {
 		i := (first + k) % n
-		if !b.outOfService[i] && b.fleet.Up(i) {
+		if !b.outOfService[i] && b.fleet.Running(i) {
 			return "http://" + b.fleet.boxes[i].Settings.Listen.Callers.String()
 		}
 	}
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -30,11 +30,11 @@
 	Shape    sample.Deployment
 	Platform plat.Spec
 	Boxes    int
-	// Gate is the path of the built program, Dir the folder for settings and log files.
-	Gate string
-	Dir  string
-	// Edit changes the settings of each box before it starts; may be nil.
-	Edit func(set *conf.Settings)
+	// GatePath is the path of the built program, Dir the folder for settings and log files.
+	GatePath string
+	Dir      string
+	// EditSettings changes the settings of each box before it starts; may be nil.
+	EditSettings func(set *conf.Settings)
 	// Proxied puts a proxy on every link between boxes and to the log. Cuts of links need it.
 	Proxied bool
 	// Env holds variables, as NAME=VALUE, that are added to the environment of every box.
@@ -131,7 +131,7 @@
 			return err
 		}
 	}
-	return f.Ready(ctx)
+	return f.WaitReady(ctx)
 }
 
 func (f *Fleet) newBox(i int, ports []netip.AddrPort) *Box {
@@ -139,13 +139,13 @@
 	set := conf.Defaults()
 	set.Box = conf.Box{Name: fmt.Sprintf("box-%d", i), Zone: zone}
 	set.Listen = conf.Listen{Callers: ports[0], Peers: ports[1], Admin: ports[2]}
-	set.Platform.Log, set.Platform.List = f.Platform.LogAddr, f.Platform.ListAt
+	set.Platform.Log, set.Platform.List = f.Platform.LogAddr, f.Platform.ListAddr
 	set.Platform.Boxes = f.spec.Boxes
-	set.Platform.AppendLimit = float64(f.spec.Platform.Log.Limit)
-	set.Platform.Retention = f.spec.Platform.Log.Keep
+	set.Platform.AppendLimit = float64(f.spec.Platform.Log.AppendsPerSecond)
+	set.Platform.Retention = f.spec.Platform.Log.Retention
 	set.Security = conf.Security{RootKey: f.Keys.Root, OperatorKeys: [][]byte{f.Keys.Public()}, InsecureLoopback: true}
-	if f.spec.Edit != nil {
-		f.spec.Edit(&set)
+	if f.spec.EditSettings != nil {
+		f.spec.EditSettings(&set)
 	}
 	return &Box{Name: set.Box.Name, Zone: zone, Settings: set, index: i}
 }
@@ -155,7 +155,7 @@
 func (f *Fleet) connect() error {
 	if !f.spec.Proxied {
 		for _, b := range f.boxes {
-			f.Platform.Add(types.Member{Name: b.Name, Zone: b.Zone, Peer: b.Settings.Listen.Peers})
+			f.Platform.AddBox(types.Member{Name: b.Name, Zone: b.Zone, Peer: b.Settings.Listen.Peers})
 		}
 		return nil
 	}
@@ -219,7 +219,7 @@
 	if err != nil {
 		return fault.Fail(fault.Internal, "cannot open the log file").WithCause(err)
 	}
-	cmd := exec.Command(f.spec.Gate, "run", "--settings", path)
+	cmd := exec.Command(f.spec.GatePath, "run", "--settings", path)
 	cmd.Env = append(os.Environ(), f.spec.Env...)
 	cmd.Stderr, cmd.Stdout = logFile, logFile
 	if err := cmd.Start(); err != nil {
@@ -245,8 +245,8 @@
 	return f.boxes
 }
 
-// Up reports whether the process of box i runs.
-func (f *Fleet) Up(i int) bool {
+// Running reports whether the process of box i runs.
+func (f *Fleet) Running(i int) bool {
 	f.mu.Lock()
 	done := f.boxes[i].done
 	f.mu.Unlock()
@@ -290,28 +290,28 @@
 	return f.boxes[i].cmd.Process.Pid
 }
 
-// CutLog blocks or restores the link from box i to the log.
-func (f *Fleet) CutLog(i int, cut bool) {
-	f.logLinks[i].Set(proxy.Faults{Refuse: cut})
+// PartitionLog blocks or restores the link from box i to the log.
+func (f *Fleet) PartitionLog(i int, cut bool) {
+	f.logLinks[i].SetFaults(proxy.Faults{Refuse: cut})
 }
 
-// CutPeers blocks or restores the calls of box i to box j and their answers. Calls of j to i
+// PartitionPeers blocks or restores the calls of box i to box j and their answers. Calls of j to i
 // are not affected.
-func (f *Fleet) CutPeers(i, j int, cut bool) {
-	f.peerLinks[[2]int{i, j}].Set(proxy.Faults{CutUp: cut, CutDown: cut})
+func (f *Fleet) PartitionPeers(i, j int, cut bool) {
+	f.peerLinks[[2]int{i, j}].SetFaults(proxy.Faults{DropToTarget: cut, DropFromTarget: cut})
 }
 
-// CutZone starts or ends a partition between the boxes of a zone and all other boxes and the log.
-func (f *Fleet) CutZone(zone string, cut bool) {
+// PartitionZone starts or ends a partition between the boxes of a zone and all other boxes and the log.
+func (f *Fleet) PartitionZone(zone string, cut bool) {
 	for i, b := range f.boxes {
 		if b.Zone != zone {
 			continue
 		}
-		f.CutLog(i, cut)
+		f.PartitionLog(i, cut)
 		for j, other := range f.boxes {
 			if other.Zone != zone {
-				f.CutPeers(i, j, cut)
-				f.CutPeers(j, i, cut)
+				f.PartitionPeers(i, j, cut)
+				f.PartitionPeers(j, i, cut)
 			}
 		}
 	}
@@ -322,11 +322,11 @@
 	return f.logLinks[i]
 }
 
-// Leave marks a box or target as leaving, on the platform's list and on those of the boxes.
-func (f *Fleet) Leave(name string) {
-	f.Platform.Roster.Leave(name)
+// MarkLeaving marks a box or target as leaving, on the platform's list and on those of the boxes.
+func (f *Fleet) MarkLeaving(name string) {
+	f.Platform.Roster.MarkLeaving(name)
 	for _, list := range f.lists {
-		list.Leave(name)
+		list.MarkLeaving(name)
 	}
 }
 
@@ -370,11 +370,11 @@
 	return 0, fault.Refuse(fault.OwnerUnavailable, "no box holds the slot")
 }
 
-// Owned returns the number of slots that each running and ready box reports, by its name.
-func (f *Fleet) Owned(ctx context.Context) map[string]int {
+// SlotCounts returns the number of slots that each running and ready box reports, by its name.
+func (f *Fleet) SlotCounts(ctx context.Context) map[string]int {
 	out := map[string]int{}
 	for i, b := range f.boxes {
-		if !f.Up(i) {
+		if !f.Running(i) {
 			continue
 		}
 		if st, err := f.Status(ctx, i); err == nil && st.Ready {
@@ -384,14 +384,14 @@
 	return out
 }
 
-// Ready waits until every running box is ready and all slots are owned, and fails after readyTimeout.
-func (f *Fleet) Ready(ctx context.Context) error {
+// WaitReady waits until every running box is ready and all slots are owned, and fails after readyTimeout.
+func (f *Fleet) WaitReady(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	want := f.spec.Shape.Slots * len(f.spec.Shape.Zones)
 	for {
 		owned, ready := 0, 0
-		for _, n := range f.Owned(ctx) {
+		for _, n := range f.SlotCounts(ctx) {
 			owned += n
 			ready++
 		}
@@ -409,7 +409,7 @@
 func (f *Fleet) countRunning() int {
 	n := 0
 	for i := range f.boxes {
-		if f.Up(i) {
+		if f.Running(i) {
 			n++
 		}
 	}
@@ -419,7 +419,7 @@
 // Close kills every running box, paused ones included, and stops the proxies and the platform.
 func (f *Fleet) Close() {
 	for i, b := range f.boxes {
-		if b.cmd != nil && f.Up(i) {
+		if b.cmd != nil && f.Running(i) {
 			f.Signal(i, syscall.SIGCONT)
 			f.Kill(i)
 		}
--- a/bench/fleet/fleet_test.go
+++ b/bench/fleet/fleet_test.go
@@ -28,12 +28,12 @@
 	}
 	shape := sample.Ghent()
 	f, err := fleet.New(ctx, fleet.Spec{
-		Shape: shape, Boxes: 3, Gate: gate, Dir: dir, Proxied: true,
+		Shape: shape, Boxes: 3, GatePath: gate, Dir: dir, Proxied: true,
 		Platform: plat.Spec{
-			Zones: shape.Zones, Engines: 4, Model: "planner", Lag: 300 * time.Millisecond, Log: applog.Faults{Limit: 400},
+			Zones: shape.Zones, Engines: 4, Model: "planner", ListLag: 300 * time.Millisecond, Log: applog.Faults{AppendsPerSecond: 400},
 			Services: map[string]int{"booking": 3, "calendar": 2},
 		},
-		Edit: shortenTimeouts,
+		EditSettings: shortenTimeouts,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -44,16 +44,16 @@
 
 // shortenTimeouts shortens the intervals that delay a takeover.
 func shortenTimeouts(set *conf.Settings) {
-	set.Member.Beat = types.Duration(100 * time.Millisecond)
-	set.Member.Suspect = types.Duration(1200 * time.Millisecond)
-	set.Member.List = types.Duration(200 * time.Millisecond)
-	set.Slots.AdoptAfter = types.Duration(time.Second)
+	set.Member.HeartbeatInterval = types.Duration(100 * time.Millisecond)
+	set.Member.SuspectTimeout = types.Duration(1200 * time.Millisecond)
+	set.Member.ListInterval = types.Duration(200 * time.Millisecond)
+	set.Slots.AdoptionDelay = types.Duration(time.Second)
 }
 
 func runLoad(ctx context.Context, b *fleet.Balancer, plans []load.Plan) *load.Stats {
 	return load.Run(ctx, load.Spec{
-		Plans: plans, Workspaces: []string{"flanders", "wallonia"}, Model: "planner", Look: "calendar", Book: "booking",
-		Entries: b, Deadline: 2 * time.Minute,
+		Plans: plans, Workspaces: []string{"flanders", "wallonia"}, Model: "planner", LookupService: "calendar", BookingService: "booking",
+		Balancer: b, Deadline: 2 * time.Minute,
 	})
 }
 
@@ -69,7 +69,7 @@
 		}
 	}
 	t.Logf("finished %d of %d, refused %d, failed %d, turns %d, calls %d, unknown %d, retries %d, refusals %v",
-		stats.Finished, stats.Planned, stats.Refused, stats.Failed, stats.Turns, stats.Calls, stats.Unknown, stats.Retries, stats.Refusals)
+		stats.Finished, stats.Planned, stats.Refused, stats.Failed, stats.Turns, stats.Calls, stats.UnknownOutcomes, stats.Retries, stats.Faults)
 }
 
 // checkAllFinished checks that every planned program finished.
@@ -81,7 +81,7 @@
 }
 
 func drawPlans(seed uint64) []load.Plan {
-	return load.Plans(load.Ghent, 25, 8*time.Second, seed)
+	return load.DrawPlans(load.Ghent, 25, 8*time.Second, seed)
 }
 
 // TestPlannedStop checks that no request fails and every booking takes effect exactly once while
@@ -93,8 +93,8 @@
 		time.Sleep(2 * time.Second)
 		f.Signal(0, syscall.SIGHUP)
 		time.Sleep(time.Second)
-		b.Out(1, true)
-		f.Leave(f.Boxes()[1].Name)
+		b.SetOutOfService(1, true)
+		f.MarkLeaving(f.Boxes()[1].Name)
 		f.Signal(1, syscall.SIGTERM)
 		time.Sleep(200 * time.Millisecond)
 		f.Signal(1, syscall.SIGHUP)
@@ -102,7 +102,7 @@
 	stats := runLoad(ctx, b, drawPlans(1))
 	checkInvariants(t, f, stats)
 	checkAllFinished(t, stats)
-	if diff := cmp.Diff(map[string]int{}, stats.Refusals); diff != "" {
+	if diff := cmp.Diff(map[string]int{}, stats.Faults); diff != "" {
 		t.Errorf("failed requests during a planned stop (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(0, f.Wait(1)); diff != "" {
@@ -163,10 +163,10 @@
 	go func() {
 		time.Sleep(2 * time.Second)
 		f.Signal(2, syscall.SIGSTOP)
-		b.Out(2, true)
+		b.SetOutOfService(2, true)
 		time.Sleep(2500 * time.Millisecond)
 		f.Signal(2, syscall.SIGCONT)
-		b.Out(2, false)
+		b.SetOutOfService(2, false)
 	}()
 	stats := runLoad(context.Background(), b, drawPlans(3))
 	checkInvariants(t, f, stats)
@@ -178,15 +178,15 @@
 	f, b := startFleet(t)
 	go func() {
 		time.Sleep(time.Second)
-		f.Platform.Log.Set(applog.Faults{Limit: 400, LoseAnswers: 8})
+		f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400, LoseResponses: 8})
 		time.Sleep(time.Second)
-		f.Platform.Log.Set(applog.Faults{Limit: 400, Down: true})
+		f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400, Down: true})
 		time.Sleep(1500 * time.Millisecond)
-		f.Platform.Log.Set(applog.Faults{Limit: 400, Slow: types.Duration(30 * time.Millisecond)})
-		f.CutZone("hall-namur", true)
+		f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400, Delay: types.Duration(30 * time.Millisecond)})
+		f.PartitionZone("hall-namur", true)
 		time.Sleep(2 * time.Second)
-		f.CutZone("hall-namur", false)
-		f.Platform.Log.Set(applog.Faults{Limit: 400})
+		f.PartitionZone("hall-namur", false)
+		f.Platform.Log.SetFaults(applog.Faults{AppendsPerSecond: 400})
 	}()
 	stats := runLoad(context.Background(), b, drawPlans(4))
 	checkInvariants(t, f, stats)
@@ -199,7 +199,7 @@
 	left := make(chan time.Time, 1)
 	go func() {
 		time.Sleep(3 * time.Second)
-		f.Leave("engine-0")
+		f.MarkLeaving("engine-0")
 		left <- time.Now()
 	}()
 	stats := runLoad(context.Background(), b, drawPlans(5))
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -11,15 +11,15 @@
 	"mulleingate.dev/base/fault"
 )
 
-// Entries picks the box that receives each call, as the platform's load balancer does.
-type Entries interface {
+// Balancer picks the box that receives each call, as the platform's load balancer does.
+type Balancer interface {
 	Entry(rng *rand.Rand) string
 }
 
 // caller sends the calls of one program and retries those that fail with a retryable fault.
 type caller struct {
 	http    *client.Client
-	entries Entries
+	entries Balancer
 	token   string
 	rng     *rand.Rand
 	stats   *Stats
--- a/bench/load/plan.go
+++ b/bench/load/plan.go
@@ -23,8 +23,8 @@
 // service that may not be repeated, or a sub-agent.
 const (
 	TurnStep StepKind = iota
-	LookStep
-	BookStep
+	LookupStep
+	BookingStep
 	AgentStep
 )
 
@@ -40,10 +40,10 @@
 
 // Plan is a program with its arrival time, counted from the start of the run.
 type Plan struct {
-	At    time.Duration
-	Kind  string
-	Long  bool
-	Steps []Step
+	Arrival time.Duration
+	Kind    string
+	Long    bool
+	Steps   []Step
 	// Seed makes the program's texts differ from those of other programs.
 	Seed uint64
 }
@@ -73,8 +73,8 @@
 		0.25
 }
 
-// Plans draws the programs of a run, with Poisson arrivals at rate programs per second.
-func Plans(mix Mix, rate float64, length time.Duration, seed uint64) []Plan {
+// DrawPlans draws the programs of a run, with Poisson arrivals at rate programs per second.
+func DrawPlans(mix Mix, rate float64, length time.Duration, seed uint64) []Plan {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	short, long, share := shapes(mix)
 	var out []Plan
@@ -88,7 +88,7 @@
 		if rng.Float64() < share {
 			sh = long
 		}
-		out = append(out, Plan{At: when, Kind: sh.kind, Long: sh.long, Steps: drawSteps(rng, sh, true), Seed: rng.Uint64()})
+		out = append(out, Plan{Arrival: when, Kind: sh.kind, Long: sh.long, Steps: drawSteps(rng, sh, true), Seed: rng.Uint64()})
 	}
 }
 
@@ -102,10 +102,10 @@
 		}
 		out = append(out, Step{Kind: TurnStep, Pause: drawPause(rng, sh, i == 0), Words: words, Tokens: drawInt(rng, sh.tokens)})
 		if rng.Float64() < sh.lookupShare {
-			out = append(out, Step{Kind: LookStep})
+			out = append(out, Step{Kind: LookupStep})
 		}
 		if rng.Float64() < sh.bookingShare {
-			out = append(out, Step{Kind: BookStep})
+			out = append(out, Step{Kind: BookingStep})
 		}
 		if root && rng.Float64() < sh.agentShare {
 			sub := sh
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -22,10 +22,10 @@
 	Plans      []Plan
 	Workspaces []string
 	Model      string
-	// Look is the name of a service that may be repeated, Book of one that may not.
-	Look, Book string
-	Entries    Entries
-	Deadline   time.Duration
+	// LookupService is the name of a service that may be repeated, BookingService of one that may not.
+	LookupService, BookingService string
+	Balancer                      Balancer
+	Deadline                      time.Duration
 }
 
 const (
@@ -43,13 +43,13 @@
 	start := time.Now()
 	var group sync.WaitGroup
 	for i, plan := range spec.Plans {
-		if !sleepUntil(ctx, start.Add(plan.At)) {
+		if !sleepUntil(ctx, start.Add(plan.Arrival)) {
 			break
 		}
 		group.Go(func() {
 			rng := rand.New(rand.NewPCG(plan.Seed, 11))
 			workspace := spec.Workspaces[i%len(spec.Workspaces)]
-			c := &caller{http: shared, entries: spec.Entries, token: sample.Token(workspace), rng: rng, stats: stats}
+			c := &caller{http: shared, entries: spec.Balancer, token: sample.Token(workspace), rng: rng, stats: stats}
 			r := &runner{spec: spec, caller: c, plan: plan, stats: stats, workspace: workspace}
 			err := r.runProgram(ctx)
 			r.recordOutcome(err, start)
@@ -82,7 +82,7 @@
 func (r *runner) recordOutcome(err error, start time.Time) {
 	if err == nil {
 		now := time.Since(start)
-		r.stats.countFinished(r.plan.Kind, now-r.plan.At, now)
+		r.stats.countFinished(r.plan.Kind, now-r.plan.Arrival, now)
 		return
 	}
 	f := fault.From(err)
@@ -135,11 +135,11 @@
 
 func (r *runner) runStep(ctx context.Context, conv *conversation, step Step) error {
 	switch step.Kind {
-	case LookStep:
-		return r.callService(ctx, conv, r.spec.Look, "")
-	case BookStep:
+	case LookupStep:
+		return r.callService(ctx, conv, r.spec.LookupService, "")
+	case BookingStep:
 		r.bookings++
-		return r.callService(ctx, conv, r.spec.Book, fmt.Sprintf("%x-%d", r.plan.Seed, r.bookings))
+		return r.callService(ctx, conv, r.spec.BookingService, fmt.Sprintf("%x-%d", r.plan.Seed, r.bookings))
 	case AgentStep:
 		return r.runAgent(ctx, conv, step)
 	default:
@@ -155,7 +155,7 @@
 		return err
 	}
 	conv.history = append(conv.history, ask...)
-	want := strings.Join(model.Answer(conv.history, maxTokens), " ")
+	want := strings.Join(model.AnswerWords(conv.history, maxTokens), " ")
 	got := answer.Choices[0].Message.Content
 	if got != want || answer.Turn != conv.turn+1 || answer.Program != conv.id {
 		r.stats.addViolation(fmt.Sprintf("%s turn %d: wrong, incomplete or foreign answer", conv.id, conv.turn+1))
@@ -174,8 +174,8 @@
 	conv.computedTokens = usage.PromptTokens + usage.CompletionTokens
 	r.stats.update(func(s *Stats) {
 		s.Turns++
-		s.Prior[r.plan.Kind] += int64(prior)
-		s.Recomputed[r.plan.Kind] += int64(max(0, prior-usage.CachedTokens))
+		s.PriorTokens[r.plan.Kind] += int64(prior)
+		s.RecomputedTokens[r.plan.Kind] += int64(max(0, prior-usage.CachedTokens))
 	})
 }
 
@@ -185,7 +185,7 @@
 	err := r.caller.post(ctx, "/v1/programs/"+conv.id+"/calls/"+service, key, body, &answer)
 	if fault.Is(err, fault.OutcomeUnknown) {
 		// Not a failure of the system: a real caller would find out the outcome by other means.
-		r.stats.update(func(s *Stats) { s.Unknown++ })
+		r.stats.update(func(s *Stats) { s.UnknownOutcomes++ })
 		return nil
 	}
 	if err != nil {
--- a/bench/load/stats.go
+++ b/bench/load/stats.go
@@ -18,15 +18,15 @@
 	// overload or a deadline that is too near.
 	Planned, Finished, Refused, Failed int
 	Turns, Calls, Retries              int
-	// Refusals counts failed requests by kind of fault, retried ones included.
-	Refusals map[string]int
+	// Faults counts failed requests by kind of fault, retried ones included.
+	Faults map[string]int
 	// Violations describes wrong answers. Run records at most maxViolations.
 	Violations []string
-	// Recomputed counts the prefix tokens that were computed again, Prior all those that an
+	// RecomputedTokens counts the prefix tokens that were computed again, PriorTokens all those that an
 	// earlier turn had computed, both by kind of program.
-	Recomputed, Prior map[string]int64
-	// Unknown counts calls that failed with an unknown outcome.
-	Unknown int
+	RecomputedTokens, PriorTokens map[string]int64
+	// UnknownOutcomes counts calls that failed with an unknown outcome.
+	UnknownOutcomes int
 
 	latency map[string]*hdrhistogram.Histogram
 	first   *hdrhistogram.Histogram
@@ -43,7 +43,7 @@
 
 func newStats() *Stats {
 	return &Stats{
-		Refusals: map[string]int{}, Recomputed: map[string]int64{}, Prior: map[string]int64{},
+		Faults: map[string]int{}, RecomputedTokens: map[string]int64{}, PriorTokens: map[string]int64{},
 		latency: map[string]*hdrhistogram.Histogram{}, first: hdrhistogram.New(1, maxMicros, significantDigits),
 	}
 }
@@ -55,7 +55,7 @@
 }
 
 func (s *Stats) countFault(f *fault.Fault) {
-	s.update(func(s *Stats) { s.Refusals[string(f.Kind)]++ })
+	s.update(func(s *Stats) { s.Faults[string(f.Kind)]++ })
 }
 
 func (s *Stats) addViolation(text string) {
@@ -92,14 +92,14 @@
 	return time.Duration(h.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Wasted returns the share of a kind's previously computed prefix tokens that were computed again.
-func (s *Stats) Wasted(kind string) float64 {
+// RecomputedShare returns the share of a kind's previously computed prefix tokens that were computed again.
+func (s *Stats) RecomputedShare(kind string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Prior[kind] == 0 {
+	if s.PriorTokens[kind] == 0 {
 		return 0
 	}
-	return float64(s.Recomputed[kind]) / float64(s.Prior[kind])
+	return float64(s.RecomputedTokens[kind]) / float64(s.PriorTokens[kind])
 }
 
 // Goodput returns the programs finished per second between two times after the start.
--- a/bench/mutant/list.go
+++ b/bench/mutant/list.go
@@ -5,15 +5,15 @@
 // Mutant is one deliberate fault: in File, the only occurrence of Old is replaced by New.
 type Mutant struct {
 	Name string
-	// Promise is the property that the fault violates.
-	Promise  string
+	// Property is the property that the fault violates.
+	Property string
 	File     string
 	Old, New string
-	// Fuzz is the package, relative to gate, whose property tests must fail. If Fuzz and Tests are
+	// FuzzPackage is the package, relative to gate, whose property tests must fail. If FuzzPackage and Tests are
 	// empty, those of ./desk or ./proof must.
-	Fuzz string
-	// Tests is the package, relative to gate, whose tests must fail. They run without a fixed seed.
-	Tests string
+	FuzzPackage string
+	// TestPackage is the package, relative to gate, whose tests must fail. They run without a fixed seed.
+	TestPackage string
 }
 
 // All returns all mutants.
@@ -26,59 +26,59 @@
 	const platformTests = "../platform/whole"
 	return []Mutant{
 		{
-			Name: "stale_key_runs", Promise: "a revoked key is refused within the bound", File: "gate/access/access.go", Tests: "./access",
+			Name: "stale_key_runs", Property: "a revoked key is refused within the bound", File: "gate/access/access.go", TestPackage: "./access",
 			Old: "if r.bounds.Revocation > 0 && r.older(known, call, r.bounds.Revocation) {", New: "if r.bounds.Revocation > 0 && r.older(known, call, 2*r.bounds.Revocation) {",
 		},
 		{
-			Name: "unsure_no", Promise: "a call that a newer configuration allows is not refused for good", File: "gate/access/access.go", Tests: "./access",
+			Name: "unsure_no", Property: "a call that a newer configuration allows is not refused for good", File: "gate/access/access.go", TestPackage: "./access",
 			Old: "if r.older(known, call, r.bounds.Apply) {", New: "if r.older(known, call, 10*r.bounds.Apply) {",
 		},
 		{
-			Name: "waiting_read_proves", Promise: "a revoked key is refused within the bound", File: "gate/feed/feed.go", Tests: "./feed",
+			Name: "waiting_read_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
 			Old: "f.proven.Store(&asked)", New: "now := time.Now()\n\tf.proven.Store(&now)",
 		},
 		{
-			Name: "told_late_proves", Promise: "a revoked key is refused within the bound", File: "gate/feed/feed.go", Tests: "./feed",
+			Name: "told_late_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
 			Old: "t.current(start.Add(-age))", New: "t.current(start)",
 		},
 		{
-			Name: "evacuated_zone_serves", Promise: "an evacuated zone gets no calls", File: "gate/target/bound.go", Tests: "./target",
+			Name: "evacuated_zone_serves", Property: "an evacuated zone gets no calls", File: "gate/target/bound.go", TestPackage: "./target",
 			Old: "if t.evacuated[s.Zone] || !t.bounds", New: "if !t.bounds",
 		},
 		{
-			Name: "other_region_serves", Promise: "calls stay in their allowed regions", File: "gate/target/bound.go", Tests: "./target",
+			Name: "other_region_serves", Property: "calls stay in their allowed regions", File: "gate/target/bound.go", TestPackage: "./target",
 			Old: "|| !t.bounds.Regions.Allow(ask.Regions, s.Zone) {", New: "{",
 		},
 		{
-			Name: "cold_for_each_box", Promise: "a cold replica gets few calls", File: "gate/sched/cold.go", Tests: "./sched",
+			Name: "cold_for_each_box", Property: "a cold replica gets few calls", File: "gate/sched/cold.go", TestPackage: "./sched",
 			Old: "float64(doubt*max(zones, 1))", New: "float64(max(zones, 1))",
 		},
 		{
-			Name: "stale_source_tells", Promise: "shared state reaches every box in time", File: "gate/mirror/copy.go", Tests: "./mirror",
+			Name: "stale_source_tells", Property: "shared state reaches every box in time", File: "gate/mirror/copy.go", TestPackage: "./mirror",
 			Old: "if age > staleAfter {", New: "if age > time.Hour {",
 		},
 		{
-			Name: "old_page_proves", Promise: "a revoked key is refused within the bound", File: "gate/feed/feed.go", Tests: "./feed",
+			Name: "old_page_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
 			Old: "f.newest < f.version()", New: "f.newest < 0",
 		},
 		{
-			Name: "foreign_entry_keeps_replica", Promise: "a replica whose entry is invalid gets no calls", File: "gate/feed/feed.go", Tests: "./feed",
+			Name: "foreign_entry_keeps_replica", Property: "a replica whose entry is invalid gets no calls", File: "gate/feed/feed.go", TestPackage: "./feed",
 			Old: "l.feed.targets.Drop(id)\n\tl.feed.foreign", New: "l.feed.foreign",
 		},
 		{
-			Name: "reborn_replica_believed", Promise: "a restarted replica starts without earlier state", File: "gate/target/target.go", Tests: "./target",
+			Name: "reborn_replica_believed", Property: "a restarted replica starts without earlier state", File: "gate/target/target.go", TestPackage: "./target",
 			Old: "case load.Born.After(s.Born):", New: "case load.Born.After(s.Born.Add(1 << 62)):",
 		},
 		{
-			Name: "names_shared", Promise: "workspaces are isolated from each other", File: "gate/work/space.go", Tests: platformTests,
+			Name: "names_shared", Property: "workspaces are isolated from each other", File: "gate/work/space.go", TestPackage: platformTests,
 			Old: "return owner + ownerMark + name", New: "return name",
 		},
 		{
-			Name: "whole_quota_in_each_zone", Promise: "no workspace exceeds its quota", File: "gate/quota/part.go", Tests: "./quota",
+			Name: "whole_quota_in_each_zone", Property: "no workspace exceeds its quota", File: "gate/quota/part.go", TestPackage: "./quota",
 			Old: "n := float64(parts)\n\tmost", New: "n := min(1, float64(parts))\n\tmost",
 		},
 		{
-			Name: "programs_not_planned", Promise: "started programs can finish within the quota", File: "gate/quota/part.go", Tests: "./quota",
+			Name: "programs_not_planned", Property: "started programs can finish within the quota", File: "gate/quota/part.go", TestPackage: "./quota",
 			Old: "p.plan.left -= p.need()", New: "p.plan.left--",
 		},
 	}
@@ -89,56 +89,56 @@
 	const shardTests = "./shard"
 	return []Mutant{
 		{
-			Name: "claim_bounded_in_all", Promise: "every program has an owner", File: "gate/shard/claim.go", Tests: shardTests,
+			Name: "claim_bounded_in_all", Property: "every program has an owner", File: "gate/shard/claim.go", TestPackage: shardTests,
 			Old: "next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, load.take)",
 			New: "whole, end := context.WithTimeout(s.ctx, callTimeout+handoverWait)\n\tdefer end()\n\tnext, err := work.AllNewest(whole, s.log, shard, callTimeout, load.take)",
 		},
 		{
-			Name: "claim_without_tail", Promise: "history is never lost", File: "gate/shard/claim.go", Tests: shardTests,
+			Name: "claim_without_tail", Property: "history is never lost", File: "gate/shard/claim.go", TestPackage: shardTests,
 			Old: "if err := s.catchUp(ctx, shard, next, load); err != nil {", New: "if err := ctx.Err(); err != nil || next < 0 {",
 		},
 		{
-			Name: "records_not_forwarded", Promise: "a planned stop interrupts no call", File: "gate/shard/slot.go", Tests: shardTests,
+			Name: "records_not_forwarded", Property: "a planned stop interrupts no call", File: "gate/shard/slot.go", TestPackage: shardTests,
 			Old: "if !fault.Is(err, fault.NotOwner) {\n\t\treturn err\n\t}\n\treturn s.shards.forward", New: "if err != nil {\n\t\treturn err\n\t}\n\treturn s.shards.forward",
 		},
 		{
-			Name: "lost_taken_for_written", Promise: "history is never lost", File: "gate/shard/slot.go", Tests: shardTests,
+			Name: "lost_taken_for_written", Property: "history is never lost", File: "gate/shard/slot.go", TestPackage: shardTests,
 			Old: "return s.shards.forward(ctx, s.number, p.batch.recs)", New: "return nil",
 		},
 		{
-			Name: "shared_epochs", Promise: "one writer per slot", File: "gate/shard/claim.go", Tests: shardTests,
+			Name: "shared_epochs", Property: "one writer per slot", File: "gate/shard/claim.go", TestPackage: shardTests,
 			Old: "return count<<markBits | mark", New: "return count<<markBits | mark&1",
 		},
 		{
-			Name: "open_turns_free", Promise: "no program exceeds its budget", File: "gate/chain/chain.go", Tests: shardTests,
+			Name: "open_turns_free", Property: "no program exceeds its budget", File: "gate/chain/chain.go", TestPackage: shardTests,
 			Old: "sum += res.most", New: "sum += res.most - res.most",
 		},
 		{
-			Name: "reservation_freed_early", Promise: "no program exceeds its budget", File: "gate/chain/chain.go", Tests: shardTests,
+			Name: "reservation_freed_early", Property: "no program exceeds its budget", File: "gate/chain/chain.go", TestPackage: shardTests,
 			Old: "res.phase = ended", New: "res.phase = free",
 		},
 		{
-			Name: "grant_budget_not_asked", Promise: "no program exceeds its budget", File: "gate/chain/grant.go", Tests: shardTests,
+			Name: "grant_budget_not_asked", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
 			Old: "budget >= 0 && used+o.Most > budget", New: "budget >= 0 && used > budget",
 		},
 		{
-			Name: "grant_spent_unconfirmed", Promise: "no program exceeds its budget", File: "gate/chain/grant.go", Tests: "./chain",
+			Name: "grant_spent_unconfirmed", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: "./chain",
 			Old: "need <= g.confirmed", New: "need <= g.logged",
 		},
 		{
-			Name: "grant_lost_with_owner", Promise: "no program exceeds its budget", File: "gate/chain/grant.go", Tests: shardTests,
+			Name: "grant_lost_with_owner", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
 			Old: "confirmed: tokens, spent: tokens", New: "confirmed: tokens, spent: 0",
 		},
 		{
-			Name: "broken_turn_not_counted", Promise: "no program exceeds its budget", File: "gate/chain/grant.go", Tests: shardTests,
+			Name: "broken_turn_not_counted", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
 			Old: "prog.grant.spent += tokens", New: "prog.grant.spent += tokens / o.Most * o.Most",
 		},
 		{
-			Name: "grant_settled_under_turns", Promise: "no program exceeds its budget", File: "gate/chain/grant.go", Tests: shardTests,
+			Name: "grant_settled_under_turns", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
 			Old: "for id, most := range g.drawn {\n\t\trecs", New: "for id, most := range map[string]int{} {\n\t\trecs",
 		},
 		{
-			Name: "sequence_skips", Promise: "one writer per slot", File: "gate/shard/slot.go", Tests: shardTests,
+			Name: "sequence_skips", Property: "one writer per slot", File: "gate/shard/slot.go", TestPackage: shardTests,
 			Old: "writer := work.Writer{Epoch: s.epoch, Number: s.sent}", New: "writer := work.Writer{Epoch: s.epoch, Number: 2 * s.sent}",
 		},
 	}
@@ -148,56 +148,56 @@
 func ownership() []Mutant {
 	return []Mutant{
 		{
-			Name: "no_gap_check", Promise: "one writer per slot", File: "gate/slots/write.go",
+			Name: "no_gap_check", Property: "one writer per slot", File: "gate/slots/write.go",
 			Old: "if foreign(m.sent.gap) {", New: "if false && foreign(m.sent.gap) {",
 		},
 		{
-			Name: "no_epoch_check", Promise: "one writer per slot", File: "gate/fold/fold.go",
+			Name: "no_epoch_check", Property: "one writer per slot", File: "gate/fold/fold.go",
 			Old: "if e.Epoch < s.Epoch {", New: "if false {",
 		},
 		{
-			Name: "dispatch_before_intent", Promise: "keyed calls run at most once", File: "gate/plain/plain.go",
+			Name: "dispatch_before_intent", Property: "keyed calls run at most once", File: "gate/plain/plain.go",
 			Old: "<-ticket.Done()\n\tif err := ticket.Wait(context.Background()); err != nil {",
 			New: "if err := ticket.Wait(context.Background()); false && err != nil {",
 		},
 		{
-			Name: "dispatch_for_nobody", Promise: "a call reported as not run has not run", File: "gate/plain/flight.go",
+			Name: "dispatch_for_nobody", Property: "a call reported as not run has not run", File: "gate/plain/flight.go",
 			Old: "f.dispatched = f.callers > 0", New: "f.dispatched = true",
 		},
 		{
-			Name: "run_unknown_again", Promise: "keyed calls run at most once", File: "gate/desk/call.go",
+			Name: "run_unknown_again", Property: "keyed calls run at most once", File: "gate/desk/call.go",
 			Old: "return CallStart{Unknown: &key.Intent}, true, nil", New: "return CallStart{}, false, nil",
 		},
 		{
-			Name: "any_turn", Promise: "turns of a program run in order", File: "gate/desk/turn.go",
+			Name: "any_turn", Property: "turns of a program run in order", File: "gate/desk/turn.go",
 			Old: "if ask.Turn != head+1 {", New: "if ask.Turn <= head {",
 		},
 		{
-			Name: "no_tail", Promise: "history is never lost", File: "gate/desk/adopt.go",
+			Name: "no_tail", Property: "history is never lost", File: "gate/desk/adopt.go",
 			Old: "cont.Tail = append(cont.Tail, prog.Turns[logged:turn]...)", New: "_ = logged",
 		},
 		{
-			Name: "trust_foreign_token", Promise: "histories of programs are never mixed", File: "gate/prog/token.go",
+			Name: "trust_foreign_token", Property: "histories of programs are never mixed", File: "gate/prog/token.go",
 			Old: "if cont.Workspace != workspace || cont.Program != program {", New: "if false {",
 		},
 		{
-			Name: "no_newer_owner", Promise: "history is never lost", File: "gate/desk/adopt.go",
+			Name: "no_newer_owner", Property: "history is never lost", File: "gate/desk/adopt.go",
 			Old: "if cont.Epoch > d.State.Epoch {", New: "if false {",
 		},
 		{
-			Name: "no_snapshots", Promise: "history survives the retention of the log", File: "gate/slots/owner.go",
+			Name: "no_snapshots", Property: "history survives the retention of the log", File: "gate/slots/owner.go",
 			Old: "if keep := o.svc.timing.Retention; keep > 0 && o.desk.LogUp {", New: "if keep := o.svc.timing.Retention; false && keep > 0 {",
 		},
 		{
-			Name: "no_sweep", Promise: "memory of ended programs is released", File: "gate/prog/prog.go",
+			Name: "no_sweep", Property: "memory of ended programs is released", File: "gate/prog/prog.go",
 			Old: "return mine && !live[id]", New: "return false && mine && !live[id]",
 		},
 		{
-			Name: "release_over_running_calls", Promise: "a planned stop interrupts no call", File: "gate/slots/owner.go",
+			Name: "release_over_running_calls", Property: "a planned stop interrupts no call", File: "gate/slots/owner.go",
 			Old: "if o.releasing != nil && m.mode < desk.Finish {", New: "if o.releasing != nil {",
 		},
 		{
-			Name: "answer_end_before_log", Promise: "memory of ended programs is released", File: "gate/prog/begin.go",
+			Name: "answer_end_before_log", Property: "memory of ended programs is released", File: "gate/prog/begin.go",
 			Old: "if err := ticket.Wait(ctx); err != nil {", New: "if err := ctx.Err(); err != nil && ticket != nil {",
 		},
 	}
@@ -207,23 +207,23 @@
 func budgets() []Mutant {
 	return []Mutant{
 		{
-			Name: "no_escrow_at_claim", Promise: "no program exceeds its budget", File: "gate/fold/fold.go",
+			Name: "no_escrow_at_claim", Property: "no program exceeds its budget", File: "gate/fold/fold.go",
 			Old: "purse.Spent = purse.Granted\n\t}\n}", New: "_ = purse\n\t}\n}",
 		},
 		{
-			Name: "spend_unconfirmed_grants", Promise: "no program exceeds its budget", File: "gate/desk/purse.go",
+			Name: "spend_unconfirmed_grants", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
 			Old: "return ok && purse.Spent+d.reserved[root] <= d.confirmed[root]", New: "return ok && purse != nil",
 		},
 		{
-			Name: "no_reservation", Promise: "no program exceeds its budget", File: "gate/desk/purse.go",
+			Name: "no_reservation", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
 			Old: "d.reserved[purse.Root] += need", New: "d.reserved[purse.Root] += 0",
 		},
 		{
-			Name: "free_broken_attempts", Promise: "no program exceeds its budget", File: "gate/desk/turn.go",
+			Name: "free_broken_attempts", Property: "no program exceeds its budget", File: "gate/desk/turn.go",
 			Old: "d.settle(prog.Begin.Root, need, min(spent, need))", New: "d.settle(prog.Begin.Root, need, 0)",
 		},
 		{
-			Name: "adopted_grant_unspent", Promise: "no program exceeds its budget", File: "gate/desk/adopt.go",
+			Name: "adopted_grant_unspent", Property: "no program exceeds its budget", File: "gate/desk/adopt.go",
 			Old: "Granted: b.Grant, Spent: b.Grant}", New: "Granted: b.Grant}",
 		},
 	}
@@ -233,15 +233,15 @@
 func configuration() []Mutant {
 	return []Mutant{
 		{
-			Name: "take_older_carry", Promise: "configuration never reverts to an older revision", File: "base/revs/fold.go",
+			Name: "take_older_carry", Property: "configuration never reverts to an older revision", File: "base/revs/fold.go",
 			Old: "if rev.Number <= have {\n\t\treturn Known", New: "if rev.Number == have {\n\t\treturn Known",
 		},
 		{
-			Name: "no_compare_and_set", Promise: "exactly one of concurrent publishers succeeds", File: "base/revs/fold.go",
+			Name: "no_compare_and_set", Property: "exactly one of concurrent publishers succeeds", File: "base/revs/fold.go",
 			Old: "if rev.Base != have || rev.Number != have+1 {", New: "if rev.Base > have {",
 		},
 		{
-			Name: "no_carry", Promise: "configuration survives the retention of the log", File: "gate/policy/policy.go",
+			Name: "no_carry", Property: "configuration survives the retention of the log", File: "gate/policy/policy.go",
 			Old: "if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/carryDiv {", New: "if s.timing.Retention > 0 {",
 		},
 	}
--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -18,10 +18,10 @@
 	// Root is the Git checkout to copy. It is not changed.
 	Root string
 	// Seed is the seed of the property tests, Checks the number of plans that ./proof tries.
-	Seed   string
-	Checks string
-	// Wait is the time limit of one mutant.
-	Wait time.Duration
+	Seed     string
+	MaxPlans string
+	// Timeout is the time limit of one mutant.
+	Timeout time.Duration
 }
 
 // Result is the outcome of one mutant.
@@ -29,17 +29,17 @@
 	Mutant Mutant
 	// Found is set if a test failed.
 	Found bool
-	// By names the tests that ran last: owner (./desk), fleet (./proof), slots (the package in
+	// TestedBy names the tests that ran last: owner (./desk), fleet (./proof), slots (the package in
 	// Mutant.Fuzz) or tests (the package in Mutant.Tests).
-	By string
-	// Tests is the number of plans that the property test tried until it failed, Steps the length
+	TestedBy string
+	// PlansTried is the number of plans that the property test tried until it failed, Steps the length
 	// of the failing plan. They are empty and 0 if the test does not print them.
-	Tests string
-	Steps int
-	// Broken lists the violated properties that the test names, or starts with DID NOT RUN and has
+	PlansTried string
+	Steps      int
+	// Violations lists the violated properties that the test names, or starts with DID NOT RUN and has
 	// the beginning of the output if go test failed for another reason than a failing test.
-	Broken string
-	Took   time.Duration
+	Violations string
+	Took       time.Duration
 }
 
 // Run copies the checkout once, tests each mutant in the copy and calls each with its result. It
@@ -119,39 +119,39 @@
 )
 
 func runTests(ctx context.Context, opts Options, dir string, m Mutant) Result {
-	ctx, stop := context.WithTimeout(ctx, opts.Wait)
+	ctx, stop := context.WithTimeout(ctx, opts.Timeout)
 	defer stop()
 	start := time.Now()
 	seed := "-rapid.seed=" + opts.Seed
-	res := Result{Mutant: m, By: "owner"}
+	res := Result{Mutant: m, TestedBy: "owner"}
 	pkg := "./desk"
 	flags := []string{seed, "-rapid.checks=3000"}
 	switch {
-	case m.Fuzz != "":
-		res.By, pkg = "slots", m.Fuzz
-	case m.Tests != "":
-		res.By, pkg, flags = "tests", m.Tests, nil
+	case m.FuzzPackage != "":
+		res.TestedBy, pkg = "slots", m.FuzzPackage
+	case m.TestPackage != "":
+		res.TestedBy, pkg, flags = "tests", m.TestPackage, nil
 	}
 	out, err := goTest(ctx, dir, pkg, flags...)
-	if err == nil && res.By == "owner" {
-		res.By = "fleet"
-		out, err = goTest(ctx, dir, "./proof", seed, "-rapid.checks="+opts.Checks, "-rapid.shrinktime=1s")
+	if err == nil && res.TestedBy == "owner" {
+		res.TestedBy = "fleet"
+		out, err = goTest(ctx, dir, "./proof", seed, "-rapid.checks="+opts.MaxPlans, "-rapid.shrinktime=1s")
 	}
 	res.Took = time.Since(start)
 	res.Found = err != nil && bytes.Contains(out, []byte("--- FAIL"))
 	if err != nil && !res.Found {
-		res.Broken = "DID NOT RUN: " + string(bytes.TrimSpace(out[:min(len(out), maxShownOutput)]))
+		res.Violations = "DID NOT RUN: " + string(bytes.TrimSpace(out[:min(len(out), maxShownOutput)]))
 	}
 	if !res.Found {
 		return res
 	}
 	if found := planCountPattern.FindSubmatch(out); found != nil {
-		res.Tests = string(found[1])
+		res.PlansTried = string(found[1])
 	}
 	if found := failingPlanPattern.FindSubmatch(out); found != nil {
 		res.Steps = len(strings.Fields(string(found[1])))
 	}
-	res.Broken = violatedProperties(out)
+	res.Violations = violatedProperties(out)
 	return res
 }
 
--- a/bench/probe/proc.go
+++ b/bench/probe/proc.go
@@ -62,8 +62,8 @@
 	Bytes float64
 }
 
-// Between returns the rate from reading a to the later reading b.
-func Between(a, b Usage) Rate {
+// RateBetween returns the rate from reading a to the later reading b.
+func RateBetween(a, b Usage) Rate {
 	secs := b.At.Sub(a.At).Seconds()
 	return Rate{
 		Core:  (b.CPU - a.CPU).Seconds() / secs,
@@ -73,7 +73,7 @@
 
 // Line is y = Base + Slope*x. R2 is the share of the variance of y that it explains.
 type Line struct {
-	Base, Slope, R2 float64
+	Intercept, Slope, R2 float64
 }
 
 // Fit returns the least-squares line through the points. If all x are equal, it is the mean of y
@@ -90,10 +90,10 @@
 	}
 	denominator := n*sxx - sx*sx
 	if denominator == 0 {
-		return Line{Base: sy / n}
+		return Line{Intercept: sy / n}
 	}
 	slope := (n*sxy - sx*sy) / denominator
-	line := Line{Slope: slope, Base: (sy - slope*sx) / n}
+	line := Line{Slope: slope, Intercept: (sy - slope*sx) / n}
 	if variance := n*syy - sy*sy; variance > 0 {
 		line.R2 = (n*sxy - sx*sy) * (n*sxy - sx*sy) / (denominator * variance)
 	}
--- a/bench/recap/recap.go
+++ b/bench/recap/recap.go
@@ -28,15 +28,15 @@
 
 // Recap holds the rows of some logs, one for each route and interval that had calls.
 type Recap struct {
-	// Every is the length of an interval.
-	Every time.Duration
-	rows  map[string]*Row
-	start time.Time
+	// Interval is the length of an interval.
+	Interval time.Duration
+	rows     map[string]*Row
+	start    time.Time
 }
 
-// Sum summarizes the lines in intervals of the given length. It sorts lines by time in place.
-func Sum(lines []logs.Line, every time.Duration) *Recap {
-	r := &Recap{Every: every, rows: map[string]*Row{}}
+// Summarize summarizes the lines in intervals of the given length. It sorts lines by time in place.
+func Summarize(lines []logs.Line, every time.Duration) *Recap {
+	r := &Recap{Interval: every, rows: map[string]*Row{}}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 	for _, l := range lines {
 		if r.start.IsZero() {
@@ -86,7 +86,7 @@
 }
 
 func (r *Recap) rowOf(l logs.Line) *Row {
-	from := l.At.Sub(r.start).Truncate(r.Every)
+	from := l.At.Sub(r.start).Truncate(r.Interval)
 	key := l.Text("route") + " " + from.String()
 	row, ok := r.rows[key]
 	if !ok {
@@ -113,7 +113,7 @@
 
 // Table returns the rows as text, with mean times in milliseconds.
 func (r *Recap) Table() report.Table {
-	table := report.Table{Head: []string{
+	table := report.Table{Header: []string{
 		"route", "from_s", "answered", "refused", "failed", "placed_ms", "first_ms", "events_ms", "log_ms", "took_ms", "causes",
 	}}
 	for _, row := range r.Rows() {
@@ -146,9 +146,9 @@
 	return strings.Join(names, ", ")
 }
 
-// Lines returns series of calls over time for a plot, for at most the given number of the busiest
+// Series returns series of calls over time for a plot, for at most the given number of the busiest
 // routes: the answered calls, and the refused or failed ones if there are any.
-func (r *Recap) Lines(routes int) []report.Series {
+func (r *Recap) Series(routes int) []report.Series {
 	var all []report.Series
 	for _, route := range r.busiest(routes) {
 		answered, failed := report.Series{Name: route + " answered"}, report.Series{Name: route + " refused or failed"}
--- a/bench/recap/recap_test.go
+++ b/bench/recap/recap_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sums := Sum(lines, time.Second)
+	sums := Summarize(lines, time.Second)
 	want := [][]string{
 		{"book", "0.0", "1", "1", "1", "0.0", "0.0", "0.0", "0.0", "30.0", "no_target 1, timed_out 1"},
 		{"chat", "0.0", "2", "0", "0", "3.0", "57.0", "230.0", "10.0", "300.0", ""},
@@ -39,7 +39,7 @@
 		t.Errorf("rows (-want +got):\n%s", diff)
 	}
 	var names []string
-	for _, line := range sums.Lines(1) {
+	for _, line := range sums.Series(1) {
 		names = append(names, line.Name)
 	}
 	if diff := cmp.Diff([]string{"chat answered", "chat refused or failed"}, names); diff != "" {
--- a/bench/report/table.go
+++ b/bench/report/table.go
@@ -17,14 +17,14 @@
 
 // Table is a header and rows of text cells.
 type Table struct {
-	Head []string
-	Rows [][]string
+	Header []string
+	Rows   [][]string
 }
 
 // Markdown writes the table as Markdown. Errors of the writer are ignored.
 func (t Table) Markdown(out io.Writer) {
-	_, _ = fmt.Fprintln(out, "| "+strings.Join(t.Head, " | ")+" |")
-	_, _ = fmt.Fprintln(out, "|"+strings.Repeat("---|", len(t.Head)))
+	_, _ = fmt.Fprintln(out, "| "+strings.Join(t.Header, " | ")+" |")
+	_, _ = fmt.Fprintln(out, "|"+strings.Repeat("---|", len(t.Header)))
 	for _, row := range t.Rows {
 		_, _ = fmt.Fprintln(out, "| "+strings.Join(row, " | ")+" |")
 	}
@@ -38,7 +38,7 @@
 	}
 	defer func() { _ = file.Close() }()
 	w := csv.NewWriter(file)
-	if err := w.WriteAll(append([][]string{t.Head}, t.Rows...)); err != nil {
+	if err := w.WriteAll(append([][]string{t.Header}, t.Rows...)); err != nil {
 		return fault.Fail(fault.Internal, "cannot write the CSV file").WithCause(err)
 	}
 	return nil
--- a/ctl/cmds/cmds.go
+++ b/ctl/cmds/cmds.go
@@ -55,17 +55,17 @@
 	cmd.Flags().StringVarP(&c.output, "output", "o", "table", "table or json")
 }
 
-func (c *commonFlags) loadSettings() (conn.File, error) {
+func (c *commonFlags) loadSettings() (conn.Settings, error) {
 	if c.output != "table" && c.output != "json" {
-		return conn.File{}, fault.Refuse(fault.BadRequest, "output: not table or json")
+		return conn.Settings{}, fault.Refuse(fault.BadRequest, "output: not table or json")
 	}
 	return conn.Load(c.settingsPath)
 }
 
 // currentRevision reads the configuration stream and returns the revision in force, which is
 // the zero value if there is none, and all entries that the log still holds.
-func currentRevision(ctx context.Context, settings conn.File) (types.Revision, []revs.HistoryEntry, error) {
-	state, entries, err := revs.History(ctx, settings.Client(), settings.Public())
+func currentRevision(ctx context.Context, settings conn.Settings) (types.Revision, []revs.HistoryEntry, error) {
+	state, entries, err := revs.History(ctx, settings.LogClient(), settings.PublicKeys())
 	if err != nil {
 		return types.Revision{}, nil, err
 	}
--- a/ctl/cmds/cmds_test.go
+++ b/ctl/cmds/cmds_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(func() { _ = srv.Stop(t.Context()) })
 	d := &operatorDir{t: t, dir: t.TempDir()}
 	keys := sample.NewKeys("ctl")
-	settings := conn.File{
+	settings := conn.Settings{
 		Log: srv.Addr(), Author: "tester", OperatorKeys: [][]byte{keys.Public()},
 		OperatorKeyFile: d.write("operator.key", keys.Operator.Seed()), RootKeyFile: d.write("root.key", keys.Root),
 	}
--- a/ctl/cmds/keys.go
+++ b/ctl/cmds/keys.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	root, err := settings.Root()
+	root, err := settings.RootKey()
 	if err != nil {
 		return err
 	}
--- a/ctl/cmds/publish.go
+++ b/ctl/cmds/publish.go
@@ -73,13 +73,13 @@
 
 // submit publishes cfg as the successor of the --base revision, or of current without that flag,
 // and prints the result. It creates the first data key if cfg has none.
-func (p *publish) submit(ctx context.Context, out io.Writer, settings conn.File, current int64, cfg types.Config) error {
-	key, err := settings.Private()
+func (p *publish) submit(ctx context.Context, out io.Writer, settings conn.Settings, current int64, cfg types.Config) error {
+	key, err := settings.PrivateKey()
 	if err != nil {
 		return err
 	}
 	if len(cfg.Keys) == 0 {
-		root, err := settings.Root()
+		root, err := settings.RootKey()
 		if err != nil {
 			return err
 		}
@@ -92,7 +92,7 @@
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	draft := revs.Draft{Base: base, Author: settings.Author, Note: p.note, Config: cfg}
-	rev, err := revs.Publish(ctx, settings.Client(), key, settings.Public(), draft)
+	rev, err := revs.Publish(ctx, settings.LogClient(), key, settings.PublicKeys(), draft)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 }
 
 // waitForRollout polls the boxes and prints how many have the revision in force, until all have.
-func waitForRollout(ctx context.Context, out io.Writer, settings conn.File, number int64) error {
+func waitForRollout(ctx context.Context, out io.Writer, settings conn.Settings, number int64) error {
 	cli := client.New("mgctl", nil)
 	lastPrinted := -1
 	for {
--- a/ctl/conn/conn.go
+++ b/ctl/conn/conn.go
@@ -14,8 +14,8 @@
 	"mulleingate.dev/base/seal"
 )
 
-// File is mgctl's settings file.
-type File struct {
+// Settings is mgctl's settings file.
+type Settings struct {
 	// Log is the log's address, Boxes the admin addresses of the boxes.
 	Log    netip.AddrPort   `json:"log"`
 	Boxes  []netip.AddrPort `json:"boxes"`
@@ -31,8 +31,8 @@
 const logTimeout = 5 * time.Second
 
 // Load reads and checks a settings file. It rejects unknown fields.
-func Load(path string) (File, error) {
-	var s File
+func Load(path string) (Settings, error) {
+	var s Settings
 	file, err := os.Open(path)
 	if err != nil {
 		return s, fault.Refuse(fault.BadSettings, "settings file cannot be read").WithCause(err)
@@ -46,7 +46,7 @@
 	return s, s.check()
 }
 
-func (s File) check() error {
+func (s Settings) check() error {
 	var errs []error
 	if !s.Log.IsValid() {
 		errs = append(errs, fault.Refuse(fault.BadSettings, "log: missing"))
@@ -62,13 +62,13 @@
 	return errors.Join(errs...)
 }
 
-// Client returns a client of the log.
-func (s File) Client() *logc.Client {
+// LogClient returns a client of the log.
+func (s Settings) LogClient() *logc.Client {
 	return logc.New(s.Log, logTimeout)
 }
 
-// Public returns the operators' public keys.
-func (s File) Public() []ed25519.PublicKey {
+// PublicKeys returns the operators' public keys.
+func (s Settings) PublicKeys() []ed25519.PublicKey {
 	out := make([]ed25519.PublicKey, 0, len(s.OperatorKeys))
 	for _, key := range s.OperatorKeys {
 		out = append(out, ed25519.PublicKey(key))
@@ -76,8 +76,8 @@
 	return out
 }
 
-// Private reads this operator's private key. The key must belong to one of OperatorKeys.
-func (s File) Private() (ed25519.PrivateKey, error) {
+// PrivateKey reads this operator's private key. The key must belong to one of OperatorKeys.
+func (s Settings) PrivateKey() (ed25519.PrivateKey, error) {
 	if s.OperatorKeyFile == "" {
 		return nil, fault.Refuse(fault.BadKey, "operator_key_file is required to publish")
 	}
@@ -90,7 +90,7 @@
 	}
 	key := ed25519.NewKeyFromSeed(seed)
 	public := key.Public().(ed25519.PublicKey)
-	for _, operatorKey := range s.Public() {
+	for _, operatorKey := range s.PublicKeys() {
 		if operatorKey.Equal(public) {
 			return key, nil
 		}
@@ -98,8 +98,8 @@
 	return nil, fault.Refuse(fault.BadKey, "the public key of operator_key_file is not one of operator_keys")
 }
 
-// Root reads the root key, which encrypts data keys.
-func (s File) Root() (*seal.RootKey, error) {
+// RootKey reads the root key, which encrypts data keys.
+func (s Settings) RootKey() (*seal.RootKey, error) {
 	if s.RootKeyFile == "" {
 		return nil, fault.Refuse(fault.BadKey, "root_key_file is required to create a data key")
 	}
--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -15,13 +15,13 @@
 	"mulleingate.dev/base/types"
 )
 
-// Figures reads the box's metrics: all counters and histograms.
-type Figures interface {
+// MetricsReporter reads the box's metrics: all counters and histograms.
+type MetricsReporter interface {
 	Report() types.Metrics
 }
 
-// Steps finds the recorded decision steps of a program or request.
-type Steps interface {
+// StepFinder finds the recorded decision steps of a program or request.
+type StepFinder interface {
 	Find(id string) []types.TraceEvent
 }
 
@@ -35,16 +35,16 @@
 
 // View provides the membership of boxes as this box sees it.
 type View interface {
-	// All maps each known box to the time of its last heartbeat.
-	All() map[string]time.Time
+	// LastSeen maps each known box to the time of its last heartbeat.
+	LastSeen() map[string]time.Time
 	Live() []types.Member
 	Settled() bool
 }
 
 // Policies provides the state of the configuration in force.
 type Policies interface {
-	// Number is the revision of the configuration.
-	Number() int64
+	// RevisionNumber is the revision of the configuration.
+	RevisionNumber() int64
 	// Age is the time since the configuration was last confirmed to be the newest.
 	Age() time.Duration
 	// Ready returns an error while no usable configuration is in force.
@@ -60,8 +60,8 @@
 type Admin struct {
 	self      types.Member
 	version   string
-	metrics   Figures
-	trail     Steps
+	metrics   MetricsReporter
+	trail     StepFinder
 	owners    Owners
 	view      View
 	policies  Policies
@@ -70,7 +70,7 @@
 }
 
 // New returns an Admin that reports on the box self.
-func New(self types.Member, version string, metrics Figures, trail Steps, owners Owners, view View, policies Policies, targets Targets) *Admin {
+func New(self types.Member, version string, metrics MetricsReporter, trail StepFinder, owners Owners, view View, policies Policies, targets Targets) *Admin {
 	return &Admin{
 		self: self, version: version, metrics: metrics, trail: trail, owners: owners, view: view,
 		policies: policies, targets: targets, startedAt: time.Now(),
@@ -133,7 +133,7 @@
 func (a *Admin) Status(ctx context.Context) types.BoxStatus {
 	status := types.BoxStatus{
 		Box: a.self.Name, Zone: a.self.Zone, Version: a.version, Ready: true,
-		Uptime: types.Duration(time.Since(a.startedAt)), Revision: a.policies.Number(),
+		Uptime: types.Duration(time.Since(a.startedAt)), Revision: a.policies.RevisionNumber(),
 		RevisionAge: types.Duration(a.policies.Age()), Targets: a.targets.Status(),
 	}
 	if err := a.checkReady(); err != nil {
@@ -149,7 +149,7 @@
 	for _, m := range a.view.Live() {
 		live[m.Name] = m
 	}
-	for name, lastSeen := range a.view.All() {
+	for name, lastSeen := range a.view.LastSeen() {
 		m, ok := live[name]
 		status.Boxes = append(status.Boxes, types.PeerStatus{Name: name, Zone: m.Zone, Live: ok, Leaving: m.Leaving, LastHeartbeat: lastSeen})
 	}
--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -13,8 +13,8 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// Places is the policy on where a program's data may be used, and the workspaces' fair shares.
-type Places interface {
+// PlacementPolicy is the policy on where a program's data may be used, and the workspaces' fair shares.
+type PlacementPolicy interface {
 	// Allowed reports whether the policy allows the use of the data.
 	Allowed(in types.RuleInput) bool
 	// Share returns the weight of a workspace.
@@ -34,10 +34,10 @@
 	Order    sched.Order
 	// MaxWait is the expected wait above which new programs are refused.
 	MaxWait time.Duration
-	// Starve is the wait after which a call goes ahead of all that have not waited as long as that.
-	Starve time.Duration
-	// Holds makes engines keep a program's cache between turns where that pays.
-	Holds bool
+	// StarvationAge is the wait after which a call goes ahead of all that have not waited as long as that.
+	StarvationAge time.Duration
+	// HoldCaches makes engines keep a program's cache between turns where that pays.
+	HoldCaches bool
 	// Seed makes random choices repeatable.
 	Seed uint64
 }
@@ -83,7 +83,7 @@
 type cancelMsg struct{ req *request }
 
 // queryMsg runs a function in the event loop.
-type queryMsg struct{ run func(l *Loop) }
+type queryMsg struct{ run func(l *Scheduler) }
 
 func (acquireMsg) isMessage() {}
 func (finishMsg) isMessage()  {}
@@ -91,12 +91,12 @@
 func (cancelMsg) isMessage()  {}
 func (queryMsg) isMessage()   {}
 
-// Loop queues calls and assigns them to engines. Its methods are safe for concurrent use; the
+// Scheduler queues calls and assigns them to engines. Its methods are safe for concurrent use; the
 // event loop alone uses the fields from rng to serviceTime.
-type Loop struct {
+type Scheduler struct {
 	zone    string
 	opts    Options
-	places  Places
+	places  PlacementPolicy
 	counts  Counts
 	logger  *slog.Logger
 	inbox   chan message
@@ -117,9 +117,9 @@
 }
 
 // New returns a Loop for a box in the availability zone.
-func New(zone string, opts Options, places Places, counts Counts, logger *slog.Logger) *Loop {
+func New(zone string, opts Options, places PlacementPolicy, counts Counts, logger *slog.Logger) *Scheduler {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Loop{
+	return &Scheduler{
 		ctx: ctx, stop: stop, zone: zone, opts: opts, places: places, counts: counts, logger: logger,
 		inbox: make(chan message, inboxSize), rng: rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		engines: map[string]*engine{}, remoteStreams: map[string]map[string]int{}, ejector: limit.NewEjector(),
@@ -129,24 +129,24 @@
 }
 
 // Start starts the event loop.
-func (l *Loop) Start(context.Context) error {
+func (l *Scheduler) Start(context.Context) error {
 	go l.run()
 	return nil
 }
 
 // Stop refuses all queued calls and stops the event loop.
-func (l *Loop) Stop(context.Context) error {
+func (l *Scheduler) Stop(context.Context) error {
 	l.stop()
 	<-l.done
 	return nil
 }
 
-// Tell sends a message to the event loop. It drops the message once the loop is stopping.
-func (l *Loop) Tell(m lease.Message) {
+// Notify sends a message to the event loop. It drops the message once the loop is stopping.
+func (l *Scheduler) Notify(m lease.Message) {
 	l.send(updateMsg{m: m})
 }
 
-func (l *Loop) send(m message) {
+func (l *Scheduler) send(m message) {
 	select {
 	case l.inbox <- m:
 	case <-l.ctx.Done():
@@ -155,7 +155,7 @@
 
 // Acquire waits for a lease on an engine. It refuses at once calls that cannot be served in
 // time, and returns an error once ctx ends.
-func (l *Loop) Acquire(ctx context.Context, call lease.Request) (*lease.Lease, error) {
+func (l *Scheduler) Acquire(ctx context.Context, call lease.Request) (*lease.Lease, error) {
 	reply := make(chan acquireReply, 1)
 	l.send(acquireMsg{call: call, ctx: ctx, reply: reply})
 	select {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (l *Loop) run() {
+func (l *Scheduler) run() {
 	defer close(l.done)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -186,7 +186,7 @@
 }
 
 // drainInbox handles the messages that are waiting, so that the next decision uses them.
-func (l *Loop) drainInbox() {
+func (l *Scheduler) drainInbox() {
 	for range inboxSize {
 		select {
 		case m := <-l.inbox:
@@ -197,7 +197,7 @@
 	}
 }
 
-func (l *Loop) handle(m message) {
+func (l *Scheduler) handle(m message) {
 	switch m := m.(type) {
 	case acquireMsg:
 		l.enqueue(m)
@@ -212,14 +212,14 @@
 	}
 }
 
-func (l *Loop) refuseAll() {
+func (l *Scheduler) refuseAll() {
 	for _, req := range l.queue {
 		req.respond(acquireReply{err: fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)})
 	}
 	l.queue = nil
 }
 
-func (l *Loop) applyUpdate(m lease.Message) {
+func (l *Scheduler) applyUpdate(m lease.Message) {
 	switch m := m.(type) {
 	case lease.Report:
 		l.applyReport(m)
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -23,9 +23,9 @@
 func (e allowExceptZone) Allowed(in types.RuleInput) bool { return in.Zone != e.zone }
 func (e allowExceptZone) Share(string) int                { return 1 }
 
-func newLoop(t *testing.T, places Places) *Loop {
+func newLoop(t *testing.T, places PlacementPolicy) *Scheduler {
 	t.Helper()
-	opts := Options{Strategy: sched.Scored, Order: sched.Age, MaxWait: time.Second, Starve: 2 * time.Second, Seed: 1}
+	opts := Options{Strategy: sched.Scored, Order: sched.Age, MaxWait: time.Second, StarvationAge: 2 * time.Second, Seed: 1}
 	l := New("a", opts, places, meter.New(), slog.New(slog.DiscardHandler))
 	if err := l.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -34,9 +34,9 @@
 	for _, name := range []string{"e1", "e2"} {
 		list = append(list, types.Target{Name: name, Kind: types.Engine, Zone: "a", Models: []string{"m"}})
 	}
-	l.Tell(lease.Targets{List: list})
+	l.Notify(lease.Targets{List: list})
 	for _, name := range []string{"e1", "e2"} {
-		l.Tell(lease.Report{Load: types.LoadReport{
+		l.Notify(lease.Report{Load: types.LoadReport{
 			Name: name, At: time.Now(), MaxBatch: 2, PrefillRate: 1000, StepTime: types.Duration(time.Millisecond), Models: []string{"m"},
 		}})
 	}
@@ -54,9 +54,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLoop(t, allowExceptZone{})
 		defer func() { _ = l.Stop(t.Context()) }()
-		l.Tell(lease.Leaving{Name: "e1"})
+		l.Notify(lease.Leaving{Name: "e1"})
 		// An outdated list does not revert the engine's state.
-		l.Tell(lease.Targets{List: []types.Target{
+		l.Notify(lease.Targets{List: []types.Target{
 			{Name: "e1", Kind: types.Engine, Zone: "a", Models: []string{"m"}}, {Name: "e2", Kind: types.Engine, Zone: "a", Models: []string{"m"}},
 		}})
 		for range 4 {
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -37,7 +37,7 @@
 
 // setTargets replaces the list of engines. An engine that is no longer listed is removed
 // if it has no calls of this box in flight, and marked as leaving otherwise.
-func (l *Loop) setTargets(list []types.Target) {
+func (l *Scheduler) setTargets(list []types.Target) {
 	listed := map[string]bool{}
 	for _, t := range list {
 		if t.Kind != types.Engine {
@@ -67,7 +67,7 @@
 }
 
 // applyReport updates an engine from its load report and cache events.
-func (l *Loop) applyReport(m lease.Report) {
+func (l *Scheduler) applyReport(m lease.Report) {
 	e, ok := l.engines[m.Load.Name]
 	if !ok {
 		return
@@ -95,7 +95,7 @@
 }
 
 // forgetPrograms drops the cache estimates and turn statistics of programs.
-func (l *Loop) forgetPrograms(programs []string) {
+func (l *Scheduler) forgetPrograms(programs []string) {
 	for _, e := range l.engines {
 		for _, id := range programs {
 			delete(e.cached, id)
@@ -107,7 +107,7 @@
 }
 
 // moveCache records that a program's cache was moved to another engine.
-func (l *Loop) moveCache(m lease.Moved) {
+func (l *Scheduler) moveCache(m lease.Moved) {
 	from, okFrom := l.engines[m.From]
 	to, okTo := l.engines[m.To]
 	if okFrom && okTo {
@@ -117,7 +117,7 @@
 }
 
 // usable reports whether the engine may take the call, apart from limits and ejection.
-func (l *Loop) usable(e *engine, call lease.Request) bool {
+func (l *Scheduler) usable(e *engine, call lease.Request) bool {
 	if e.leaving || slices.Contains(call.Exclude, e.target.Name) {
 		return false
 	}
@@ -128,7 +128,7 @@
 }
 
 // permitted reports whether the policy allows the engine to run the call and hold its cache.
-func (l *Loop) permitted(e *engine, call lease.Request) bool {
+func (l *Scheduler) permitted(e *engine, call lease.Request) bool {
 	in := call.Input
 	in.Zone = e.target.Zone
 	in.Target = e.target.Name
@@ -141,7 +141,7 @@
 }
 
 // countEngines returns the number of engines that the policy allows and of those that are usable.
-func (l *Loop) countEngines(call lease.Request) (permitted, usable int) {
+func (l *Scheduler) countEngines(call lease.Request) (permitted, usable int) {
 	for _, e := range l.engines {
 		if l.permitted(e, call) {
 			permitted++
@@ -181,7 +181,7 @@
 }
 
 // place grants the call a lease on an engine, or returns nil if no engine can take it now.
-func (l *Loop) place(now time.Time, req *request) *lease.Lease {
+func (l *Scheduler) place(now time.Time, req *request) *lease.Lease {
 	var cands []sched.Candidate
 	var engines []*engine
 	for _, e := range l.sortedEngines() {
@@ -210,7 +210,7 @@
 		Started: now, OnFinish: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
 	}
 	next := l.turnStats.TurnStarted(now, req.call.Program, req.call.Input.Kind)
-	if l.opts.Holds {
+	if l.opts.HoldCaches {
 		granted.KeepCache = l.shouldHold(req.call, cands[i], next)
 	}
 	return granted
@@ -218,13 +218,13 @@
 
 // shouldHold reports whether the engine should keep the cache of the call's program until
 // the next turn.
-func (l *Loop) shouldHold(call lease.Request, c sched.Candidate, next sched.NextTurn) bool {
+func (l *Scheduler) shouldHold(call lease.Request, c sched.Candidate, next sched.NextTurn) bool {
 	weight := 1 + float64(call.Input.Turn)/10
 	return sched.ShouldHold(sched.HoldRequest{Tokens: call.PromptTokens + call.ExpectedTokens, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
 // sortedEngines returns the engines by name, so that a seed always gives the same choices.
-func (l *Loop) sortedEngines() []*engine {
+func (l *Scheduler) sortedEngines() []*engine {
 	out := make([]*engine, 0, len(l.engines))
 	for _, e := range l.engines {
 		out = append(out, e)
@@ -239,7 +239,7 @@
 }
 
 // othersInFlight returns the number of other boxes' streams in flight at the target.
-func (l *Loop) othersInFlight(target string) int {
+func (l *Scheduler) othersInFlight(target string) int {
 	n := 0
 	for _, streams := range l.remoteStreams {
 		n += streams[target]
@@ -248,7 +248,7 @@
 }
 
 // finish ends a lease and updates the engine's limit, ejection and cache estimate from its result.
-func (l *Loop) finish(m finishMsg) {
+func (l *Scheduler) finish(m finishMsg) {
 	now := time.Now()
 	name := m.lease.Target.Name
 	l.turnStats.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
--- a/gate/admit/query.go
+++ b/gate/admit/query.go
@@ -9,9 +9,9 @@
 )
 
 // Status returns the status of every engine, by name.
-func (l *Loop) Status() []types.EngineStatus {
+func (l *Scheduler) Status() []types.EngineStatus {
 	var out []types.EngineStatus
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		now := time.Now()
 		for _, e := range l.sortedEngines() {
 			out = append(out, types.EngineStatus{
@@ -24,10 +24,10 @@
 	return out
 }
 
-// Mine returns the number of this box's streams in flight by target.
-func (l *Loop) Mine() map[string]int {
+// InFlight returns the number of this box's streams in flight by target.
+func (l *Scheduler) InFlight() map[string]int {
 	out := map[string]int{}
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		for name, e := range l.engines {
 			out[name] = e.inFlight
 		}
@@ -35,10 +35,10 @@
 	return out
 }
 
-// Leaving returns the names of the engines that take no new work, sorted.
-func (l *Loop) Leaving() []string {
+// LeavingEngines returns the names of the engines that take no new work, sorted.
+func (l *Scheduler) LeavingEngines() []string {
 	var out []string
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		for name, e := range l.engines {
 			if e.leaving {
 				out = append(out, name)
@@ -49,10 +49,10 @@
 	return out
 }
 
-// Holders returns the programs that each engine is estimated to cache, by engine.
-func (l *Loop) Holders() map[string][]string {
+// CachedPrograms returns the programs that each engine is estimated to cache, by engine.
+func (l *Scheduler) CachedPrograms() map[string][]string {
 	out := map[string][]string{}
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		for name, e := range l.engines {
 			for program := range e.cached {
 				out[name] = append(out[name], program)
@@ -62,10 +62,10 @@
 	return out
 }
 
-// HoldersOf returns the engines that are estimated to cache the program.
-func (l *Loop) HoldersOf(program string) []string {
+// EnginesCaching returns the engines that are estimated to cache the program.
+func (l *Scheduler) EnginesCaching(program string) []string {
 	var out []string
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		for name, e := range l.engines {
 			if _, ok := e.cached[program]; ok {
 				out = append(out, name)
@@ -77,9 +77,9 @@
 
 // query runs a function in the event loop and waits for it. The function does not run if
 // the loop has stopped.
-func (l *Loop) query(run func(l *Loop)) {
+func (l *Scheduler) query(run func(l *Scheduler)) {
 	done := make(chan struct{})
-	l.send(queryMsg{run: func(l *Loop) {
+	l.send(queryMsg{run: func(l *Scheduler) {
 		run(l)
 		close(done)
 	}})
@@ -90,9 +90,9 @@
 }
 
 // EvacuationTarget returns the usable engine with the most free cache, to which a cache can be moved.
-func (l *Loop) EvacuationTarget(call lease.Request) (types.Target, bool) {
+func (l *Scheduler) EvacuationTarget(call lease.Request) (types.Target, bool) {
 	var best *engine
-	l.query(func(l *Loop) {
+	l.query(func(l *Scheduler) {
 		for _, e := range l.sortedEngines() {
 			if l.usable(e, call) && (best == nil || e.freeCache() > best.freeCache()) {
 				best = e
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -35,7 +35,7 @@
 }
 
 // enqueue queues a call or refuses it at once.
-func (l *Loop) enqueue(m acquireMsg) {
+func (l *Scheduler) enqueue(m acquireMsg) {
 	now := time.Now()
 	if err := l.checkAdmission(now, m.call); err != nil {
 		l.counts.Count("admit.refused", 1)
@@ -48,7 +48,7 @@
 }
 
 // checkAdmission refuses calls that have no usable engine or would wait too long.
-func (l *Loop) checkAdmission(now time.Time, call lease.Request) error {
+func (l *Scheduler) checkAdmission(now time.Time, call lease.Request) error {
 	permitted, usable := l.countEngines(call)
 	if permitted == 0 && len(l.engines) > 0 {
 		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
@@ -71,7 +71,7 @@
 }
 
 // queueFor returns the state of the queue as the call would find it on arrival.
-func (l *Loop) queueFor(call lease.Request) sched.Queue {
+func (l *Scheduler) queueFor(call lease.Request) sched.Queue {
 	q := sched.Queue{ServiceTime: l.serviceTime, Backlog: time.Duration(math.MaxInt64)}
 	for _, e := range l.engines {
 		if !l.usable(e, call) {
@@ -90,7 +90,7 @@
 }
 
 // cancel removes a call whose caller has gone or whose time is up from the queue.
-func (l *Loop) cancel(req *request) {
+func (l *Scheduler) cancel(req *request) {
 	if i := slices.Index(l.queue, req); i >= 0 {
 		l.queue = slices.Delete(l.queue, i, i+1)
 		l.counts.Count("admit.timed_out", 1)
@@ -99,7 +99,7 @@
 }
 
 // dispatch places as many queued calls as it can, in order.
-func (l *Loop) dispatch() {
+func (l *Scheduler) dispatch() {
 	if len(l.queue) == 0 {
 		return
 	}
@@ -129,13 +129,13 @@
 const maxFailedPlacements = 32
 
 // sortQueue orders the queue: starved calls first, then by priority, fair share and rank.
-func (l *Loop) sortQueue(now time.Time) {
+func (l *Scheduler) sortQueue(now time.Time) {
 	sort.SliceStable(l.queue, func(i, j int) bool {
-		return sched.Before(now, l.opts.Starve, l.waitingCall(l.queue[i]), l.waitingCall(l.queue[j]))
+		return sched.Before(now, l.opts.StarvationAge, l.waitingCall(l.queue[i]), l.waitingCall(l.queue[j]))
 	})
 }
 
 // waitingCall returns the properties of a request that determine its order.
-func (l *Loop) waitingCall(r *request) sched.WaitingCall {
+func (l *Scheduler) waitingCall(r *request) sched.WaitingCall {
 	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Progress.Priority, Served: l.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
 }
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -54,11 +54,11 @@
 
 func (d *dev) Execute(ctx context.Context, out io.Writer, _ []string) error {
 	startedAt := time.Now()
-	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: conf.Log{Level: d.level}.Slog()}))
+	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: conf.Log{Level: d.level}.SlogLevel()}))
 	slog.SetDefault(logger)
 	shape := sample.Ghent()
 	platform, err := plat.New(plat.Spec{
-		Zones: shape.Zones, Engines: engineCount, Model: shape.Models[0], Lag: 200 * time.Millisecond,
+		Zones: shape.Zones, Engines: engineCount, Model: shape.Models[0], ListLag: 200 * time.Millisecond,
 		Services: map[string]int{"booking": 1, "calendar": 1},
 	})
 	if err != nil {
@@ -109,7 +109,7 @@
 	var sets []conf.Settings
 	for i, zone := range shape.Zones {
 		set := devSettings(platform, keys, fmt.Sprintf("box-%d", i), zone, ports[portsPerBox*i:])
-		platform.Add(types.Member{Name: set.Box.Name, Zone: zone, Peer: set.Listen.Peers})
+		platform.AddBox(types.Member{Name: set.Box.Name, Zone: zone, Peer: set.Listen.Peers})
 		sets = append(sets, set)
 	}
 	for _, set := range sets {
@@ -127,12 +127,12 @@
 	set := conf.Defaults()
 	set.Box = conf.Box{Name: name, Zone: zone}
 	set.Listen = conf.Listen{Callers: ports[0], Peers: ports[1], Admin: ports[2]}
-	set.Platform.Log, set.Platform.List = platform.LogAddr, platform.ListAt
+	set.Platform.Log, set.Platform.List = platform.LogAddr, platform.ListAddr
 	set.Security = conf.Security{RootKey: keys.Root, OperatorKeys: [][]byte{keys.Public()}, InsecureLoopback: true}
-	set.Member.Beat = types.Duration(100 * time.Millisecond)
-	set.Member.Suspect = types.Duration(500 * time.Millisecond)
-	set.Member.List = types.Duration(100 * time.Millisecond)
-	set.Slots.Tick = types.Duration(50 * time.Millisecond)
+	set.Member.HeartbeatInterval = types.Duration(100 * time.Millisecond)
+	set.Member.SuspectTimeout = types.Duration(500 * time.Millisecond)
+	set.Member.ListInterval = types.Duration(100 * time.Millisecond)
+	set.Slots.CheckInterval = types.Duration(50 * time.Millisecond)
 	return set
 }
 
--- a/gate/cmds/run.go
+++ b/gate/cmds/run.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: set.Log.Slog()}))
+	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: set.Log.SlogLevel()}))
 	slog.SetDefault(logger)
 	box := parts.New(set, logger)
 	if err := box.Start(ctx); err != nil {
--- a/gate/conf/box.go
+++ b/gate/conf/box.go
@@ -48,8 +48,8 @@
 	rep.require(level.UnmarshalText([]byte(l.Level)) == nil, "log.level", "not one of debug, info, warn, error")
 }
 
-// Slog returns the level for log/slog, or slog.LevelInfo if the level is not valid.
-func (l Log) Slog() slog.Level {
+// SlogLevel returns the level for log/slog, or slog.LevelInfo if the level is not valid.
+func (l Log) SlogLevel() slog.Level {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(l.Level))
 	return level
--- a/gate/conf/platform.go
+++ b/gate/conf/platform.go
@@ -20,13 +20,13 @@
 	Boxes       int     `json:"boxes"`
 	// Retention is how long the log keeps entries; 0 means forever.
 	Retention types.Duration `json:"retention"`
-	// ConfigPoll is the interval between reads of the configuration stream.
-	ConfigPoll types.Duration `json:"config_poll"`
+	// ConfigPollInterval is the interval between reads of the configuration stream.
+	ConfigPollInterval types.Duration `json:"config_poll"`
 }
 
 func platformDefaults() Platform {
 	return Platform{
-		LogTimeout: types.Duration(2 * time.Second), Boxes: 1, ConfigPoll: types.Duration(time.Second),
+		LogTimeout: types.Duration(2 * time.Second), Boxes: 1, ConfigPollInterval: types.Duration(time.Second),
 	}
 }
 
@@ -37,7 +37,7 @@
 	rep.require(p.AppendLimit >= 0, "platform.append_limit", "negative")
 	rep.require(p.Boxes > 0, "platform.boxes", "not positive")
 	rep.require(p.Retention >= 0, "platform.retention", "negative")
-	rep.require(p.ConfigPoll > 0, "platform.config_poll", "not positive")
+	rep.require(p.ConfigPollInterval > 0, "platform.config_poll", "not positive")
 }
 
 // AppendShare returns this box's share of AppendLimit in appends per second; 0 means no limit.
--- a/gate/conf/security.go
+++ b/gate/conf/security.go
@@ -31,8 +31,8 @@
 	CA string `json:"ca"`
 }
 
-// Set reports whether the path of a certificate is configured.
-func (c Cert) Set() bool {
+// IsSet reports whether the path of a certificate is configured.
+func (c Cert) IsSet() bool {
 	return c.Cert != ""
 }
 
@@ -47,13 +47,13 @@
 	}
 	s.checkCert(rep, "security.callers", s.Callers, listen.Callers.Addr().IsLoopback())
 	s.checkCert(rep, "security.peers", s.Peers, listen.Peers.Addr().IsLoopback())
-	rep.require(!s.Peers.Set() || s.Peers.CA != "", "security.peers.ca", "missing")
+	rep.require(!s.Peers.IsSet() || s.Peers.CA != "", "security.peers.ca", "missing")
 }
 
 // checkCert requires a certificate with its key, unless InsecureLoopback is set and the
 // address is a loopback address.
 func (s Security) checkCert(rep *report, path string, cert Cert, loopback bool) {
-	if cert.Set() {
+	if cert.IsSet() {
 		rep.require(cert.Key != "", path+".key", "missing")
 		return
 	}
@@ -61,8 +61,8 @@
 	rep.require(!s.InsecureLoopback || loopback, path+".cert", "missing; insecure_loopback applies to loopback addresses only")
 }
 
-// Root returns the root key from RootKeyFile if that is set, and from RootKey otherwise.
-func (s Security) Root() (*seal.RootKey, error) {
+// LoadRootKey returns the root key from RootKeyFile if that is set, and from RootKey otherwise.
+func (s Security) LoadRootKey() (*seal.RootKey, error) {
 	key := s.RootKey
 	if s.RootKeyFile != "" {
 		raw, err := os.ReadFile(s.RootKeyFile)
@@ -74,8 +74,8 @@
 	return seal.NewRootKey(key)
 }
 
-// Operators returns OperatorKeys as public keys.
-func (s Security) Operators() []ed25519.PublicKey {
+// OperatorPublicKeys returns OperatorKeys as public keys.
+func (s Security) OperatorPublicKeys() []ed25519.PublicKey {
 	keys := make([]ed25519.PublicKey, 0, len(s.OperatorKeys))
 	for _, key := range s.OperatorKeys {
 		keys = append(keys, ed25519.PublicKey(key))
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -9,13 +9,13 @@
 
 // Member holds the settings of membership.
 type Member struct {
-	// Beat is the interval between heartbeats to other boxes.
-	Beat types.Duration `json:"beat"`
-	// Suspect is how long a box may be silent before it no longer counts as live. It must be at
+	// HeartbeatInterval is the interval between heartbeats to other boxes.
+	HeartbeatInterval types.Duration `json:"beat"`
+	// SuspectTimeout is how long a box may be silent before it no longer counts as live. It must be at
 	// least three times Beat.
-	Suspect types.Duration `json:"suspect"`
-	// List is the interval between reads of the platform's list.
-	List types.Duration `json:"list"`
+	SuspectTimeout types.Duration `json:"suspect"`
+	// ListInterval is the interval between reads of the platform's list.
+	ListInterval types.Duration `json:"list"`
 	// Fanout is the maximum number of boxes in this box's zone that it sends heartbeats to,
 	// and also the maximum for the boxes of all other zones together.
 	Fanout int `json:"fanout"`
@@ -23,66 +23,66 @@
 
 func memberDefaults() Member {
 	return Member{
-		Beat: types.Duration(300 * time.Millisecond), Suspect: types.Duration(1200 * time.Millisecond),
-		List: types.Duration(500 * time.Millisecond), Fanout: 16,
+		HeartbeatInterval: types.Duration(300 * time.Millisecond), SuspectTimeout: types.Duration(1200 * time.Millisecond),
+		ListInterval: types.Duration(500 * time.Millisecond), Fanout: 16,
 	}
 }
 
 func (m Member) check(rep *report) {
-	rep.require(m.Beat > 0, "member.beat", "not positive")
-	rep.require(m.Suspect >= 3*m.Beat, "member.suspect", "less than three times member.beat")
-	rep.require(m.List > 0, "member.list", "not positive")
+	rep.require(m.HeartbeatInterval > 0, "member.beat", "not positive")
+	rep.require(m.SuspectTimeout >= 3*m.HeartbeatInterval, "member.suspect", "less than three times member.beat")
+	rep.require(m.ListInterval > 0, "member.list", "not positive")
 	rep.require(m.Fanout > 0, "member.fanout", "not positive")
 }
 
 // Slots holds the settings of slot ownership.
 type Slots struct {
-	// Tick is the interval between checks of which slots this box should own.
-	Tick types.Duration `json:"tick"`
-	// FlushAfter is how long a record that no caller waits for may be delayed for batching.
-	FlushAfter types.Duration `json:"flush_after"`
-	// AdoptAfter is how long a zone must be without boxes before other zones take over its slots.
-	AdoptAfter types.Duration `json:"adopt_after"`
-	// MaxQueued is the maximum number of records that wait to be written to a slot's stream.
-	MaxQueued int `json:"max_queued"`
+	// CheckInterval is the interval between checks of which slots this box should own.
+	CheckInterval types.Duration `json:"tick"`
+	// FlushDelay is how long a record that no caller waits for may be delayed for batching.
+	FlushDelay types.Duration `json:"flush_after"`
+	// AdoptionDelay is how long a zone must be without boxes before other zones take over its slots.
+	AdoptionDelay types.Duration `json:"adopt_after"`
+	// MaxQueuedRecords is the maximum number of records that wait to be written to a slot's stream.
+	MaxQueuedRecords int `json:"max_queued"`
 }
 
 func slotsDefaults() Slots {
 	return Slots{
-		Tick: types.Duration(200 * time.Millisecond), FlushAfter: types.Duration(10 * time.Millisecond),
-		AdoptAfter: types.Duration(10 * time.Second), MaxQueued: 10_000,
+		CheckInterval: types.Duration(200 * time.Millisecond), FlushDelay: types.Duration(10 * time.Millisecond),
+		AdoptionDelay: types.Duration(10 * time.Second), MaxQueuedRecords: 10_000,
 	}
 }
 
 func (s Slots) check(rep *report) {
-	rep.require(s.Tick > 0, "slots.tick", "not positive")
-	rep.require(s.FlushAfter > 0, "slots.flush_after", "not positive")
-	rep.require(s.AdoptAfter > 0, "slots.adopt_after", "not positive")
-	rep.require(s.MaxQueued > 0, "slots.max_queued", "not positive")
+	rep.require(s.CheckInterval > 0, "slots.tick", "not positive")
+	rep.require(s.FlushDelay > 0, "slots.flush_after", "not positive")
+	rep.require(s.AdoptionDelay > 0, "slots.adopt_after", "not positive")
+	rep.require(s.MaxQueuedRecords > 0, "slots.max_queued", "not positive")
 }
 
 // Engines holds the settings for polling engines.
 type Engines struct {
-	// Poll is the interval between load reports from an engine that has calls of this box in
+	// PollInterval is the interval between load reports from an engine that has calls of this box in
 	// flight, IdlePoll that from other engines.
-	Poll     types.Duration `json:"poll"`
-	IdlePoll types.Duration `json:"idle_poll"`
-	// Sync is the interval between reads of an engine's whole cache list.
-	Sync types.Duration `json:"sync"`
-	// Subset is the maximum number of engines in this box's zone that the box uses, and also
+	PollInterval     types.Duration `json:"poll"`
+	IdlePollInterval types.Duration `json:"idle_poll"`
+	// SyncInterval is the interval between reads of an engine's whole cache list.
+	SyncInterval types.Duration `json:"sync"`
+	// SubsetSize is the maximum number of engines in this box's zone that the box uses, and also
 	// the maximum for the engines of all other zones together.
-	Subset int `json:"subset"`
+	SubsetSize int `json:"subset"`
 }
 
 func enginesDefaults() Engines {
-	return Engines{Poll: types.Duration(100 * time.Millisecond), IdlePoll: types.Duration(400 * time.Millisecond), Sync: types.Duration(5 * time.Second), Subset: 32}
+	return Engines{PollInterval: types.Duration(100 * time.Millisecond), IdlePollInterval: types.Duration(400 * time.Millisecond), SyncInterval: types.Duration(5 * time.Second), SubsetSize: 32}
 }
 
 func (e Engines) check(rep *report) {
-	rep.require(e.Poll > 0, "engines.poll", "not positive")
-	rep.require(e.IdlePoll >= e.Poll, "engines.idle_poll", "shorter than engines.poll")
-	rep.require(e.Sync > 0, "engines.sync", "not positive")
-	rep.require(e.Subset > 0, "engines.subset", "not positive")
+	rep.require(e.PollInterval > 0, "engines.poll", "not positive")
+	rep.require(e.IdlePollInterval >= e.PollInterval, "engines.idle_poll", "shorter than engines.poll")
+	rep.require(e.SyncInterval > 0, "engines.sync", "not positive")
+	rep.require(e.SubsetSize > 0, "engines.subset", "not positive")
 }
 
 // Admit holds the settings of the queue of waiting calls.
@@ -93,16 +93,16 @@
 	Order sched.Order `json:"order"`
 	// MaxWait is the longest expected wait at which a new program is still accepted.
 	MaxWait types.Duration `json:"max_wait"`
-	// Starve is the wait after which a call runs before all others.
-	Starve types.Duration `json:"starve"`
-	// Holds enables keeping a program's cache during its pauses.
-	Holds bool `json:"holds"`
+	// StarvationAge is the wait after which a call runs before all others.
+	StarvationAge types.Duration `json:"starve"`
+	// HoldCaches enables keeping a program's cache during its pauses.
+	HoldCaches bool `json:"holds"`
 }
 
 func admitDefaults() Admit {
 	return Admit{
 		Strategy: sched.Scored, Order: sched.Age, MaxWait: types.Duration(2 * time.Second),
-		Starve: types.Duration(5 * time.Second), Holds: true,
+		StarvationAge: types.Duration(5 * time.Second), HoldCaches: true,
 	}
 }
 
@@ -115,33 +115,33 @@
 	validOrder := a.Order == sched.Age || a.Order == sched.Attained || a.Order == sched.Fifo
 	rep.require(validOrder, "admit.order", "not one of age, attained, fifo")
 	rep.require(a.MaxWait > 0, "admit.max_wait", "not positive")
-	rep.require(a.Starve > 0, "admit.starve", "not positive")
+	rep.require(a.StarvationAge > 0, "admit.starve", "not positive")
 }
 
 // Limits bounds the sizes and durations of requests and of a stop.
 type Limits struct {
-	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64 `json:"body_bytes"`
+	// MaxBodyBytes is the maximum size of a request body.
+	MaxBodyBytes int64 `json:"body_bytes"`
 	// BodyTimeout is how long a caller may take to send a request body.
 	BodyTimeout types.Duration `json:"body_timeout"`
 	// TrailSteps is the number of recent decision steps that are kept for operators.
 	TrailSteps int `json:"trail_steps"`
-	// StopWait bounds a graceful stop; OwnerWait bounds the search for a slot's owner.
-	StopWait  types.Duration `json:"stop_wait"`
-	OwnerWait types.Duration `json:"owner_wait"`
+	// StopTimeout bounds a graceful stop; OwnerWait bounds the search for a slot's owner.
+	StopTimeout  types.Duration `json:"stop_wait"`
+	OwnerTimeout types.Duration `json:"owner_wait"`
 }
 
 func limitsDefaults() Limits {
 	return Limits{
-		BodyBytes: 8 << 20, BodyTimeout: types.Duration(15 * time.Second), TrailSteps: 8192,
-		StopWait: types.Duration(2 * time.Minute), OwnerWait: types.Duration(10 * time.Second),
+		MaxBodyBytes: 8 << 20, BodyTimeout: types.Duration(15 * time.Second), TrailSteps: 8192,
+		StopTimeout: types.Duration(2 * time.Minute), OwnerTimeout: types.Duration(10 * time.Second),
 	}
 }
 
 func (l Limits) check(rep *report) {
-	rep.require(l.BodyBytes > 0, "limits.body_bytes", "not positive")
+	rep.require(l.MaxBodyBytes > 0, "limits.body_bytes", "not positive")
 	rep.require(l.BodyTimeout > 0, "limits.body_timeout", "not positive")
 	rep.require(l.TrailSteps > 0, "limits.trail_steps", "not positive")
-	rep.require(l.StopWait > 0, "limits.stop_wait", "not positive")
-	rep.require(l.OwnerWait > 0, "limits.owner_wait", "not positive")
+	rep.require(l.StopTimeout > 0, "limits.stop_wait", "not positive")
+	rep.require(l.OwnerTimeout > 0, "limits.owner_wait", "not positive")
 }
--- a/gate/desk/adopt.go
+++ b/gate/desk/adopt.go
@@ -11,7 +11,7 @@
 // Adopt restores from a continuation the programs and turns that the log lacks, such as those
 // of an outage. If any part does not fit, it writes nothing and returns an error. A newer
 // epoch in the continuation sets Superseded.
-func (d *Desk) Adopt(cont types.Continuation) ([]types.Record, error) {
+func (d *OwnerState) Adopt(cont types.Continuation) ([]types.Record, error) {
 	if cont.Epoch > d.State.Epoch {
 		d.Superseded = true
 		return nil, fault.Refuse(fault.NotOwner, "the continuation is from a newer owner")
@@ -43,7 +43,7 @@
 
 // missingBegins returns the programs of the continuation that the state lacks, in the
 // continuation's order: ancestors first.
-func (d *Desk) missingBegins(cont types.Continuation) ([]types.Begin, error) {
+func (d *OwnerState) missingBegins(cont types.Continuation) ([]types.Begin, error) {
 	var out []types.Begin
 	for _, b := range cont.Begins {
 		if b.Workspace != cont.Workspace {
@@ -68,7 +68,7 @@
 
 // writeAdopted writes the programs. The first grant of a root counts as spent: the box that
 // granted it may have spent it or may still be spending it.
-func (d *Desk) writeAdopted(begins []types.Begin) []types.Record {
+func (d *OwnerState) writeAdopted(begins []types.Begin) []types.Record {
 	var recs []types.Record
 	for _, b := range begins {
 		recs = append(recs, d.write(types.Record{Begin: &b})...)
@@ -131,7 +131,7 @@
 
 // Continuation returns the continuation after the given turn of the program. It carries the
 // begin records and turns that the log has not confirmed.
-func (d *Desk) Continuation(prog *types.Program, turn int) types.Continuation {
+func (d *OwnerState) Continuation(prog *types.Program, turn int) types.Continuation {
 	cont := types.Continuation{
 		Program: prog.Begin.ID, Workspace: prog.Begin.Workspace, Turn: turn,
 		Epoch: d.State.Epoch, Incarnation: d.Incarnation,
@@ -150,7 +150,7 @@
 }
 
 // lineage returns the begin records of the program and its ancestors, root first.
-func (d *Desk) lineage(prog *types.Program) []types.Begin {
+func (d *OwnerState) lineage(prog *types.Program) []types.Begin {
 	var out []types.Begin
 	for prog != nil {
 		out = append([]types.Begin{prog.Begin}, out...)
--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -8,12 +8,12 @@
 	"mulleingate.dev/base/types"
 )
 
-// CallAsk is a request to run a call. Price is in tokens.
-type CallAsk struct {
+// CallRequest is a request to run a call. Price is in tokens.
+type CallRequest struct {
 	Intent types.Intent
 	Price  int64
-	// Chunk is the minimum increase of a grant, in tokens. The budget limits it.
-	Chunk int64
+	// GrantChunk is the minimum increase of a grant, in tokens. The budget limits it.
+	GrantChunk int64
 }
 
 // CallStart is the decision on a call request. Exactly one of Stored (its outcome is known),
@@ -28,7 +28,7 @@
 
 // StartCall decides on a request for a call that must not be repeated. A key that has an
 // intent never gets a second one.
-func (d *Desk) StartCall(now time.Time, req CallAsk) (CallStart, []types.Record, error) {
+func (d *OwnerState) StartCall(now time.Time, req CallRequest) (CallStart, []types.Record, error) {
 	start, known, err := d.existingCall(req.Intent)
 	if err != nil || known {
 		return start, nil, err
@@ -44,7 +44,7 @@
 }
 
 // existingCall returns the decision for a key that has an intent, and reports whether it has.
-func (d *Desk) existingCall(in types.Intent) (CallStart, bool, error) {
+func (d *OwnerState) existingCall(in types.Intent) (CallStart, bool, error) {
 	key, ok := d.State.Keys[in.Key]
 	if !ok {
 		return CallStart{}, false, nil
@@ -63,7 +63,7 @@
 
 // reservePrice reserves the price from the budget of the call's program, if it has one. It
 // returns the root program that pays, or "".
-func (d *Desk) reservePrice(now time.Time, req CallAsk) (string, []types.Record, error) {
+func (d *OwnerState) reservePrice(now time.Time, req CallRequest) (string, []types.Record, error) {
 	if req.Intent.Program == "" {
 		return "", nil, nil
 	}
@@ -81,11 +81,11 @@
 	if d.available(tree) < req.Price {
 		return "", nil, d.budgetError(tree)
 	}
-	return tree.Root, d.reserve(tree, req.Price, req.Chunk), nil
+	return tree.Root, d.reserve(tree, req.Price, req.GrantChunk), nil
 }
 
 // FinishCall ends a run with its outcome. A call that did not run costs nothing.
-func (d *Desk) FinishCall(run *CallRun, out types.Outcome) []types.Record {
+func (d *OwnerState) FinishCall(run *CallRun, out types.Outcome) []types.Record {
 	if d.Calls[run.Intent.Key] != run {
 		return nil
 	}
@@ -100,8 +100,8 @@
 	return d.write(types.Record{Outcome: &out})
 }
 
-// SettleCall writes the outcome of a call that was unknown until a probe found it.
-func (d *Desk) SettleCall(out types.Outcome) []types.Record {
+// ResolveCall writes the outcome of a call that was unknown until a probe found it.
+func (d *OwnerState) ResolveCall(out types.Outcome) []types.Record {
 	key, ok := d.State.Keys[out.Key]
 	if !ok || key.Intent.Attempt != out.Attempt {
 		return nil
@@ -112,9 +112,9 @@
 	return d.write(types.Record{Outcome: &out})
 }
 
-// PayCall charges the price of a repeatable call to its program, if it has one, when the
+// ChargeCall charges the price of a repeatable call to its program, if it has one, when the
 // call starts.
-func (d *Desk) PayCall(now time.Time, req CallAsk) ([]types.Record, error) {
+func (d *OwnerState) ChargeCall(now time.Time, req CallRequest) ([]types.Record, error) {
 	root, recs, err := d.reservePrice(now, req)
 	if err != nil || root == "" {
 		return recs, err
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -19,8 +19,8 @@
 type TurnRun struct {
 	Run  Run
 	Turn int
-	// Ask is the digest of the caller's request.
-	Ask []byte
+	// RequestDigest is the digest of the caller's request.
+	RequestDigest []byte
 	// Reserved is in tokens and counts against the tree's budget until the run finishes.
 	Reserved int64
 }
@@ -34,9 +34,9 @@
 	Root string
 }
 
-// Desk is the in-memory state of a slot's owner. State includes the records that were
+// OwnerState is the in-memory state of a slot's owner. State includes the records that were
 // handed to the writer and that the log has not confirmed yet.
-type Desk struct {
+type OwnerState struct {
 	State *fold.State
 	// Incarnation identifies this run of the owner's process.
 	Incarnation string
@@ -44,8 +44,8 @@
 	Turns map[string]*TurnRun
 	// Calls holds the call in flight of each idempotency key. There is at most one.
 	Calls map[string]*CallRun
-	// LogUp is false from a failed append until the next one succeeds.
-	LogUp bool
+	// LogAvailable is false from a failed append until the next one succeeds.
+	LogAvailable bool
 	// Superseded is set once a continuation carries a newer epoch. The owner then gives the slot up.
 	Superseded bool
 
@@ -62,9 +62,9 @@
 }
 
 // New returns the state of an owner that has just claimed the slot.
-func New(state *fold.State, incarnation string) *Desk {
-	d := &Desk{
-		State: state, Incarnation: incarnation, LogUp: true,
+func New(state *fold.State, incarnation string) *OwnerState {
+	d := &OwnerState{
+		State: state, Incarnation: incarnation, LogAvailable: true,
 		Turns: map[string]*TurnRun{}, Calls: map[string]*CallRun{},
 		reserved: map[string]int64{}, confirmed: map[string]int64{},
 		logged: map[string]int{}, lastAppended: map[string]time.Time{},
@@ -79,7 +79,7 @@
 }
 
 // Confirm marks the records as confirmed by the log.
-func (d *Desk) Confirm(now time.Time, recs []types.Record) {
+func (d *OwnerState) Confirm(now time.Time, recs []types.Record) {
 	for _, rec := range recs {
 		switch {
 		case rec.Begin != nil:
@@ -101,7 +101,7 @@
 }
 
 // confirmGrant raises the confirmed grant of a root program to total tokens; it never lowers it.
-func (d *Desk) confirmGrant(root string, total int64) {
+func (d *OwnerState) confirmGrant(root string, total int64) {
 	d.confirmed[root] = max(d.confirmed[root], total)
 }
 
@@ -112,14 +112,14 @@
 
 // Logged returns the number of the program's confirmed turns, and whether the program
 // itself is confirmed.
-func (d *Desk) Logged(program string) (int, bool) {
+func (d *OwnerState) Logged(program string) (int, bool) {
 	n, ok := d.logged[program]
 	return n, ok
 }
 
 // Program returns a program of the workspace. A program of another workspace is reported
 // as not found, so that its existence is not disclosed.
-func (d *Desk) Program(id, workspace string) (*types.Program, error) {
+func (d *OwnerState) Program(id, workspace string) (*types.Program, error) {
 	prog, ok := d.State.Programs[id]
 	if !ok || prog.Begin.Workspace != workspace {
 		return nil, fault.Refuse(fault.NoProgram, "no such program")
@@ -128,7 +128,7 @@
 }
 
 // write applies records to the state and returns them, to be appended to the log.
-func (d *Desk) write(recs ...types.Record) []types.Record {
+func (d *OwnerState) write(recs ...types.Record) []types.Record {
 	for _, rec := range recs {
 		d.State.ApplyRecord(rec)
 	}
--- a/gate/desk/op.go
+++ b/gate/desk/op.go
@@ -8,7 +8,7 @@
 
 // Op reads and updates the state of a slot and returns the records that it applied. It
 // runs alone, in the slot's event loop, and must not block.
-type Op func(now time.Time, d *Desk) ([]types.Record, error)
+type Op func(now time.Time, d *OwnerState) ([]types.Record, error)
 
 // Mode says when the records of an operation are appended, and whether the operation is
 // accepted while the log is unavailable or the slot is being released.
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -7,9 +7,9 @@
 
 // available returns the tokens that may still be reserved: up to the budget, or up to the
 // confirmed grant while the log is unavailable.
-func (d *Desk) available(tree *types.TreeBudget) int64 {
+func (d *OwnerState) available(tree *types.TreeBudget) int64 {
 	bound := tree.Budget
-	if !d.LogUp {
+	if !d.LogAvailable {
 		bound = min(bound, d.confirmed[tree.Root])
 	}
 	return bound - tree.Spent - d.reserved[tree.Root]
@@ -17,7 +17,7 @@
 
 // reserve reserves need tokens. If the grant does not cover them, it returns a grant record
 // that the log must confirm before the work is dispatched.
-func (d *Desk) reserve(tree *types.TreeBudget, need, chunk int64) []types.Record {
+func (d *OwnerState) reserve(tree *types.TreeBudget, need, chunk int64) []types.Record {
 	d.reserved[tree.Root] += need
 	used := tree.Spent + d.reserved[tree.Root]
 	if used <= tree.Granted {
@@ -29,13 +29,13 @@
 
 // Covered reports whether the confirmed grant of a root program covers all that is
 // reserved and spent.
-func (d *Desk) Covered(root string) bool {
+func (d *OwnerState) Covered(root string) bool {
 	tree, ok := d.State.Purses[root]
 	return ok && tree.Spent+d.reserved[root] <= d.confirmed[root]
 }
 
 // settle ends a reservation of which spent tokens were used.
-func (d *Desk) settle(root string, reserved, spent int64) {
+func (d *OwnerState) settle(root string, reserved, spent int64) {
 	d.reserved[root] -= reserved
 	if tree, ok := d.State.Purses[root]; ok {
 		tree.Spent = min(tree.Spent+spent, tree.Granted)
@@ -43,7 +43,7 @@
 }
 
 // treeBudget returns the budget of the tree that the program belongs to.
-func (d *Desk) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
+func (d *OwnerState) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
 	tree, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
 		return nil, fault.Refuse(fault.BudgetSpent, "the budget of the program's tree is unknown")
@@ -53,7 +53,7 @@
 
 // Spent returns the tokens that the program's tree has spent and the tree's budget. Both
 // are 0 if the budget is unknown.
-func (d *Desk) Spent(prog *types.Program) (spent, budget int64) {
+func (d *OwnerState) Spent(prog *types.Program) (spent, budget int64) {
 	tree, ok := d.State.Purses[prog.Begin.Root]
 	if !ok {
 		return 0, 0
@@ -61,9 +61,9 @@
 	return tree.Spent, tree.Budget
 }
 
-// Settles applies and returns the records that give unspent grants back at a planned
+// SettleGrants applies and returns the records that give unspent grants back at a planned
 // release. Trees with reservations are left out.
-func (d *Desk) Settles() []types.Record {
+func (d *OwnerState) SettleGrants() []types.Record {
 	var recs []types.Record
 	for root, tree := range d.State.Purses {
 		if d.reserved[root] == 0 && tree.Spent < tree.Granted {
--- a/gate/desk/purse_test.go
+++ b/gate/desk/purse_test.go
@@ -29,7 +29,7 @@
 	pending [][]types.Record
 	seq     int64
 	epoch   int64
-	desk    *Desk
+	desk    *OwnerState
 	charged int64
 	// running holds the current owner's work in flight, waiting for its grant or dispatched.
 	running      []*testRun
@@ -85,7 +85,7 @@
 		return
 	}
 	b := types.Begin{ID: testRoot, Workspace: "one", Budget: testBudget, Deadline: testTime.Add(time.Hour), Limits: types.Limits{Turns: 9}}
-	recs, err := l.desk.Begin(testTime, BeginAsk{Begin: b, Chunk: testChunk})
+	recs, err := l.desk.Begin(testTime, BeginRequest{Begin: b, GrantChunk: testChunk})
 	if err != nil {
 		l.t.Fatalf("begin: %v", err)
 	}
@@ -97,7 +97,7 @@
 func (l *ledger) start(price int64) {
 	l.begin()
 	l.calls++
-	req := CallAsk{Intent: types.Intent{Key: fmt.Sprint(l.calls), Attempt: "a", Workspace: "one", Program: testRoot, At: testTime}, Price: price, Chunk: testChunk}
+	req := CallRequest{Intent: types.Intent{Key: fmt.Sprint(l.calls), Attempt: "a", Workspace: "one", Program: testRoot, At: testTime}, Price: price, GrantChunk: testChunk}
 	start, recs, err := l.desk.StartCall(testTime, req)
 	if err != nil {
 		return
@@ -110,8 +110,8 @@
 // turn starts the program's next turn.
 func (l *ledger) turn(tokens int64) {
 	l.begin()
-	start, recs, err := l.desk.StartTurn(testTime, TurnAsk{
-		Program: testRoot, Workspace: "one", Turn: 1, Ask: []byte("a"), Prompt: 1, MaxTokens: tokens, Chunk: testChunk,
+	start, recs, err := l.desk.StartTurn(testTime, TurnRequest{
+		Program: testRoot, Workspace: "one", Turn: 1, RequestDigest: []byte("a"), PromptTokens: 1, MaxTokens: tokens, GrantChunk: testChunk,
 	})
 	l.write(recs)
 	if err != nil || start.Run == nil {
@@ -127,7 +127,7 @@
 		if r.turn == nil || !r.dispatched {
 			continue
 		}
-		recs, err := l.desk.Rerun(testRoot, r.turn, r.turn.Reserved, testChunk)
+		recs, err := l.desk.RetryTurn(testRoot, r.turn, r.turn.Reserved, testChunk)
 		l.write(recs)
 		r.dispatched = false
 		if err != nil {
@@ -174,7 +174,7 @@
 		l.desk.Confirm(testTime, recs)
 	}
 	l.pending = nil
-	l.desk.LogUp = true
+	l.desk.LogAvailable = true
 	l.dispatch()
 }
 
@@ -196,7 +196,7 @@
 			"confirm": func(*rapid.T) { l.confirm() },
 			"crash":   func(*rapid.T) { l.claim() },
 			"log_away": func(*rapid.T) {
-				l.desk.LogUp = false
+				l.desk.LogAvailable = false
 			},
 			"": func(rt *rapid.T) {
 				if l.charged > testBudget {
--- a/gate/desk/status.go
+++ b/gate/desk/status.go
@@ -2,9 +2,9 @@
 
 import "mulleingate.dev/base/types"
 
-// Describe fills in the slot's figures for the status report.
-func (d *Desk) Describe(st *types.SlotStatus) {
-	st.LogUp = d.LogUp
+// FillStatus fills in the slot's figures for the status report.
+func (d *OwnerState) FillStatus(st *types.SlotStatus) {
+	st.LogUp = d.LogAvailable
 	st.Turns, st.Calls, st.Keys = len(d.Turns), len(d.Calls), len(d.State.Keys)
 	for _, prog := range d.State.Programs {
 		if prog.Ended == "" {
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -26,7 +26,7 @@
 )
 
 // End ends a program and its descendants. It returns the ids of the programs that it ended.
-func (d *Desk) End(now time.Time, id, reason string) ([]string, []types.Record) {
+func (d *OwnerState) End(now time.Time, id, reason string) ([]string, []types.Record) {
 	prog, ok := d.State.Programs[id]
 	if !ok || prog.Ended != "" {
 		return nil, nil
@@ -46,7 +46,7 @@
 
 // Sweep ends programs that are past a limit, and drops expired keys and programs that ended
 // long ago. It returns the ids of the programs that it ended.
-func (d *Desk) Sweep(now time.Time, keepKeys time.Duration) ([]string, []types.Record) {
+func (d *OwnerState) Sweep(now time.Time, keepKeys time.Duration) ([]string, []types.Record) {
 	var ended []string
 	var recs []types.Record
 	for id, prog := range d.State.Programs {
@@ -72,7 +72,7 @@
 }
 
 // endReason returns the reason for which a program must end now, or "".
-func (d *Desk) endReason(now time.Time, prog *types.Program) string {
+func (d *OwnerState) endReason(now time.Time, prog *types.Program) string {
 	if !now.Before(prog.Begin.Deadline) {
 		return EndedByDeadline
 	}
@@ -95,7 +95,7 @@
 
 // lastActivity returns the last activity of the program and its direct sub-agents. It is in
 // the far future while one of those has a turn in flight.
-func (d *Desk) lastActivity(prog *types.Program) time.Time {
+func (d *OwnerState) lastActivity(prog *types.Program) time.Time {
 	last := prog.LastAt
 	for id, p := range d.State.Programs {
 		if p.Begin.Parent != prog.Begin.ID {
@@ -112,7 +112,7 @@
 }
 
 // forget drops an ended program after endedRetention.
-func (d *Desk) forget(now time.Time, id string, prog *types.Program) {
+func (d *OwnerState) forget(now time.Time, id string, prog *types.Program) {
 	if now.Sub(prog.LastAt) <= endedRetention {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // Snapshot returns records that copy programs and keys last appended at least age ago, so
 // that the log's retention does not drop what is in use.
-func (d *Desk) Snapshot(now time.Time, age time.Duration) []types.Record {
+func (d *OwnerState) Snapshot(now time.Time, age time.Duration) []types.Record {
 	var recs []types.Record
 	for id, prog := range d.State.Programs {
 		if now.Sub(d.lastAppended[id]) < age {
@@ -154,7 +154,7 @@
 
 // snapshotProgram returns the snapshot of a program: the program, its budget if it is a root,
 // and its turns in order.
-func (d *Desk) snapshotProgram(prog *types.Program) []types.Record {
+func (d *OwnerState) snapshotProgram(prog *types.Program) []types.Record {
 	snap := *prog
 	snap.Turns = nil
 	recs := []types.Record{{Program: &snap}}
--- a/gate/desk/sweep_test.go
+++ b/gate/desk/sweep_test.go
@@ -12,7 +12,7 @@
 )
 
 // withPrograms returns a Desk with n idle programs.
-func withPrograms(tb testing.TB, n int) *Desk {
+func withPrograms(tb testing.TB, n int) *OwnerState {
 	tb.Helper()
 	d := New(fold.New(), "i")
 	for i := range n {
@@ -20,7 +20,7 @@
 			ID: fmt.Sprint(i), Workspace: "one", Budget: 100, Created: testTime, Deadline: testTime.Add(time.Hour),
 			Limits: types.Limits{Turns: 9, Depth: 2, FanOut: 2, Idle: types.Duration(time.Minute)},
 		}
-		if _, err := d.Begin(testTime, BeginAsk{Begin: b, Chunk: 10}); err != nil {
+		if _, err := d.Begin(testTime, BeginRequest{Begin: b, GrantChunk: 10}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -30,7 +30,7 @@
 func TestProgramsEndWithTheirReason(t *testing.T) {
 	d := withPrograms(t, 3)
 	child := types.Begin{ID: "c", Parent: "0", Workspace: "one", Created: testTime.Add(50 * time.Second), Deadline: testTime.Add(time.Hour), Limits: types.Limits{Turns: 9}}
-	if _, err := d.Begin(testTime.Add(50*time.Second), BeginAsk{Begin: child}); err != nil {
+	if _, err := d.Begin(testTime.Add(50*time.Second), BeginRequest{Begin: child}); err != nil {
 		t.Fatal(err)
 	}
 	d.Turns["1"] = &TurnRun{Turn: 1}
--- a/gate/desk/ticket.go
+++ b/gate/desk/ticket.go
@@ -20,8 +20,8 @@
 	return &Ticket{done: make(chan struct{})}
 }
 
-// Close sets the result: nil once the records are confirmed. Only the first call counts.
-func (t *Ticket) Close(err error) {
+// Resolve sets the result: nil once the records are confirmed. Only the first call counts.
+func (t *Ticket) Resolve(err error) {
 	t.once.Do(func() {
 		t.err = err
 		close(t.done)
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -9,16 +9,16 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// BeginAsk is a request to create a program.
-type BeginAsk struct {
+// BeginRequest is a request to create a program.
+type BeginRequest struct {
 	Begin types.Begin
-	// Chunk is the first grant, in tokens.
-	Chunk int64
+	// GrantChunk is the first grant, in tokens.
+	GrantChunk int64
 }
 
 // Begin creates a program or a sub-agent. It changes nothing if the workspace already has a
 // program of that id.
-func (d *Desk) Begin(now time.Time, req BeginAsk) ([]types.Record, error) {
+func (d *OwnerState) Begin(now time.Time, req BeginRequest) ([]types.Record, error) {
 	b := req.Begin
 	if have, ok := d.State.Programs[b.ID]; ok {
 		if have.Begin.Workspace != b.Workspace {
@@ -28,7 +28,7 @@
 	}
 	if b.Parent == "" {
 		b.Root = b.ID
-		b.Grant = min(b.Budget, req.Chunk)
+		b.Grant = min(b.Budget, req.GrantChunk)
 		return d.writeBegin(b), nil
 	}
 	parent, err := d.Program(b.Parent, b.Workspace)
@@ -57,7 +57,7 @@
 // writeBegin writes the begin record. A root program may spend its first grant before the
 // log confirms it: a later owner finds the grant in this record or in the continuation and
 // counts it as spent.
-func (d *Desk) writeBegin(b types.Begin) []types.Record {
+func (d *OwnerState) writeBegin(b types.Begin) []types.Record {
 	if b.ID == b.Root {
 		d.confirmGrant(b.Root, b.Grant)
 	}
@@ -65,7 +65,7 @@
 }
 
 // checkOpen returns an error if the program accepts no new work.
-func (d *Desk) checkOpen(now time.Time, prog *types.Program) error {
+func (d *OwnerState) checkOpen(now time.Time, prog *types.Program) error {
 	if prog.Ended != "" {
 		return fault.Refuse(fault.ProgramEnded, "program ended: "+prog.Ended)
 	}
@@ -78,19 +78,19 @@
 	return nil
 }
 
-// TurnAsk is a request to run a turn.
-type TurnAsk struct {
+// TurnRequest is a request to run a turn.
+type TurnRequest struct {
 	Program   string
 	Workspace string
 	Turn      int
-	// Ask is the digest of the caller's request.
-	Ask []byte
-	// Prompt is an upper bound on the prompt, in tokens.
-	Prompt int64
+	// RequestDigest is the digest of the caller's request.
+	RequestDigest []byte
+	// PromptTokens is an upper bound on the prompt, in tokens.
+	PromptTokens int64
 	// MaxTokens is the caller's limit on the answer.
 	MaxTokens int64
-	// Chunk is the minimum increase of a grant, in tokens. The budget limits it.
-	Chunk int64
+	// GrantChunk is the minimum increase of a grant, in tokens. The budget limits it.
+	GrantChunk int64
 }
 
 // TurnStart is the decision on a turn request. Exactly one of Stored (the turn was
@@ -106,7 +106,7 @@
 
 // StartTurn decides on a turn request. If Run is set, the calling Op must set Run.Run
 // before it returns.
-func (d *Desk) StartTurn(now time.Time, req TurnAsk) (TurnStart, []types.Record, error) {
+func (d *OwnerState) StartTurn(now time.Time, req TurnRequest) (TurnStart, []types.Record, error) {
 	prog, err := d.Program(req.Program, req.Workspace)
 	if err != nil {
 		return TurnStart{}, nil, err
@@ -126,10 +126,10 @@
 
 // existingTurn answers requests for turns that are stored or in flight, and refuses those
 // that conflict with the history. It reports false for the next turn of an idle program.
-func (d *Desk) existingTurn(prog *types.Program, req TurnAsk) (TurnStart, bool, error) {
+func (d *OwnerState) existingTurn(prog *types.Program, req TurnRequest) (TurnStart, bool, error) {
 	head := fold.LastTurn(prog)
 	if run, ok := d.Turns[req.Program]; ok {
-		if run.Turn == req.Turn && bytes.Equal(run.Ask, req.Ask) {
+		if run.Turn == req.Turn && bytes.Equal(run.RequestDigest, req.RequestDigest) {
 			return TurnStart{Join: run.Run, Program: prog}, true, nil
 		}
 		if req.Turn > head {
@@ -138,7 +138,7 @@
 	}
 	if req.Turn >= 1 && req.Turn <= head {
 		stored := prog.Turns[req.Turn-1]
-		if !bytes.Equal(stored.RequestDigest, req.Ask) {
+		if !bytes.Equal(stored.RequestDigest, req.RequestDigest) {
 			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").WithHead(head)
 		}
 		return TurnStart{Stored: &stored, Program: prog}, true, nil
@@ -150,26 +150,26 @@
 }
 
 // reserveTurn reserves the tokens of a new turn and registers its run.
-func (d *Desk) reserveTurn(prog *types.Program, req TurnAsk) (TurnStart, []types.Record, error) {
+func (d *OwnerState) reserveTurn(prog *types.Program, req TurnRequest) (TurnStart, []types.Record, error) {
 	tree, err := d.treeBudget(prog)
 	if err != nil {
 		return TurnStart{}, nil, err
 	}
-	maxTokens := min(req.MaxTokens, d.available(tree)-req.Prompt)
+	maxTokens := min(req.MaxTokens, d.available(tree)-req.PromptTokens)
 	if maxTokens < 1 {
 		return TurnStart{}, nil, d.budgetError(tree)
 	}
-	need := req.Prompt + maxTokens
-	recs := d.reserve(tree, need, req.Chunk)
-	run := &TurnRun{Turn: req.Turn, Ask: req.Ask, Reserved: need}
+	need := req.PromptTokens + maxTokens
+	recs := d.reserve(tree, need, req.GrantChunk)
+	run := &TurnRun{Turn: req.Turn, RequestDigest: req.RequestDigest, Reserved: need}
 	d.Turns[req.Program] = run
 	return TurnStart{Run: run, MaxTokens: maxTokens, Program: prog}, recs, nil
 }
 
 // budgetError returns the refusal of work that the budget does not cover. It is temporary if
 // only an unavailable log keeps the grant from growing.
-func (d *Desk) budgetError(tree *types.TreeBudget) error {
-	if !d.LogUp && d.confirmed[tree.Root] < tree.Budget {
+func (d *OwnerState) budgetError(tree *types.TreeBudget) error {
+	if !d.LogAvailable && d.confirmed[tree.Root] < tree.Budget {
 		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log is unavailable").WithRetryAfter(time.Second)
 	}
 	return fault.Refuse(fault.BudgetSpent, "the budget does not cover the call")
@@ -177,7 +177,7 @@
 
 // FinishTurn ends a run with its answer and charges spent tokens, at most the reservation.
 // An answer that comes after the program's end is charged but not stored.
-func (d *Desk) FinishTurn(program string, run *TurnRun, turn types.Turn, spent int64) ([]types.Record, error) {
+func (d *OwnerState) FinishTurn(program string, run *TurnRun, turn types.Turn, spent int64) ([]types.Record, error) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
 		return nil, fault.Fail(fault.NotOwner, "the run is not known")
@@ -196,7 +196,7 @@
 
 // FailTurn ends a run without an answer and charges spent, the most tokens that it may have
 // used, up to the reservation.
-func (d *Desk) FailTurn(program string, run *TurnRun, spent int64) {
+func (d *OwnerState) FailTurn(program string, run *TurnRun, spent int64) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
 		return
@@ -205,9 +205,9 @@
 	d.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
 }
 
-// Rerun charges a failed attempt of a run and reserves the same number of tokens for the
+// RetryTurn charges a failed attempt of a run and reserves the same number of tokens for the
 // next one. If the budget does not cover that, the run's reservation becomes 0.
-func (d *Desk) Rerun(program string, run *TurnRun, spent, chunk int64) ([]types.Record, error) {
+func (d *OwnerState) RetryTurn(program string, run *TurnRun, spent, chunk int64) ([]types.Record, error) {
 	prog, ok := d.State.Programs[program]
 	if !ok || d.Turns[program] != run {
 		return nil, fault.Fail(fault.NotOwner, "the run is not known")
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -18,9 +18,9 @@
 
 // Queue receives the engines' reports and knows which engines cache which programs.
 type Queue interface {
-	Tell(m lease.Message)
-	HoldersOf(program string) []string
-	Holders() map[string][]string
+	Notify(m lease.Message)
+	EnginesCaching(program string) []string
+	CachedPrograms() map[string][]string
 }
 
 // Lists notifies of updates to the platform's list.
@@ -113,7 +113,7 @@
 	}
 	s.targets = next
 	s.mu.Unlock()
-	s.queue.Tell(lease.Targets{List: selected})
+	s.queue.Notify(lease.Targets{List: selected})
 }
 
 // selectEngines selects the engines that this box uses by rendezvous hashing, so that the cost
@@ -216,7 +216,7 @@
 		s.counts.Count("engine.poll_failures", 1)
 		return after
 	}
-	s.queue.Tell(lease.Report{Load: response.Load, Events: response.Events})
+	s.queue.Notify(lease.Report{Load: response.Load, Events: response.Events})
 	for _, ev := range response.Events {
 		after = max(after, ev.Seq)
 	}
@@ -241,18 +241,18 @@
 	for key, it := range items {
 		tokens[key] = it.Tokens
 	}
-	s.queue.Tell(lease.CacheList{Target: target.Name, Tokens: tokens})
+	s.queue.Notify(lease.CacheList{Target: target.Name, Tokens: tokens})
 }
 
 // Release releases the caches of programs on all engines that hold them.
 func (s *Engines) Release(programs []string) {
 	byTarget := map[string][]string{}
 	for _, id := range programs {
-		for _, name := range s.queue.HoldersOf(id) {
+		for _, name := range s.queue.EnginesCaching(id) {
 			byTarget[name] = append(byTarget[name], id)
 		}
 	}
-	s.queue.Tell(lease.ForgetPrograms{Programs: programs})
+	s.queue.Notify(lease.ForgetPrograms{Programs: programs})
 	for name, ids := range byTarget {
 		s.releaseOn(name, ids)
 	}
@@ -273,7 +273,7 @@
 
 // Sweep releases the caches of all programs for which gone returns true.
 func (s *Engines) Sweep(gone func(program string) bool) {
-	for name, ids := range s.queue.Holders() {
+	for name, ids := range s.queue.CachedPrograms() {
 		var expired []string
 		for _, id := range ids {
 			if gone(id) {
@@ -282,7 +282,7 @@
 		}
 		if len(expired) > 0 {
 			s.releaseOn(name, expired)
-			s.queue.Tell(lease.ForgetPrograms{Programs: expired})
+			s.queue.Notify(lease.ForgetPrograms{Programs: expired})
 		}
 	}
 }
@@ -295,12 +295,12 @@
 		return
 	}
 	s.counts.Count("engine.moved", 1)
-	s.queue.Tell(lease.Moved{Program: program, From: source.Name, To: destination.Name})
+	s.queue.Notify(lease.Moved{Program: program, From: source.Name, To: destination.Name})
 }
 
 // Trim releases a program's older prefixes on all engines but the one to keep.
 func (s *Engines) Trim(program, keep string) {
-	for _, name := range s.queue.HoldersOf(program) {
+	for _, name := range s.queue.EnginesCaching(program) {
 		if name != keep {
 			s.Drop(program, name)
 		}
@@ -310,5 +310,5 @@
 // Drop releases a program's cache on one engine.
 func (s *Engines) Drop(program, name string) {
 	s.releaseOn(name, []string{program})
-	s.queue.Tell(lease.Dropped{Program: program, Target: name})
+	s.queue.Notify(lease.Dropped{Program: program, Target: name})
 }
--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -31,7 +31,7 @@
 // is unreachable. Retrying after a lost response is safe, because the owner joins a repeated
 // request to the first one or repeats its answer.
 func (f *Front) runOnOwner(c *call, slot ident.Slot, path string, local func() error) error {
-	ctx, stop := context.WithTimeout(c.r.Context(), f.opts.OwnerWait)
+	ctx, stop := context.WithTimeout(c.r.Context(), f.opts.OwnerTimeout)
 	defer stop()
 	var search ownerSearch
 	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
--- a/gate/front/front.go
+++ b/gate/front/front.go
@@ -36,8 +36,8 @@
 type Owners interface {
 	// Locate returns the owner of a slot and whether it is this box.
 	Locate(id ident.Slot) (types.Member, bool, error)
-	// Pick returns one of the slots that this box owns, the same for the same seed and slots.
-	Pick(seed string) (ident.Slot, bool)
+	// PickOwned returns one of the slots that this box owns, the same for the same seed and slots.
+	PickOwned(seed string) (ident.Slot, bool)
 	// Live reports whether a box is live.
 	Live(box string) bool
 }
@@ -56,8 +56,8 @@
 	Service(name string) (types.Service, error)
 	Slots() []ident.Slot
 	Defaults() types.Defaults
-	// Spend returns the policy's limit on a new program's budget, in tokens.
-	Spend(in types.RuleInput) int64
+	// BudgetLimit returns the policy's limit on a new program's budget, in tokens.
+	BudgetLimit(in types.RuleInput) int64
 	Allowed(in types.RuleInput) bool
 }
 
@@ -71,12 +71,12 @@
 type Options struct {
 	// Zone is the availability zone of this box.
 	Zone string
-	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64
+	// MaxBodyBytes is the maximum size of a request body.
+	MaxBodyBytes int64
 	// BodyTimeout bounds the time to read a request body.
 	BodyTimeout time.Duration
-	// OwnerWait bounds the time in which attempts to reach the owner of a slot are repeated.
-	OwnerWait time.Duration
+	// OwnerTimeout bounds the time in which attempts to reach the owner of a slot are repeated.
+	OwnerTimeout time.Duration
 }
 
 // Front handles the HTTP requests of callers and those that other boxes forward. It is safe
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -86,7 +86,7 @@
 		return fault.Refuse(fault.BadRequest, "budget is missing")
 	}
 	begin.Budget = requested
-	bound := f.policies.Spend(ruleInput(*begin))
+	bound := f.policies.BudgetLimit(ruleInput(*begin))
 	begin.Budget = min(requested, bound)
 	if begin.Budget <= 0 {
 		return fault.Refuse(fault.BudgetSpent, "the policy gives the program no budget")
@@ -107,7 +107,7 @@
 		return id, nil
 	}
 	if f.allowedIn(begin, f.opts.Zone) {
-		if slot, ok := f.owners.Pick(c.id); ok {
+		if slot, ok := f.owners.PickOwned(c.id); ok {
 			return ident.NewProgram(slot), nil
 		}
 	}
--- a/gate/front/request.go
+++ b/gate/front/request.go
@@ -48,7 +48,7 @@
 
 // readBody reads the body within the limits on its size and duration.
 func readBody(w http.ResponseWriter, r *http.Request, opts Options) ([]byte, error) {
-	limit := opts.BodyBytes
+	limit := opts.MaxBodyBytes
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(opts.BodyTimeout)); err != nil {
 		return nil, fault.Refuse(fault.Internal, "cannot set a deadline for reading the body").WithCause(err)
--- a/gate/kernel/kernel.go
+++ b/gate/kernel/kernel.go
@@ -21,15 +21,15 @@
 // Factory creates a service. It may look up the services that the service depends on in k.
 type Factory func(k *Kernel) (Service, error)
 
-// Part describes a service: its name, the names of the services that it depends on, and its
+// ServiceSpec describes a service: its name, the names of the services that it depends on, and its
 // factory.
-type Part struct {
-	Name  string
-	Needs []string
-	Make  Factory
-	// Spare is the time before the deadline of a stop that is reserved for the services that
+type ServiceSpec struct {
+	Name      string
+	DependsOn []string
+	Make      Factory
+	// StopReserve is the time before the deadline of a stop that is reserved for the services that
 	// stop after this one. Stop's context ends that much earlier; no effect without a deadline.
-	Spare time.Duration
+	StopReserve time.Duration
 }
 
 // Kernel holds the services of one box.
@@ -37,7 +37,7 @@
 	log      *slog.Logger
 	services map[string]Service
 	// started lists the started parts in start order.
-	started []Part
+	started []ServiceSpec
 }
 
 // New returns a kernel without services.
@@ -52,7 +52,7 @@
 
 // Start creates and starts the services in dependency order. If one fails, it stops those
 // that have started, but not the failed one, and returns all errors.
-func (k *Kernel) Start(ctx context.Context, parts []Part) error {
+func (k *Kernel) Start(ctx context.Context, parts []ServiceSpec) error {
 	order, err := sortByDependency(parts, k.services)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (k *Kernel) start(ctx context.Context, part Part) error {
+func (k *Kernel) start(ctx context.Context, part ServiceSpec) error {
 	svc, err := part.Make(k)
 	if err != nil {
 		return errors.Wrapf(err, "service %s", part.Name)
@@ -94,9 +94,9 @@
 	return failures
 }
 
-func (k *Kernel) stop(ctx context.Context, part Part) error {
+func (k *Kernel) stop(ctx context.Context, part ServiceSpec) error {
 	if deadline, bounded := ctx.Deadline(); bounded {
-		withReserve, stop := context.WithDeadline(ctx, deadline.Add(-part.Spare))
+		withReserve, stop := context.WithDeadline(ctx, deadline.Add(-part.StopReserve))
 		defer stop()
 		ctx = withReserve
 	}
@@ -105,17 +105,17 @@
 
 // sortByDependency orders parts so that each comes after the parts that it depends on. It
 // fails if a dependency is neither in parts nor running, or if there is a cycle.
-func sortByDependency(parts []Part, running map[string]Service) ([]Part, error) {
+func sortByDependency(parts []ServiceSpec, running map[string]Service) ([]ServiceSpec, error) {
 	placed := map[string]bool{}
 	for name := range running {
 		placed[name] = true
 	}
 	remaining := parts
-	var order []Part
+	var order []ServiceSpec
 	for len(remaining) > 0 {
-		var blocked []Part
+		var blocked []ServiceSpec
 		for _, part := range remaining {
-			if !containsAll(part.Needs, placed) {
+			if !containsAll(part.DependsOn, placed) {
 				blocked = append(blocked, part)
 				continue
 			}
--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -19,19 +19,19 @@
 	List(ctx context.Context) (types.PlatformList, error)
 }
 
-// Beater sends a heartbeat to a box.
-type Beater interface {
+// HeartbeatSender sends a heartbeat to a box.
+type HeartbeatSender interface {
 	Beat(ctx context.Context, addr netip.AddrPort, beat *wire.BeatRequest) (*wire.BeatReply, error)
 }
 
 // Timing holds the intervals of membership.
 type Timing struct {
-	// Beat is the interval between heartbeats.
-	Beat time.Duration
-	// Suspect is how long a box may be silent before it no longer counts as live.
-	Suspect time.Duration
-	// List is the interval between reads of the platform's list.
-	List time.Duration
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
+	// SuspectTimeout is how long a box may be silent before it no longer counts as live.
+	SuspectTimeout time.Duration
+	// ListInterval is the interval between reads of the platform's list.
+	ListInterval time.Duration
 	// Fanout is the maximum number of boxes in this box's zone that it sends heartbeats to,
 	// and also the maximum for the boxes of all other zones together.
 	Fanout int
@@ -56,7 +56,7 @@
 type View struct {
 	incarnation string
 	lister      Lister
-	beater      Beater
+	beater      HeartbeatSender
 	timing      Timing
 	logger      *slog.Logger
 
@@ -78,7 +78,7 @@
 }
 
 // New returns a View for the box self with incarnation inc.
-func New(self types.Member, inc string, lister Lister, beater Beater, timing Timing, logger *slog.Logger) *View {
+func New(self types.Member, inc string, lister Lister, beater HeartbeatSender, timing Timing, logger *slog.Logger) *View {
 	return &View{self: self, incarnation: inc, lister: lister, beater: beater, timing: timing, logger: logger, boxes: map[string]*box{}}
 }
 
@@ -86,8 +86,8 @@
 func (v *View) Start(context.Context) error {
 	v.ctx, v.stop = context.WithCancel(context.Background())
 	v.started = time.Now()
-	v.wg.Go(func() { v.runEvery(v.timing.List, v.readList) })
-	v.wg.Go(func() { v.runEvery(v.timing.Beat, v.heartbeatRound) })
+	v.wg.Go(func() { v.runEvery(v.timing.ListInterval, v.readList) })
+	v.wg.Go(func() { v.runEvery(v.timing.HeartbeatInterval, v.heartbeatRound) })
 	return nil
 }
 
@@ -98,23 +98,23 @@
 	return nil
 }
 
-// Leave marks this box as leaving in all further heartbeats and sends a round of them at once.
-func (v *View) Leave() {
+// AnnounceLeave marks this box as leaving in all further heartbeats and sends a round of them at once.
+func (v *View) AnnounceLeave() {
 	v.mu.Lock()
 	v.self.Leaving = true
 	v.mu.Unlock()
 	v.heartbeatRound()
 }
 
-// Announce registers a function that fills in its part of each heartbeat that this box sends.
-func (v *View) Announce(fill func(*wire.BeatRequest)) {
+// AddToHeartbeat registers a function that fills in its part of each heartbeat that this box sends.
+func (v *View) AddToHeartbeat(fill func(*wire.BeatRequest)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.beatFillers = append(v.beatFillers, fill)
 }
 
-// Listen registers a callback for each heartbeat that another box sends or returns as a reply.
-func (v *View) Listen(callback func(*wire.BeatRequest)) {
+// OnHeartbeat registers a callback for each heartbeat that another box sends or returns as a reply.
+func (v *View) OnHeartbeat(callback func(*wire.BeatRequest)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.onHeartbeat = append(v.onHeartbeat, callback)
@@ -142,7 +142,7 @@
 }
 
 func (v *View) readList() {
-	ctx, stop := context.WithTimeout(v.ctx, v.timing.Suspect)
+	ctx, stop := context.WithTimeout(v.ctx, v.timing.SuspectTimeout)
 	defer stop()
 	list, err := v.lister.List(ctx)
 	if err != nil {
@@ -181,7 +181,7 @@
 		b.member.Leaving = leaving
 	}
 	for name, b := range v.boxes {
-		if !listed[name] && now.Sub(b.lastSeen) > v.timing.Suspect {
+		if !listed[name] && now.Sub(b.lastSeen) > v.timing.SuspectTimeout {
 			delete(v.boxes, name)
 		}
 	}
@@ -250,17 +250,17 @@
 // exchange sends a heartbeat to m and records the heartbeat in the reply. Errors are ignored:
 // a box that does not answer stops being live after Timing.Suspect.
 func (v *View) exchange(m types.Member, beat *wire.BeatRequest) {
-	ctx, stop := context.WithTimeout(v.ctx, v.timing.Suspect/2)
+	ctx, stop := context.WithTimeout(v.ctx, v.timing.SuspectTimeout/2)
 	defer stop()
 	reply, err := v.beater.Beat(ctx, m.Peer, beat)
 	if err != nil || reply.GetSelf() == nil {
 		return
 	}
-	v.Hear(reply.GetSelf())
+	v.RecordHeartbeat(reply.GetSelf())
 }
 
-// Hear records a heartbeat of another box and calls the listeners without holding v.mu.
-func (v *View) Hear(beat *wire.BeatRequest) {
+// RecordHeartbeat records a heartbeat of another box and calls the listeners without holding v.mu.
+func (v *View) RecordHeartbeat(beat *wire.BeatRequest) {
 	addr, err := netip.ParseAddrPort(beat.GetAddr())
 	if err != nil || beat.GetBox() == v.self.Name {
 		return
@@ -293,7 +293,7 @@
 
 // Beat records another box's heartbeat and returns this box's own.
 func (v *View) Beat(_ context.Context, beat *wire.BeatRequest) (*wire.BeatReply, error) {
-	v.Hear(beat)
+	v.RecordHeartbeat(beat)
 	return &wire.BeatReply{Self: v.buildHeartbeat()}, nil
 }
 
@@ -302,7 +302,7 @@
 func (v *View) Settled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listRead && v.rounds >= 2 && time.Since(v.started) >= v.timing.Suspect
+	return v.listRead && v.rounds >= 2 && time.Since(v.started) >= v.timing.SuspectTimeout
 }
 
 // isLive reports whether a heartbeat of the box arrived within Timing.Suspect. Before the
@@ -310,12 +310,12 @@
 // as it is kept if this box sends it no heartbeats. The caller must hold v.mu.
 func (v *View) isLive(b *box, now time.Time) bool {
 	if !b.lastSeen.IsZero() {
-		return now.Sub(b.lastSeen) < v.timing.Suspect
+		return now.Sub(b.lastSeen) < v.timing.SuspectTimeout
 	}
 	if !b.monitored {
 		return !b.listedAt.IsZero()
 	}
-	return now.Sub(b.listedAt) < v.timing.Suspect
+	return now.Sub(b.listedAt) < v.timing.SuspectTimeout
 }
 
 // Live returns the live boxes, this one included.
@@ -332,9 +332,9 @@
 	return out
 }
 
-// All returns when the last heartbeat of each known box arrived, live or not. The time is
+// LastSeen returns when the last heartbeat of each known box arrived, live or not. The time is
 // zero for a box that sent none, and now for this box.
-func (v *View) All() map[string]time.Time {
+func (v *View) LastSeen() map[string]time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	out := map[string]time.Time{v.self.Name: time.Now()}
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -172,21 +172,21 @@
 }
 
 // parts returns the services of a box. They are stopped from last to first.
-func (n *Node) parts(front kernel.Service) []kernel.Part {
+func (n *Node) parts(front kernel.Service) []kernel.ServiceSpec {
 	factoryFor := func(svc kernel.Service) kernel.Factory {
 		return func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
 	}
-	return []kernel.Part{
+	return []kernel.ServiceSpec{
 		{Name: "meter", Make: factoryFor(n.deps.Meter)},
-		{Name: "mirror", Needs: []string{"meter"}, Make: factoryFor(n.mirror)},
-		{Name: "feed", Needs: []string{"meter", "mirror"}, Make: factoryFor(n.feed)},
-		{Name: "view", Needs: []string{"meter"}, Make: factoryFor(n.view)},
-		{Name: "load", Needs: []string{"view", "feed"}, Make: factoryFor(n.watch)},
-		{Name: "quota", Needs: []string{"view", "feed"}, Make: factoryFor(n.counter)},
-		{Name: "reach", Needs: []string{"view"}, Make: factoryFor(n.detector)},
-		{Name: "peers", Needs: []string{"view", "feed", "quota"}, Make: factoryFor(n.server)},
-		{Name: "shards", Needs: []string{"peers"}, Make: factoryFor(n.shards), Spare: shardsReserve},
-		{Name: "front", Needs: []string{"shards"}, Make: factoryFor(front), Spare: frontReserve},
+		{Name: "mirror", DependsOn: []string{"meter"}, Make: factoryFor(n.mirror)},
+		{Name: "feed", DependsOn: []string{"meter", "mirror"}, Make: factoryFor(n.feed)},
+		{Name: "view", DependsOn: []string{"meter"}, Make: factoryFor(n.view)},
+		{Name: "load", DependsOn: []string{"view", "feed"}, Make: factoryFor(n.watch)},
+		{Name: "quota", DependsOn: []string{"view", "feed"}, Make: factoryFor(n.counter)},
+		{Name: "reach", DependsOn: []string{"view"}, Make: factoryFor(n.detector)},
+		{Name: "peers", DependsOn: []string{"view", "feed", "quota"}, Make: factoryFor(n.server)},
+		{Name: "shards", DependsOn: []string{"peers"}, Make: factoryFor(n.shards), StopReserve: shardsReserve},
+		{Name: "front", DependsOn: []string{"shards"}, Make: factoryFor(front), StopReserve: frontReserve},
 	}
 }
 
--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -33,7 +33,7 @@
 }
 
 // partBuilder returns the description of a service. Box.Start sets its name.
-type partBuilder func(env *Env) kernel.Part
+type partBuilder func(env *Env) kernel.ServiceSpec
 
 // partBuilders holds the builder of each service by the service's name.
 var partBuilders = map[string]partBuilder{}
@@ -66,7 +66,7 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	parts := make([]kernel.Part, 0, len(names))
+	parts := make([]kernel.ServiceSpec, 0, len(names))
 	for _, name := range names {
 		part := partBuilders[name](b.env)
 		part.Name = name
@@ -82,7 +82,7 @@
 // Stop stops the box gracefully: it announces that the box leaves, releases the slots while the
 // box still serves, and then finishes the accepted work, within Limits.StopWait in total.
 func (b *Box) Stop(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(b.env.Settings.Limits.StopWait))
+	ctx, stop := context.WithTimeout(ctx, time.Duration(b.env.Settings.Limits.StopTimeout))
 	defer stop()
 	b.env.Logger.Info("box: leaving")
 	b.announceLeave()
@@ -103,6 +103,6 @@
 // announceLeave sends heartbeats that say that this box leaves and which slots it still owns.
 func (b *Box) announceLeave() {
 	if view, ok := b.kernel.Find("member").(*member.View); ok {
-		view.Leave()
+		view.AnnounceLeave()
 	}
 }
--- a/gate/parts/engine.go
+++ b/gate/parts/engine.go
@@ -15,25 +15,25 @@
 )
 
 func init() {
-	register("admit", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"policy", "meter", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	register("admit", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"policy", "meter", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set := env.Settings.Admit
 			seed := fnv.New64a()
 			_, _ = seed.Write([]byte(env.Self.Name))
 			opts := admit.Options{
 				Strategy: set.Strategy, Order: set.Order, MaxWait: time.Duration(set.MaxWait),
-				Starve: time.Duration(set.Starve), Holds: set.Holds, Seed: seed.Sum64(),
+				StarvationAge: time.Duration(set.StarvationAge), HoldCaches: set.HoldCaches, Seed: seed.Sum64(),
 			}
 			queue := admit.New(env.Self.Zone, opts, k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger)
 			exchangeEngineState(queue, k.Find("member").(*member.View))
 			return queue, nil
 		}}
 	})
-	register("engine", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"admit", "member", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	register("engine", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"admit", "member", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set := env.Settings.Engines
-			timing := engine.Timing{PollInterval: time.Duration(set.Poll), IdlePollInterval: time.Duration(set.IdlePoll), SyncInterval: time.Duration(set.Sync), SubsetSize: set.Subset}
-			return engine.New(env.Self.Name, env.Self.Zone, k.Find("admit").(*admit.Loop),
+			timing := engine.Timing{PollInterval: time.Duration(set.PollInterval), IdlePollInterval: time.Duration(set.IdlePollInterval), SyncInterval: time.Duration(set.SyncInterval), SubsetSize: set.SubsetSize}
+			return engine.New(env.Self.Name, env.Self.Zone, k.Find("admit").(*admit.Scheduler),
 				k.Find("member").(*member.View), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
 		}}
 	})
@@ -41,23 +41,23 @@
 
 // exchangeEngineState adds to heartbeats the number of this box's streams in flight at each
 // engine and the engines that are leaving, and passes what other boxes report to the queue.
-func exchangeEngineState(queue *admit.Loop, view *member.View) {
-	view.Announce(func(beat *wire.BeatRequest) {
-		for name, streams := range queue.Mine() {
+func exchangeEngineState(queue *admit.Scheduler, view *member.View) {
+	view.AddToHeartbeat(func(beat *wire.BeatRequest) {
+		for name, streams := range queue.InFlight() {
 			if streams > 0 {
 				beat.Sent = append(beat.Sent, &wire.Sent{Target: name, Streams: int64(streams)})
 			}
 		}
-		beat.LeavingTargets = append(beat.LeavingTargets, queue.Leaving()...)
+		beat.LeavingTargets = append(beat.LeavingTargets, queue.LeavingEngines()...)
 	})
-	view.Listen(func(beat *wire.BeatRequest) {
+	view.OnHeartbeat(func(beat *wire.BeatRequest) {
 		streams := map[string]int{}
 		for _, s := range beat.GetSent() {
 			streams[s.GetTarget()] = int(s.GetStreams())
 		}
-		queue.Tell(lease.RemoteStreams{Box: beat.GetBox(), Streams: streams})
+		queue.Notify(lease.RemoteStreams{Box: beat.GetBox(), Streams: streams})
 		for _, name := range beat.GetLeavingTargets() {
-			queue.Tell(lease.Leaving{Name: name})
+			queue.Notify(lease.Leaving{Name: name})
 		}
 	})
 }
--- a/gate/parts/errors_test.go
+++ b/gate/parts/errors_test.go
@@ -164,7 +164,7 @@
 	p := startPair(t, nil)
 	prog := p.createProgram(programBody)
 	continuation := prog.Continuation
-	root, err := p.sets[0].Security.Root()
+	root, err := p.sets[0].Security.LoadRootKey()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,12 +216,12 @@
 	p.waitRevision(2)
 	engine := p.platform.Engines["engine-0"]
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
-		if len(engine.Items()) == 0 {
+		if len(engine.CacheItems()) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if diff := cmp.Diff(0, len(engine.Items())); diff != "" {
+	if diff := cmp.Diff(0, len(engine.CacheItems())); diff != "" {
 		t.Errorf("caches under the stricter policy (-want +got):\n%s", diff)
 	}
 	if _, _, problem := p.send(1, request{"POST", path, token, "", turnBody("2", "again", "")}); problem.Title != string(fault.NoAllowedPlace) {
--- a/gate/parts/fleet_test.go
+++ b/gate/parts/fleet_test.go
@@ -85,15 +85,15 @@
 		set := conf.Defaults()
 		set.Box = conf.Box{Name: name, Zone: shape.Zones[0]}
 		set.Listen = conf.Listen{Callers: ports[3*i], Peers: ports[3*i+1], Admin: ports[3*i+2]}
-		set.Platform.Log, set.Platform.List = p.platform.LogAddr, p.platform.ListAt
+		set.Platform.Log, set.Platform.List = p.platform.LogAddr, p.platform.ListAddr
 		set.Security = conf.Security{RootKey: p.keys.Root, OperatorKeys: [][]byte{p.keys.Public()}, InsecureLoopback: true}
-		set.Member.Beat, set.Member.Suspect = types.Duration(100*time.Millisecond), types.Duration(1500*time.Millisecond)
-		set.Limits.BodyBytes, set.Limits.BodyTimeout = 64<<10, types.Duration(200*time.Millisecond)
-		set.Slots.Tick = types.Duration(20 * time.Millisecond)
+		set.Member.HeartbeatInterval, set.Member.SuspectTimeout = types.Duration(100*time.Millisecond), types.Duration(1500*time.Millisecond)
+		set.Limits.MaxBodyBytes, set.Limits.BodyTimeout = 64<<10, types.Duration(200*time.Millisecond)
+		set.Slots.CheckInterval = types.Duration(20 * time.Millisecond)
 		if edit != nil {
 			edit(&p.cfg, &set)
 		}
-		p.platform.Add(types.Member{Name: name, Zone: set.Box.Zone, Peer: set.Listen.Peers})
+		p.platform.AddBox(types.Member{Name: name, Zone: set.Box.Zone, Peer: set.Listen.Peers})
 		p.sets = append(p.sets, set)
 	}
 	p.publish(0)
--- a/gate/parts/front.go
+++ b/gate/parts/front.go
@@ -59,18 +59,18 @@
 	register("admin", makeAdmin)
 }
 
-func makeFront(env *Env) kernel.Part {
+func makeFront(env *Env) kernel.ServiceSpec {
 	needs := []string{"prog", "plain", "slots", "dialer", "policy", "meter"}
-	return kernel.Part{Needs: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	return kernel.ServiceSpec{DependsOn: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 		set := env.Settings.Limits
-		opts := front.Options{Zone: env.Self.Zone, BodyBytes: set.BodyBytes, BodyTimeout: time.Duration(set.BodyTimeout), OwnerWait: time.Duration(set.OwnerWait)}
+		opts := front.Options{Zone: env.Self.Zone, MaxBodyBytes: set.MaxBodyBytes, BodyTimeout: time.Duration(set.BodyTimeout), OwnerTimeout: time.Duration(set.OwnerTimeout)}
 		return front.New(opts, k.Find("prog").(*prog.Prog), k.Find("plain").(*plain.Plain), k.Find("slots").(*slots.Slots),
 			k.Find("dialer").(dialerService), k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger), nil
 	}}
 }
 
-func makeCallers(env *Env) kernel.Part {
-	return kernel.Part{Needs: []string{"front", "peers"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+func makeCallers(env *Env) kernel.ServiceSpec {
+	return kernel.ServiceSpec{DependsOn: []string{"front", "peers"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 		tlsConf, err := callerTLS(env.Settings.Security.Callers)
 		if err != nil {
 			return nil, err
@@ -79,8 +79,8 @@
 	}}
 }
 
-func makePeers(env *Env) kernel.Part {
-	return kernel.Part{Needs: []string{"front", "member", "policy"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+func makePeers(env *Env) kernel.ServiceSpec {
+	return kernel.ServiceSpec{DependsOn: []string{"front", "member", "policy"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 		tlsConf, err := peerServerTLS(env.Settings.Security.Peers)
 		if err != nil {
 			return nil, err
@@ -102,11 +102,11 @@
 	}}
 }
 
-func makeAdmin(env *Env) kernel.Part {
+func makeAdmin(env *Env) kernel.ServiceSpec {
 	needs := []string{"meter", "trail", "slots", "member", "policy", "admit"}
-	return kernel.Part{Needs: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	return kernel.ServiceSpec{DependsOn: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 		adm := admin.New(env.Self, Version, k.Find("meter").(*meter.Meter), k.Find("trail").(*trail.Trail),
-			k.Find("slots").(*slots.Slots), k.Find("member").(*member.View), k.Find("policy").(*policy.Store), k.Find("admit").(*admit.Loop))
+			k.Find("slots").(*slots.Slots), k.Find("member").(*member.View), k.Find("policy").(*policy.Store), k.Find("admit").(*admit.Scheduler))
 		return newListener(env.Settings.Listen.Admin, adm.Routes(), nil)
 	}}
 }
--- a/gate/parts/member.go
+++ b/gate/parts/member.go
@@ -52,11 +52,11 @@
 }
 
 func init() {
-	register("member", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"dialer"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	register("member", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"dialer"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set := env.Settings.Member
 			timing := member.Timing{
-				Beat: time.Duration(set.Beat), Suspect: time.Duration(set.Suspect), List: time.Duration(set.List), Fanout: set.Fanout,
+				HeartbeatInterval: time.Duration(set.HeartbeatInterval), SuspectTimeout: time.Duration(set.SuspectTimeout), ListInterval: time.Duration(set.ListInterval), Fanout: set.Fanout,
 			}
 			list := &lister{addr: env.Settings.Platform.List, http: client.New("list", nil)}
 			return member.New(env.Self, env.Incarnation, list, k.Find("dialer").(dialerService), timing, env.Logger), nil
--- a/gate/parts/meter.go
+++ b/gate/parts/meter.go
@@ -7,13 +7,13 @@
 )
 
 func init() {
-	register("meter", func(*Env) kernel.Part {
-		return kernel.Part{Make: func(*kernel.Kernel) (kernel.Service, error) {
+	register("meter", func(*Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{Make: func(*kernel.Kernel) (kernel.Service, error) {
 			return meter.New(), nil
 		}}
 	})
-	register("trail", func(env *Env) kernel.Part {
-		return kernel.Part{Make: func(*kernel.Kernel) (kernel.Service, error) {
+	register("trail", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{Make: func(*kernel.Kernel) (kernel.Service, error) {
 			return trail.New(env.Settings.Limits.TrailSteps), nil
 		}}
 	})
--- a/gate/parts/peer.go
+++ b/gate/parts/peer.go
@@ -14,8 +14,8 @@
 func (dialerService) Stop(context.Context) error  { return nil }
 
 func init() {
-	register("dialer", func(env *Env) kernel.Part {
-		return kernel.Part{Make: func(*kernel.Kernel) (kernel.Service, error) {
+	register("dialer", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{Make: func(*kernel.Kernel) (kernel.Service, error) {
 			tlsConf, err := peerClientTLS(env.Settings.Security.Peers)
 			if err != nil {
 				return nil, err
--- a/gate/parts/policy.go
+++ b/gate/parts/policy.go
@@ -9,15 +9,15 @@
 )
 
 func init() {
-	register("policy", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"dialer", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			root, err := env.Settings.Security.Root()
+	register("policy", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"dialer", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+			root, err := env.Settings.Security.LoadRootKey()
 			if err != nil {
 				return nil, err
 			}
 			plat := env.Settings.Platform
-			timing := policy.Timing{Poll: time.Duration(plat.ConfigPoll), Retention: time.Duration(plat.Retention)}
-			return policy.New(env.Self.Name, root, env.Settings.Security.Operators(), env.Log,
+			timing := policy.Timing{PollInterval: time.Duration(plat.ConfigPollInterval), Retention: time.Duration(plat.Retention)}
+			return policy.New(env.Self.Name, root, env.Settings.Security.OperatorPublicKeys(), env.Log,
 				k.Find("dialer").(dialerService), k.Find("member").(*member.View), timing, env.Logger), nil
 		}}
 	})
--- a/gate/parts/pool.go
+++ b/gate/parts/pool.go
@@ -11,10 +11,10 @@
 )
 
 func init() {
-	register("pool", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"slots", "engine", "policy", "admit", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	register("pool", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"slots", "engine", "policy", "admit", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			return pool.New(k.Find("slots").(*slots.Slots), k.Find("engine").(*engine.Engines), k.Find("policy").(*policy.Store),
-				k.Find("admit").(*admit.Loop), k.Find("meter").(*meter.Meter), env.Logger), nil
+				k.Find("admit").(*admit.Scheduler), k.Find("meter").(*meter.Meter), env.Logger), nil
 		}}
 	})
 }
--- a/gate/parts/slots.go
+++ b/gate/parts/slots.go
@@ -11,12 +11,12 @@
 )
 
 func init() {
-	register("slots", func(env *Env) kernel.Part {
-		return kernel.Part{Needs: []string{"member", "policy", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
+	register("slots", func(env *Env) kernel.ServiceSpec {
+		return kernel.ServiceSpec{DependsOn: []string{"member", "policy", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
 			set, plat := env.Settings.Slots, env.Settings.Platform
 			timing := slots.Timing{
-				CheckInterval: time.Duration(set.Tick), FlushDelay: time.Duration(set.FlushAfter), AdoptionDelay: time.Duration(set.AdoptAfter),
-				Retention: time.Duration(plat.Retention), AppendRate: plat.AppendShare(), MaxQueued: set.MaxQueued,
+				CheckInterval: time.Duration(set.CheckInterval), FlushDelay: time.Duration(set.FlushDelay), AdoptionDelay: time.Duration(set.AdoptionDelay),
+				Retention: time.Duration(plat.Retention), AppendRate: plat.AppendShare(), MaxQueued: set.MaxQueuedRecords,
 			}
 			return slots.New(env.Self, env.Incarnation, env.Log, k.Find("member").(*member.View),
 				k.Find("policy").(*policy.Store), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
--- a/gate/parts/tls.go
+++ b/gate/parts/tls.go
@@ -87,7 +87,7 @@
 
 // callerTLS returns the server configuration for callers, or nil if no certificate is set.
 func callerTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.Set() {
+	if !set.IsSet() {
 		return nil, nil
 	}
 	r, err := newCertReloader(set)
@@ -103,7 +103,7 @@
 // peerServerTLS returns the server configuration for other boxes, or nil if no certificate is
 // set. It accepts only clients with a certificate signed by the CA.
 func peerServerTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.Set() {
+	if !set.IsSet() {
 		return nil, nil
 	}
 	r, err := newCertReloader(set)
@@ -126,7 +126,7 @@
 // set. It presents this box's certificate and requires that the server's is signed by the CA.
 // It does not verify the host name, because boxes are addressed by IP address.
 func peerClientTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.Set() {
+	if !set.IsSet() {
 		return nil, nil
 	}
 	r, err := newCertReloader(set)
--- a/gate/parts/tls_test.go
+++ b/gate/parts/tls_test.go
@@ -96,7 +96,7 @@
 	return &wire.BeatReply{Self: beat}, nil
 }
 
-func (echoPeer) Newer(int64) []byte { return nil }
+func (echoPeer) NewerRevision(int64) []byte { return nil }
 
 // TestPeersRequireCertificateFromSameCA checks that a box rejects peers without a valid
 // certificate from its own CA.
--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -92,8 +92,8 @@
 
 // Revisions provides the newest configuration revision.
 type Revisions interface {
-	// Newer returns the encoded revision if it is newer than have, and nil otherwise.
-	Newer(have int64) []byte
+	// NewerRevision returns the encoded revision if it is newer than have, and nil otherwise.
+	NewerRevision(have int64) []byte
 }
 
 // Server implements wire.Peers.
@@ -120,5 +120,5 @@
 
 // Revision implements wire.Peers.
 func (s *Server) Revision(_ context.Context, in *wire.RevisionRequest) (*wire.RevisionReply, error) {
-	return &wire.RevisionReply{Revision: s.revisions.Newer(in.GetHave())}, nil
+	return &wire.RevisionReply{Revision: s.revisions.NewerRevision(in.GetHave())}, nil
 }
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -29,7 +29,7 @@
 
 // Sealer provides the keys that encrypt stored answers.
 type Sealer interface {
-	Ring() (*seal.Keyring, error)
+	Keyring() (*seal.Keyring, error)
 }
 
 const (
@@ -122,13 +122,13 @@
 		return nil
 	}
 	intent := types.Intent{Workspace: ask.Input.Workspace, Program: ask.Program}
-	call := desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk}
-	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
+	call := desk.CallRequest{Intent: intent, Price: ask.Service.Price, GrantChunk: ask.Chunk}
+	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		adopted, err := adoptContinuation(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
-		recs, err := d.PayCall(now, call)
+		recs, err := d.ChargeCall(now, call)
 		return append(adopted, recs...), err
 	})
 	if err != nil {
@@ -137,7 +137,7 @@
 	return p.awaitLog(ctx, ticket)
 }
 
-func adoptContinuation(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(d *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
@@ -160,13 +160,13 @@
 	}
 	run := newKeyedRun(intent.Attempt)
 	var start desk.CallStart
-	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
+	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		adopted, err := adoptContinuation(d, ask.Continuation)
 		if err != nil {
 			return nil, err
 		}
 		var recs []types.Record
-		start, recs, err = d.StartCall(now, desk.CallAsk{Intent: intent, Price: ask.Service.Price, Chunk: ask.Chunk})
+		start, recs, err = d.StartCall(now, desk.CallRequest{Intent: intent, Price: ask.Service.Price, GrantChunk: ask.Chunk})
 		if start.Run != nil {
 			start.Run.Run = run
 		}
@@ -238,7 +238,7 @@
 	out.Key, out.Attempt, out.At = callRun.Intent.Key, callRun.Intent.Attempt, time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), outcomeTimeout)
 	defer stop()
-	_, err := p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, err := p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		return d.FinishCall(callRun, out), nil
 	})
 	if err != nil {
@@ -248,7 +248,7 @@
 }
 
 func (p *Plain) seal(ask ServiceCall, out json.RawMessage) ([]byte, error) {
-	ring, err := p.sealer.Ring()
+	ring, err := p.sealer.Keyring()
 	if err != nil {
 		return nil, err
 	}
@@ -256,7 +256,7 @@
 }
 
 func (p *Plain) storedAnswer(ask ServiceCall, out types.Outcome) (types.ServiceAnswer, error) {
-	ring, err := p.sealer.Ring()
+	ring, err := p.sealer.Keyring()
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
@@ -285,8 +285,8 @@
 		return types.ServiceAnswer{}, err
 	}
 	outcome := types.Outcome{Key: intent.Key, Attempt: intent.Attempt, Status: 200, Sealed: sealed, At: time.Now()}
-	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		return d.SettleCall(outcome), nil
+	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
+		return d.ResolveCall(outcome), nil
 	})
 	if err != nil {
 		p.logger.Debug("plain: cannot log probed outcome", "attempt", intent.Attempt, "error", err)
--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -35,17 +35,17 @@
 type View interface {
 	Live() []types.Member
 	Address(name string) (netip.AddrPort, bool)
-	// Announce adds a function that fills in this box's heartbeats.
-	Announce(fill func(*wire.BeatRequest))
-	// Listen adds a handler of other boxes' heartbeats.
-	Listen(handler func(*wire.BeatRequest))
+	// AddToHeartbeat adds a function that fills in this box's heartbeats.
+	AddToHeartbeat(fill func(*wire.BeatRequest))
+	// OnHeartbeat adds a handler of other boxes' heartbeats.
+	OnHeartbeat(handler func(*wire.BeatRequest))
 }
 
 // Timing holds the intervals of a Store.
 type Timing struct {
-	// Poll is the interval between a box's reads of the stream. It is longer in a large fleet;
+	// PollInterval is the interval between a box's reads of the stream. It is longer in a large fleet;
 	// see targetPollers.
-	Poll time.Duration
+	PollInterval time.Duration
 	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
 }
@@ -106,8 +106,8 @@
 // Start starts following the stream and other boxes' heartbeats.
 func (s *Store) Start(context.Context) error {
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.view.Announce(func(beat *wire.BeatRequest) { beat.Revision = s.Number() })
-	s.view.Listen(s.onHeartbeat)
+	s.view.AddToHeartbeat(func(beat *wire.BeatRequest) { beat.Revision = s.RevisionNumber() })
+	s.view.OnHeartbeat(s.onHeartbeat)
 	s.done.Go(s.run)
 	return nil
 }
@@ -147,8 +147,8 @@
 	return time.Since(time.Unix(0, s.confirmed.Load()))
 }
 
-// Number returns the number of the current revision, 0 before the first.
-func (s *Store) Number() int64 {
+// RevisionNumber returns the number of the current revision, 0 before the first.
+func (s *Store) RevisionNumber() int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Revision.Number
 	}
@@ -172,9 +172,9 @@
 	return time.Duration(1<<63 - 1)
 }
 
-// Newer returns the current revision as JSON, marked as a copy, if it is newer than have, and
+// NewerRevision returns the current revision as JSON, marked as a copy, if it is newer than have, and
 // nil otherwise.
-func (s *Store) Newer(have int64) []byte {
+func (s *Store) NewerRevision(have int64) []byte {
 	st := s.current.Load()
 	if st == nil || st.Revision.Number <= have {
 		return nil
@@ -190,7 +190,7 @@
 
 // onHeartbeat notes the sender's address if it has a newer revision. It does not block.
 func (s *Store) onHeartbeat(beat *wire.BeatRequest) {
-	if beat.GetRevision() <= s.Number() {
+	if beat.GetRevision() <= s.RevisionNumber() {
 		return
 	}
 	addr, ok := s.view.Address(beat.GetBox())
@@ -219,7 +219,7 @@
 // pollPause returns the pause before the next read, which grows with the fleet and is jittered.
 func (s *Store) pollPause() time.Duration {
 	factor := max(1, len(s.view.Live())/targetPollers)
-	pause := s.timing.Poll * time.Duration(factor)
+	pause := s.timing.PollInterval * time.Duration(factor)
 	return pause*9/10 + rand.N(pause/5+1)
 }
 
@@ -264,7 +264,7 @@
 // holds mu.
 func (s *Store) apply() {
 	rev := s.fold.Current
-	if rev == nil || rev.Number <= s.Number() {
+	if rev == nil || rev.Number <= s.RevisionNumber() {
 		return
 	}
 	st, err := newState(*rev, s.root)
@@ -283,7 +283,7 @@
 func (s *Store) fetchFrom(addr netip.AddrPort) {
 	ctx, stop := context.WithTimeout(s.ctx, callTimeout)
 	defer stop()
-	raw, err := s.fetcher.Revision(ctx, addr, s.Number())
+	raw, err := s.fetcher.Revision(ctx, addr, s.RevisionNumber())
 	if err != nil || len(raw) == 0 {
 		return
 	}
--- a/gate/policy/rules.go
+++ b/gate/policy/rules.go
@@ -5,13 +5,13 @@
 	"mulleingate.dev/base/types"
 )
 
-// Ring returns the current keyring.
-func (s *Store) Ring() (*seal.Keyring, error) {
+// Keyring returns the current keyring.
+func (s *Store) Keyring() (*seal.Keyring, error) {
 	st, err := s.Current()
 	if err != nil {
 		return nil, err
 	}
-	return st.Ring, nil
+	return st.Keyring, nil
 }
 
 // Defaults returns the current default limits, the zero value before the first revision.
@@ -42,17 +42,17 @@
 	return verdict
 }
 
-// Order returns the policy's priority of a call, 0 before the first revision.
-func (s *Store) Order(in types.RuleInput) int64 {
+// Priority returns the policy's priority of a call, 0 before the first revision.
+func (s *Store) Priority(in types.RuleInput) int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Rules.Order(in)
 	}
 	return 0
 }
 
-// Spend returns the policy's limit on a new program's budget, in tokens; 0 before the first
+// BudgetLimit returns the policy's limit on a new program's budget, in tokens; 0 before the first
 // revision.
-func (s *Store) Spend(in types.RuleInput) int64 {
+func (s *Store) BudgetLimit(in types.RuleInput) int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Rules.Spend(in)
 	}
--- a/gate/policy/state.go
+++ b/gate/policy/state.go
@@ -18,7 +18,7 @@
 type State struct {
 	Revision types.Revision
 	Rules    *rules.Policy
-	Ring     *seal.Keyring
+	Keyring  *seal.Keyring
 
 	slots      []ident.Slot
 	workspaces map[string]types.Workspace
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	st := &State{
-		Revision: rev, Rules: policy, Ring: ring, workspaces: map[string]types.Workspace{},
+		Revision: rev, Rules: policy, Keyring: ring, workspaces: map[string]types.Workspace{},
 		models: map[string]types.Model{}, services: map[string]types.Service{}, regions: map[string]string{},
 	}
 	st.index(cfg)
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -33,7 +33,7 @@
 
 // LeavingEngines reports which engines are known to leave, by name.
 type LeavingEngines interface {
-	Leaving() []string
+	LeavingEngines() []string
 }
 
 // Counts records metrics.
@@ -145,7 +145,7 @@
 // readReplicas asks all engines that don't leave which models they serve. It omits those that don't respond.
 func (p *Pool) readReplicas() []Replica {
 	leaving := map[string]bool{}
-	for _, name := range p.leavers.Leaving() {
+	for _, name := range p.leavers.LeavingEngines() {
 		leaving[name] = true
 	}
 	var out []Replica
--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	ask := desk.BeginAsk{Begin: begin, Chunk: p.policies.Defaults().GrantChunk}
-	ticket, err := p.owner.Do(ctx, slot, desk.Lazy, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
+	ask := desk.BeginRequest{Begin: begin, GrantChunk: p.policies.Defaults().GrantChunk}
+	ticket, err := p.owner.Do(ctx, slot, desk.Lazy, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		recs, err := adoptContinuation(d, cont)
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 	}
 }
 
-func adoptContinuation(d *desk.Desk, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(d *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
@@ -74,7 +74,7 @@
 	}
 	var state types.ProgramState
 	var cont types.Continuation
-	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		recs, err := adoptContinuation(d, callerCont)
 		if err != nil {
 			return nil, err
@@ -94,7 +94,7 @@
 	return state, err
 }
 
-func programState(d *desk.Desk, prog *types.Program) types.ProgramState {
+func programState(d *desk.OwnerState, prog *types.Program) types.ProgramState {
 	spent, budget := d.Spent(prog)
 	_, running := d.Turns[prog.Begin.ID]
 	return types.ProgramState{
@@ -114,7 +114,7 @@
 	}
 	var state types.ProgramState
 	var ids []string
-	ticket, err := p.owner.Do(ctx, slot, desk.Urgent, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
+	ticket, err := p.owner.Do(ctx, slot, desk.Urgent, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		prog, err := d.Program(id, workspace)
 		if err != nil {
 			return nil, err
@@ -143,7 +143,7 @@
 }
 
 // cancelRuns cancels the running turns of ended programs.
-func cancelRuns(d *desk.Desk, ids []string) {
+func cancelRuns(d *desk.OwnerState, ids []string) {
 	for _, id := range ids {
 		run, ok := d.Turns[id]
 		if !ok {
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -12,11 +12,11 @@
 // evacuate moves the caches of live programs from leaving engines to engines where the
 // policy allows them.
 func (p *Prog) evacuate() {
-	leaving := p.queue.Leaving()
+	leaving := p.queue.LeavingEngines()
 	if len(leaving) == 0 {
 		return
 	}
-	holders := p.queue.Holders()
+	holders := p.queue.CachedPrograms()
 	for _, name := range leaving {
 		source, ok := p.engines.Target(name)
 		if !ok {
@@ -51,7 +51,7 @@
 	}
 	var begin types.Begin
 	found := false
-	_, err = p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, err = p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		if prog, ok := d.State.Programs[id]; ok && prog.Ended == "" {
 			begin, found = prog.Begin, true
 		}
@@ -63,7 +63,7 @@
 // ReleaseDisallowedCaches releases caches on engines where the current policy no longer
 // allows them. It does not interrupt running turns.
 func (p *Prog) ReleaseDisallowedCaches() {
-	for name, ids := range p.queue.Holders() {
+	for name, ids := range p.queue.CachedPrograms() {
 		target, ok := p.engines.Target(name)
 		if !ok {
 			continue
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -112,8 +112,8 @@
 func (p *Prog) reserveRetry(ctx context.Context, j *turnJob, turnRun *desk.TurnRun) error {
 	chunk := p.policies.Defaults().GrantChunk
 	covered := false
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		recs, err := d.Rerun(j.ask.Program, turnRun, turnRun.Reserved, chunk)
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
+		recs, err := d.RetryTurn(j.ask.Program, turnRun, turnRun.Reserved, chunk)
 		covered = d.Covered(j.begin.Root)
 		return recs, err
 	})
@@ -128,7 +128,7 @@
 func (p *Prog) tryEngine(ctx context.Context, j *turnJob, run *Run, id string, failed []string) (types.EngineEvent, string, error) {
 	in := ruleInput(j.begin)
 	in.Turn = int64(j.ask.Body.Turn)
-	work := sched.ProgramProgress{Priority: p.policies.Order(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
+	work := sched.ProgramProgress{Priority: p.policies.Priority(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
 	reservation, err := p.queue.Acquire(ctx, lease.Request{
 		Input: in, Program: j.ask.Program, Progress: work, PromptTokens: j.historyTokens + estimateTokens(j.ask.Body.Messages),
 		ExpectedTokens: int(float64(j.maxTokens) * expectedOutputShare), NewProgram: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
@@ -206,7 +206,7 @@
 func (p *Prog) failTurn(j *turnJob, run *Run, turnRun *desk.TurnRun, spent int64, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
-	_, doErr := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, doErr := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		d.FailTurn(j.ask.Program, turnRun, spent)
 		return nil, nil
 	})
@@ -261,7 +261,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
 	spent := int64(usage.PromptTokens + usage.CompletionTokens)
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		return d.FinishTurn(j.ask.Program, turnRun, turn, spent)
 	})
 	if err != nil {
@@ -269,7 +269,7 @@
 	}
 	p.awaitConfirmation(ctx, ticket)
 	var cont types.Continuation
-	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		prog, err := d.Program(j.ask.Program, j.ask.Workspace)
 		if err != nil || fold.LastTurn(prog) < turn.Number {
 			return nil, fault.Fail(fault.NotOwner, "the program's slot has moved to another box").WithCause(err)
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -23,8 +23,8 @@
 // Queue assigns calls to engines.
 type Queue interface {
 	Acquire(ctx context.Context, ask lease.Request) (*lease.Lease, error)
-	Leaving() []string
-	Holders() map[string][]string
+	LeavingEngines() []string
+	CachedPrograms() map[string][]string
 	EvacuationTarget(ask lease.Request) (types.Target, bool)
 }
 
@@ -42,10 +42,10 @@
 
 // Policies provides the current configuration.
 type Policies interface {
-	Ring() (*seal.Keyring, error)
+	Keyring() (*seal.Keyring, error)
 	Defaults() types.Defaults
 	Allowed(in types.RuleInput) bool
-	Order(in types.RuleInput) int64
+	Priority(in types.RuleInput) int64
 }
 
 // StepRecorder records scheduling decisions for operators.
@@ -150,7 +150,7 @@
 	held := p.owner.Owned()
 	live := map[string]bool{}
 	for slot := range held {
-		_, err := p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+		_, err := p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 			for id, prog := range d.State.Programs {
 				live[id] = prog.Ended == ""
 			}
--- a/gate/prog/token.go
+++ b/gate/prog/token.go
@@ -11,7 +11,7 @@
 
 // sealToken encrypts a continuation with its workspace's key and returns it as a token.
 func (p *Prog) sealToken(cont types.Continuation) (string, error) {
-	ring, err := p.policies.Ring()
+	ring, err := p.policies.Keyring()
 	if err != nil {
 		return "", err
 	}
@@ -28,7 +28,7 @@
 	if token == "" {
 		return nil, nil
 	}
-	ring, err := p.policies.Ring()
+	ring, err := p.policies.Keyring()
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 }
 
 func (p *Prog) seal(b types.Begin, content types.TurnContent) ([]byte, error) {
-	ring, err := p.policies.Ring()
+	ring, err := p.policies.Keyring()
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 
 func (p *Prog) unseal(b types.Begin, turn types.Turn) (types.TurnContent, error) {
 	var content types.TurnContent
-	ring, err := p.policies.Ring()
+	ring, err := p.policies.Keyring()
 	if err != nil {
 		return content, err
 	}
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -55,7 +55,7 @@
 // adoptAndRead adopts the continuation, if any, and returns a copy of the program.
 func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, ask TurnCall, cont *types.Continuation) (programView, error) {
 	var program programView
-	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
+	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		recs, err := adoptContinuation(d, cont)
 		if err != nil {
 			return nil, err
@@ -131,15 +131,15 @@
 	var decision desk.TurnStart
 	var cont types.Continuation
 	covered := false
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Lazy, func(now time.Time, d *desk.Desk) ([]types.Record, error) {
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Lazy, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
 		if err := checkTailSize(d, j.ask.Program, defaults.TailBytes); err != nil {
 			return nil, err
 		}
 		var recs []types.Record
 		var err error
-		decision, recs, err = d.StartTurn(now, desk.TurnAsk{
-			Program: j.ask.Program, Workspace: j.ask.Workspace, Turn: j.ask.Body.Turn, Ask: j.digest,
-			Prompt: j.prompt, MaxTokens: int64(j.maxTokens), Chunk: defaults.GrantChunk,
+		decision, recs, err = d.StartTurn(now, desk.TurnRequest{
+			Program: j.ask.Program, Workspace: j.ask.Workspace, Turn: j.ask.Body.Turn, RequestDigest: j.digest,
+			PromptTokens: j.prompt, MaxTokens: int64(j.maxTokens), GrantChunk: defaults.GrantChunk,
 		})
 		if err != nil {
 			return recs, err
@@ -184,7 +184,7 @@
 
 // checkTailSize returns an error if the program's turns that the log has not confirmed exceed
 // maxBytes, since continuations have to carry them.
-func checkTailSize(d *desk.Desk, program string, maxBytes int) error {
+func checkTailSize(d *desk.OwnerState, program string, maxBytes int) error {
 	prog, ok := d.State.Programs[program]
 	if !ok {
 		return nil
--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -129,7 +129,7 @@
 	if !b.isUp() || o.countRunning() >= maxPrograms {
 		return
 	}
-	slot, ok := b.owners.Pick(ident.RandomID())
+	slot, ok := b.owners.PickOwned(ident.RandomID())
 	if !ok {
 		return
 	}
--- a/gate/proof/fakes_test.go
+++ b/gate/proof/fakes_test.go
@@ -130,8 +130,8 @@
 		return types.EngineEvent{}, fault.Refuse(fault.TargetFailed, "box is down")
 	}
 	m := e.b.w.engines
-	words := model.Answer(call.Messages, call.MaxTokens)
-	prompt := model.Count(call.Messages)
+	words := model.AnswerWords(call.Messages, call.MaxTokens)
+	prompt := model.CountTokens(call.Messages)
 	m.charge(call.CacheKey, prompt+len(words))
 	breaks := m.nextBreaks()
 	for i, word := range words {
@@ -196,5 +196,5 @@
 
 // expectedAnswer returns the answer that an engine gives to the messages.
 func expectedAnswer(messages []types.Message, maxTokens int) string {
-	return strings.Join(model.Answer(messages, maxTokens), " ")
+	return strings.Join(model.AnswerWords(messages, maxTokens), " ")
 }
--- a/gate/proof/fuzz_test.go
+++ b/gate/proof/fuzz_test.go
@@ -206,9 +206,9 @@
 		o.logFault(func(f *applog.Faults) { f.Down = true })
 		undoLater(func() { o.logFault(func(f *applog.Faults) { f.Down = false }) })
 	case opLoseAnswers:
-		o.logFault(func(f *applog.Faults) { f.LoseAnswers = 1 + s.A%3 })
+		o.logFault(func(f *applog.Faults) { f.LoseResponses = 1 + s.A%3 })
 	case opLateAppends:
-		o.logFault(func(f *applog.Faults) { f.LateAppends, f.Late = 1+s.A%3, types.Duration(duration) })
+		o.logFault(func(f *applog.Faults) { f.LateAppends, f.LateDelay = 1+s.A%3, types.Duration(duration) })
 	case opToolLoses:
 		w.tools.setFaults(true, false)
 		undoLater(func() { w.tools.setFaults(false, false) })
@@ -234,7 +234,7 @@
 func (o *oracle) logFault(change func(*applog.Faults)) {
 	f := o.w.log.Faults()
 	change(&f)
-	o.w.log.Set(f)
+	o.w.log.SetFaults(f)
 }
 
 func (o *oracle) programAt(i int) *program {
@@ -349,7 +349,7 @@
 func (o *oracle) checkInvariants() {
 	for i := range boxCount {
 		b := o.w.box(i)
-		n := b.store.Number()
+		n := b.store.RevisionNumber()
 		if o.seen[i] == b && n < o.revisions[i] {
 			o.fail("config_never_reverts", "box %d went from revision %d to %d", i, o.revisions[i], n)
 		}
@@ -441,10 +441,10 @@
 		return
 	}
 	for i := range boxCount {
-		if n := o.w.box(i).store.Number(); n < o.newestAccepted {
+		if n := o.w.box(i).store.RevisionNumber(); n < o.newestAccepted {
 			o.fail("config_never_reverts", "box %d has revision %d, but %d was accepted", i, n, o.newestAccepted)
 		}
-		if n := o.w.box(i).store.Number(); n != fold.Current.Number {
+		if n := o.w.box(i).store.RevisionNumber(); n != fold.Current.Number {
 			o.fail("config_in_force_everywhere", "box %d has revision %d, want %d", i, n, fold.Current.Number)
 		}
 	}
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -73,13 +73,13 @@
 	view   *member.View
 	store  *policy.Store
 	owners *slots.Slots
-	queue  *admit.Loop
+	queue  *admit.Scheduler
 	progs  *prog.Prog
 	calls  *plain.Plain
 }
 
 func newWorld() (*world, error) {
-	w := &world{log: applog.New(applog.Faults{Keep: types.Duration(retention), Limit: 300}), keys: sample.NewKeys("proof")}
+	w := &world{log: applog.New(applog.Faults{Retention: types.Duration(retention), AppendsPerSecond: 300}), keys: sample.NewKeys("proof")}
 	w.tools = &fakeTools{counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
 	w.engines = newEngineState()
 	cfg, err := sample.Config(sample.Deployment{
@@ -119,16 +119,16 @@
 	logger := slog.New(slog.NewTextHandler(logOutput(), &slog.HandlerOptions{Level: slog.LevelDebug})).With("box", b.self.Name)
 	counts := meter.New()
 	root, _ := seal.NewRootKey(w.keys.Root)
-	timing := member.Timing{Beat: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, List: 200 * time.Millisecond, Fanout: 8}
+	timing := member.Timing{HeartbeatInterval: 100 * time.Millisecond, SuspectTimeout: 400 * time.Millisecond, ListInterval: 200 * time.Millisecond, Fanout: 8}
 	b.view = member.New(b.self, inc, b, b, timing, logger)
 	b.store = policy.New(b.self.Name, root, []ed25519.PublicKey{w.keys.Public()}, b, b, b.view,
-		policy.Timing{Poll: 300 * time.Millisecond, Retention: retention}, logger)
+		policy.Timing{PollInterval: 300 * time.Millisecond, Retention: retention}, logger)
 	b.owners = slots.New(b.self, inc, b, b.view, b.store, slots.Timing{
 		CheckInterval: 100 * time.Millisecond, FlushDelay: 10 * time.Millisecond, AdoptionDelay: 2 * time.Second,
 		Retention: retention, AppendRate: 100, MaxQueued: 1000,
 	}, counts, logger)
 	b.queue = admit.New(b.self.Zone, admit.Options{
-		Strategy: sched.Scored, Order: sched.Age, MaxWait: 2 * time.Second, Starve: time.Second, Holds: true, Seed: uint64(i),
+		Strategy: sched.Scored, Order: sched.Age, MaxWait: 2 * time.Second, StarvationAge: time.Second, HoldCaches: true, Seed: uint64(i),
 	}, b.store, counts, logger)
 	b.progs = prog.New(b.self.Zone, b.owners, b.queue, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
 	b.owners.Watch(b.progs)
@@ -142,7 +142,7 @@
 	_ = b.owners.Start(ctx)
 	_ = b.queue.Start(ctx)
 	_ = b.progs.Start(ctx)
-	b.queue.Tell(lease.Targets{List: w.engines.targets()})
+	b.queue.Notify(lease.Targets{List: w.engines.targets()})
 }
 
 // logOutput returns the writer of the boxes' logs, which discards them unless PROOF_LOG is set.
@@ -197,7 +197,7 @@
 	w.mu.Lock()
 	b.stopping = true
 	w.mu.Unlock()
-	b.view.Leave()
+	b.view.AnnounceLeave()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
 	b.owners.Release(ctx)
@@ -272,7 +272,7 @@
 	w.cut = [boxCount][boxCount]bool{}
 	w.cutLog = [boxCount]bool{}
 	w.mu.Unlock()
-	w.log.Set(applog.Faults{Keep: types.Duration(retention), Limit: 300})
+	w.log.SetFaults(applog.Faults{Retention: types.Duration(retention), AppendsPerSecond: 300})
 	w.tools.setFaults(false, false)
 	w.engines.breakNext(0)
 	for i := range boxCount {
@@ -372,7 +372,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return other.store.Newer(have), nil
+	return other.store.NewerRevision(have), nil
 }
 
 func (w *world) operatorKeys() []ed25519.PublicKey {
--- a/gate/slots/owner.go
+++ b/gate/slots/owner.go
@@ -77,7 +77,7 @@
 	// epoch is 0 while this box does not own the slot.
 	epoch atomic.Int64
 
-	desk *desk.Desk
+	desk *desk.OwnerState
 	// seq is the sequence number of the last entry created in this epoch.
 	seq       int64
 	claiming  bool
@@ -205,7 +205,7 @@
 		m.reply <- operationReply{err: notOwner()}
 		return
 	}
-	if m.mode == desk.Durable && !o.desk.LogUp {
+	if m.mode == desk.Durable && !o.desk.LogAvailable {
 		m.reply <- operationReply{err: fault.Refuse(fault.LogUnavailable, "the log is unavailable").WithRetryAfter(time.Second)}
 		return
 	}
@@ -236,7 +236,7 @@
 func (o *owner) enqueue(recs []types.Record, urgent bool) *desk.Ticket {
 	ticket := desk.NewTicket()
 	if len(recs) == 0 {
-		ticket.Close(nil)
+		ticket.Resolve(nil)
 		return ticket
 	}
 	o.queue = append(o.queue, queuedOperation{recs: recs, ticket: ticket})
@@ -262,7 +262,7 @@
 		o.inFlight = nil
 	}
 	for _, q := range o.queue {
-		q.ticket.Close(err)
+		q.ticket.Resolve(err)
 	}
 	o.queue, o.queuedRecords = nil, 0
 	for _, m := range o.waiting {
@@ -279,7 +279,7 @@
 	}
 	now := time.Now()
 	ended, recs := o.desk.Sweep(now, o.svc.settings.KeyRetention())
-	if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogUp {
+	if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogAvailable {
 		recs = append(recs, o.desk.Snapshot(now, retention/snapshotsPerRetention)...)
 	}
 	o.enqueue(recs, false)
@@ -308,7 +308,7 @@
 		return
 	}
 	if !o.desk.State.Released {
-		recs := append(o.desk.Settles(), types.Record{Release: &types.Release{Box: o.svc.self.Name}})
+		recs := append(o.desk.SettleGrants(), types.Record{Release: &types.Release{Box: o.svc.self.Name}})
 		o.desk.State.Released = true
 		o.enqueue(recs, true)
 	}
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -30,8 +30,8 @@
 	Live() []types.Member
 	// Owner returns the live box that announces the slot with the highest epoch, and the epoch.
 	Owner(slot string) (types.Member, int64, bool)
-	// Announce registers a function that adds to this box's heartbeats.
-	Announce(fill func(beat *wire.BeatRequest))
+	// AddToHeartbeat registers a function that adds to this box's heartbeats.
+	AddToHeartbeat(fill func(beat *wire.BeatRequest))
 }
 
 // Settings provides the configuration of slots.
@@ -114,7 +114,7 @@
 // Start starts claiming the slots that rendezvous hashing assigns to this box.
 func (s *Slots) Start(context.Context) error {
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.view.Announce(s.fillHeartbeat)
+	s.view.AddToHeartbeat(s.fillHeartbeat)
 	s.goroutines.Go(s.run)
 	return nil
 }
@@ -291,8 +291,8 @@
 
 // Describe fills in the status of a slot that this box owns.
 func (s *Slots) Describe(ctx context.Context, id ident.Slot, status *types.SlotStatus) {
-	_, err := s.Do(ctx, id, desk.Finish, func(_ time.Time, d *desk.Desk) ([]types.Record, error) {
-		d.Describe(status)
+	_, err := s.Do(ctx, id, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
+		d.FillStatus(status)
 		return nil, nil
 	})
 	if err != nil {
@@ -300,9 +300,9 @@
 	}
 }
 
-// Pick selects one of the slots that this box owns for a new program, by rendezvous hashing
+// PickOwned selects one of the slots that this box owns for a new program, by rendezvous hashing
 // of the seed. It returns false if this box owns none.
-func (s *Slots) Pick(seed string) (ident.Slot, bool) {
+func (s *Slots) PickOwned(seed string) (ident.Slot, bool) {
 	var names []string
 	for id := range s.Owned() {
 		names = append(names, id.String())
