--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -25,7 +25,7 @@
 
 func (b *batch) fail(err error) {
 	for _, t := range b.tickets {
-		t.Close(err)
+		t.Resolve(err)
 	}
 }
 
@@ -132,16 +132,16 @@
 	o.desk.State.NextOffset = m.result.offset + 1
 	o.desk.State.Seq = o.seq
 	o.desk.Confirm(now, m.batch.recs)
-	if !o.desk.LogUp {
+	if !o.desk.LogAvailable {
 		o.svc.logger.Info("slots: log is available again", "slot", o.id.String())
 	}
-	o.desk.LogUp = true
+	o.desk.LogAvailable = true
 	o.svc.counts.Count("slots.appends", 1)
 	o.svc.counts.Count("slots.records", int64(len(m.batch.recs)))
 	o.svc.counts.Count("slots.append_bytes", int64(len(m.batch.data)))
 	o.svc.counts.Time("slots.append_time", now.Sub(m.batch.firstSent))
 	for _, t := range m.batch.tickets {
-		t.Close(nil)
+		t.Resolve(nil)
 	}
 	o.flush()
 }
@@ -163,10 +163,10 @@
 func (o *owner) scheduleRetry(b *batch, err error) {
 	o.svc.counts.Count("slots.append_failures", 1)
 	if !fault.Is(err, fault.Overloaded) {
-		if o.desk.LogUp {
+		if o.desk.LogAvailable {
 			o.svc.logger.Warn("slots: log is unavailable", "slot", o.id.String(), "error", err)
 		}
-		o.desk.LogUp = false
+		o.desk.LogAvailable = false
 	}
 	wait := b.retryDelay/2 + rand.N(b.retryDelay)
 	b.retryDelay = min(2*b.retryDelay, maxRetryDelay)
--- a/stand/applog/serve.go
+++ b/stand/applog/serve.go
@@ -87,6 +87,6 @@
 		server.WriteProblem(w, "", err)
 		return
 	}
-	s.Set(faults)
+	s.SetFaults(faults)
 	server.WriteJSON(w, http.StatusOK, faults)
 }
--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -17,17 +17,17 @@
 type Faults struct {
 	// Down rejects every append and read.
 	Down bool `json:"down"`
-	// Slow delays every append and read.
-	Slow types.Duration `json:"slow"`
-	// LoseAnswers is how many of the next appends fail after they took effect.
-	LoseAnswers int `json:"lose_answers"`
+	// Delay delays every append and read.
+	Delay types.Duration `json:"slow"`
+	// LoseResponses is how many of the next appends fail after they took effect.
+	LoseResponses int `json:"lose_answers"`
 	// LateAppends is how many of the next appends fail and then take effect after Late.
 	LateAppends int            `json:"late_appends"`
-	Late        types.Duration `json:"late"`
-	// Limit is in appends per second over all streams; 0 means no limit.
-	Limit int `json:"limit"`
-	// Keep is the retention of entries; 0 keeps them forever.
-	Keep types.Duration `json:"keep"`
+	LateDelay   types.Duration `json:"late"`
+	// AppendsPerSecond is in appends per second over all streams; 0 means no limit.
+	AppendsPerSecond int `json:"limit"`
+	// Retention is the retention of entries; 0 keeps them forever.
+	Retention types.Duration `json:"keep"`
 }
 
 // Stats counts appends, their bytes, reads, and appends over the limit.
@@ -61,16 +61,16 @@
 // New returns an empty log.
 func New(faults Faults) *Store {
 	s := &Store{streams: map[string]*stream{}}
-	s.Set(faults)
+	s.SetFaults(faults)
 	return s
 }
 
-// Set replaces the faults and limits.
-func (s *Store) Set(faults Faults) {
+// SetFaults replaces the faults and limits.
+func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.limiter == nil || faults.Limit != s.faults.Limit {
-		s.limiter = newLimiter(faults.Limit)
+	if s.limiter == nil || faults.AppendsPerSecond != s.faults.AppendsPerSecond {
+		s.limiter = newLimiter(faults.AppendsPerSecond)
 	}
 	s.faults = faults
 }
@@ -110,12 +110,12 @@
 	}
 	if s.faults.LateAppends > 0 {
 		s.faults.LateAppends--
-		time.AfterFunc(time.Duration(s.faults.Late), func() { s.appendLate(name, data) })
+		time.AfterFunc(time.Duration(s.faults.LateDelay), func() { s.appendLate(name, data) })
 		return 0, fault.Fail(fault.LogUnavailable, "append is delayed")
 	}
 	offset := s.appendEntry(name, data)
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		return 0, fault.Fail(fault.LogUnavailable, "response lost")
 	}
 	return offset, nil
@@ -157,11 +157,11 @@
 	if faults.Down {
 		return fault.Refuse(fault.LogUnavailable, "log is down")
 	}
-	if faults.Slow == 0 {
+	if faults.Delay == 0 {
 		return nil
 	}
 	select {
-	case <-time.After(time.Duration(faults.Slow)):
+	case <-time.After(time.Duration(faults.Delay)):
 		return nil
 	case <-ctx.Done():
 		return fault.Refuse(fault.LogUnavailable, "call ended during the injected delay").WithCause(ctx.Err())
@@ -176,10 +176,10 @@
 		st = &stream{first: firstOffset}
 		s.streams[name] = st
 	}
-	if s.faults.Keep == 0 {
+	if s.faults.Retention == 0 {
 		return st
 	}
-	cutoff := time.Now().Add(-time.Duration(s.faults.Keep))
+	cutoff := time.Now().Add(-time.Duration(s.faults.Retention))
 	expired := 0
 	for expired < len(st.entries) && st.entries[expired].at.Before(cutoff) {
 		expired++
--- a/stand/cmds/log.go
+++ b/stand/cmds/log.go
@@ -32,6 +32,6 @@
 }
 
 func (l *logCmd) Execute(ctx context.Context, out io.Writer, _ []string) error {
-	store := applog.New(applog.Faults{Limit: l.limit, Keep: types.Duration(l.keep)})
+	store := applog.New(applog.Faults{AppendsPerSecond: l.limit, Retention: types.Duration(l.keep)})
 	return l.serve(ctx, out, store.Routes())
 }
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -19,12 +19,12 @@
 	// BatchCost is the time that each running stream adds to a step, as a fraction of StepTime.
 	BatchCost float64 `json:"batch_cost"`
 	// PrefillRate is in tokens per second; Chunk is the limit of prompt tokens computed in a step.
-	PrefillRate float64 `json:"prefill_rate"`
-	Chunk       int     `json:"chunk"`
-	CacheSize   int64   `json:"cache_size"`
-	// ReportLag is the interval between load reports.
-	ReportLag types.Duration `json:"report_lag"`
-	Models    []string       `json:"models"`
+	PrefillRate  float64 `json:"prefill_rate"`
+	PrefillChunk int     `json:"chunk"`
+	CacheSize    int64   `json:"cache_size"`
+	// ReportInterval is the interval between load reports.
+	ReportInterval types.Duration `json:"report_lag"`
+	Models         []string       `json:"models"`
 	// Fenced makes the engine reject orders whose fencing number is lower than one seen before.
 	Fenced bool `json:"fenced"`
 }
@@ -33,17 +33,17 @@
 func DefaultSpec(name string, models ...string) Spec {
 	return Spec{
 		Name: name, MaxBatch: 16, StepTime: types.Duration(2 * time.Millisecond), BatchCost: 0.03,
-		PrefillRate: 50_000, Chunk: 512, CacheSize: 100_000,
-		ReportLag: types.Duration(200 * time.Millisecond), Models: models, Fenced: true,
+		PrefillRate: 50_000, PrefillChunk: 512, CacheSize: 100_000,
+		ReportInterval: types.Duration(200 * time.Millisecond), Models: models, Fenced: true,
 	}
 }
 
 // Faults configures the faults that an engine injects.
 type Faults struct {
-	// SlowBy multiplies the duration of steps; values below 1 count as 1.
-	SlowBy float64 `json:"slow_by"`
-	// LoseEvents is the probability that an answer to a load query leaves out a cache event.
-	LoseEvents float64 `json:"lose_events"`
+	// SlowdownFactor multiplies the duration of steps; values below 1 count as 1.
+	SlowdownFactor float64 `json:"slow_by"`
+	// EventLossRate is the probability that an answer to a load query leaves out a cache event.
+	EventLossRate float64 `json:"lose_events"`
 	// Leaving makes the engine reject new streams; load reports show it.
 	Leaving bool `json:"leaving"`
 	// BreakStreams is how many of the next streams break once, after their third event.
@@ -74,17 +74,17 @@
 type Stats struct {
 	Calls  int   `json:"calls"`
 	Tokens int64 `json:"tokens"`
-	// Charged counts prompt and output tokens by cache key.
-	Charged map[string]int64 `json:"charged"`
+	// ChargedTokens counts prompt and output tokens by cache key.
+	ChargedTokens map[string]int64 `json:"charged"`
 	// Items is the number of cached items, Held the number of those that can't be evicted.
 	Held  int `json:"held"`
 	Items int `json:"items"`
-	// Evicted counts the tokens of evicted items.
-	Evicted  int64     `json:"evicted"`
-	LastCall time.Time `json:"last_call"`
-	// Loads counts orders to load a model, Stale the orders rejected for an old fencing number.
-	Loads int `json:"loads"`
-	Stale int `json:"stale_orders"`
+	// EvictedTokens counts the tokens of evicted items.
+	EvictedTokens int64     `json:"evicted"`
+	LastCall      time.Time `json:"last_call"`
+	// LoadOrders counts orders to load a model, Stale the orders rejected for an old fencing number.
+	LoadOrders  int `json:"loads"`
+	StaleOrders int `json:"stale_orders"`
 	// HeldTokenSeconds is the integral of the tokens of held items, sampled at every load report.
 	HeldTokenSeconds float64 `json:"held_token_seconds"`
 }
@@ -108,7 +108,7 @@
 func New(spec Spec) *Engine {
 	e := &Engine{
 		spec: spec, cache: newCache(spec.CacheSize), streams: map[string]*stream{},
-		models: map[string]string{}, stats: Stats{Charged: map[string]int64{}},
+		models: map[string]string{}, stats: Stats{ChargedTokens: map[string]int64{}},
 	}
 	e.wake = sync.NewCond(&e.mu)
 	for _, m := range spec.Models {
@@ -140,7 +140,7 @@
 
 // publishReports publishes a load report every ReportLag until ctx is done.
 func (e *Engine) publishReports(ctx context.Context) {
-	interval := max(time.Duration(e.spec.ReportLag), time.Millisecond)
+	interval := max(time.Duration(e.spec.ReportInterval), time.Millisecond)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -202,7 +202,7 @@
 	}
 	e.admit()
 	computed := e.prefillStreams()
-	slowdown := max(e.faults.SlowBy, 1)
+	slowdown := max(e.faults.SlowdownFactor, 1)
 	step := float64(e.spec.StepTime) * (1 + e.spec.BatchCost*float64(len(e.running))) * slowdown
 	step += float64(computed) / e.spec.PrefillRate * float64(time.Second) * slowdown
 	return time.Duration(step), true
@@ -220,13 +220,13 @@
 }
 
 func (e *Engine) prefillStreams() int {
-	remaining := e.spec.Chunk
+	remaining := e.spec.PrefillChunk
 	for _, st := range e.running {
 		n := min(st.prefillLeft, remaining)
 		st.prefillLeft -= n
 		remaining -= n
 	}
-	return e.spec.Chunk - remaining
+	return e.spec.PrefillChunk - remaining
 }
 
 // emitTokens adds one token to every running stream whose prompt is computed.
@@ -272,7 +272,7 @@
 	st.events = append(st.events, types.EngineEvent{Attempt: st.call.Attempt, Seq: st.seq, End: true, Finish: reason, Usage: usage})
 	st.done = true
 	st.endedAt = time.Now()
-	e.stats.Charged[st.call.CacheKey] += int64(st.prompt + generated)
+	e.stats.ChargedTokens[st.call.CacheKey] += int64(st.prompt + generated)
 	if reason != "cancelled" {
 		e.cache.put(st.call.CacheKey, st.prompt+generated, st.call.Hold)
 	}
@@ -296,7 +296,7 @@
 		return fault.Refuse(fault.BadRequest, "messages and max_tokens are required")
 	}
 	e.stats.Calls++
-	st := &stream{call: call, prompt: Count(call.Messages), output: Answer(call.Messages, call.MaxTokens)}
+	st := &stream{call: call, prompt: CountTokens(call.Messages), output: AnswerWords(call.Messages, call.MaxTokens)}
 	// Load reports show this estimate until admit computes it anew.
 	st.prefillLeft = st.prompt - e.cache.cachedTokens(call.CacheKey, st.prompt)
 	if e.faults.BreakStreams > 0 {
@@ -382,22 +382,22 @@
 	e.wake.Broadcast()
 }
 
-// Load returns the newest load report and the cache events after a sequence number, of which
+// LoadReport returns the newest load report and the cache events after a sequence number, of which
 // Faults.LoseEvents may leave out some.
-func (e *Engine) Load(after int64) (types.LoadReport, []types.CacheEvent) {
+func (e *Engine) LoadReport(after int64) (types.LoadReport, []types.CacheEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var events []types.CacheEvent
 	for _, ev := range e.cache.events {
-		if ev.Seq > after && rand.Float64() >= e.faults.LoseEvents {
+		if ev.Seq > after && rand.Float64() >= e.faults.EventLossRate {
 			events = append(events, ev)
 		}
 	}
 	return e.report, events
 }
 
-// Set replaces the injected faults. If they include Leaving, it updates the load report at once.
-func (e *Engine) Set(faults Faults) {
+// SetFaults replaces the injected faults. If they include Leaving, it updates the load report at once.
+func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -18,14 +18,14 @@
 	OrderUnload = "unload"
 )
 
-// Item describes one cached prefix.
-type Item struct {
+// CacheItem describes one cached prefix.
+type CacheItem struct {
 	Tokens int  `json:"tokens"`
 	Held   bool `json:"held"`
 }
 
-// Cache executes a cache order other than OpImport, for which the caller uses Import.
-func (e *Engine) Cache(order types.CacheOrder) error {
+// ApplyCacheOrder executes a cache order other than OpImport, for which the caller uses Import.
+func (e *Engine) ApplyCacheOrder(order types.CacheOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, key := range order.Keys {
@@ -43,20 +43,20 @@
 	return nil
 }
 
-// Items returns the cached prefixes by key.
-func (e *Engine) Items() map[string]Item {
+// CacheItems returns the cached prefixes by key.
+func (e *Engine) CacheItems() map[string]CacheItem {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make(map[string]Item, len(e.cache.items))
+	out := make(map[string]CacheItem, len(e.cache.items))
 	for key, el := range e.cache.items {
 		it := el.Value.(*item)
-		out[key] = Item{Tokens: it.tokens, Held: it.held}
+		out[key] = CacheItem{Tokens: it.tokens, Held: it.held}
 	}
 	return out
 }
 
-// Import adds prefixes that another engine exported.
-func (e *Engine) Import(items map[string]Item) {
+// ImportItems adds prefixes that another engine exported.
+func (e *Engine) ImportItems(items map[string]CacheItem) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for key, it := range items {
@@ -64,20 +64,20 @@
 	}
 }
 
-// Order executes a load or unload order. A fenced engine rejects a fencing number lower than the
+// ApplyOrder executes a load or unload order. A fenced engine rejects a fencing number lower than the
 // highest one that it has seen.
-func (e *Engine) Order(order types.EngineOrder) error {
+func (e *Engine) ApplyOrder(order types.EngineOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.spec.Fenced && order.Fence < e.fence {
-		e.stats.Stale++
+		e.stats.StaleOrders++
 		return fault.Refuse(fault.RevisionConflict, "stale fencing number")
 	}
 	e.fence = max(e.fence, order.Fence)
 	switch order.Kind {
 	case OrderLoad:
 		e.models[order.Model] = order.Version
-		e.stats.Loads++
+		e.stats.LoadOrders++
 	case OrderUnload:
 		delete(e.models, order.Model)
 	default:
@@ -99,9 +99,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.stats
-	out.Charged = maps.Clone(e.stats.Charged)
+	out.ChargedTokens = maps.Clone(e.stats.ChargedTokens)
 	out.Items = len(e.cache.items)
-	out.Evicted = e.cache.evictedTokens
+	out.EvictedTokens = e.cache.evictedTokens
 	for _, el := range e.cache.items {
 		if el.Value.(*item).held {
 			out.Held++
--- a/stand/model/serve.go
+++ b/stand/model/serve.go
@@ -29,9 +29,9 @@
 	return &Server{engine: engine, weightStore: weightStore, httpClient: client.New("engine-out", nil)}
 }
 
-// LoadAnswer is the response body of the load route.
-type LoadAnswer struct {
-	Load   types.LoadReport   `json:"load"`
+// LoadResponse is the response body of the load route.
+type LoadResponse struct {
+	Report types.LoadReport   `json:"load"`
 	Events []types.CacheEvent `json:"events"`
 }
 
@@ -93,8 +93,8 @@
 
 func (s *Server) serveLoad(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	load, events := s.engine.Load(after)
-	server.WriteJSON(w, http.StatusOK, LoadAnswer{Load: load, Events: events})
+	load, events := s.engine.LoadReport(after)
+	server.WriteJSON(w, http.StatusOK, LoadResponse{Report: load, Events: events})
 }
 
 func (s *Server) serveCache(w http.ResponseWriter, r *http.Request) {
@@ -113,25 +113,25 @@
 
 func (s *Server) applyCacheOrder(r *http.Request, order types.CacheOrder) error {
 	if order.Op != OpImport {
-		return s.engine.Cache(order)
+		return s.engine.ApplyCacheOrder(order)
 	}
-	var items map[string]Item
+	var items map[string]CacheItem
 	url := "http://" + order.From.String() + "/v1/cache"
 	if err := s.httpClient.Call(r.Context(), http.MethodGet, url, nil, &items); err != nil {
 		return err
 	}
-	wanted := map[string]Item{}
+	wanted := map[string]CacheItem{}
 	for _, key := range order.Keys {
 		if it, ok := items[key]; ok {
 			wanted[key] = it
 		}
 	}
-	s.engine.Import(wanted)
+	s.engine.ImportItems(wanted)
 	return nil
 }
 
 func (s *Server) serveItems(w http.ResponseWriter, _ *http.Request) {
-	server.WriteJSON(w, http.StatusOK, s.engine.Items())
+	server.WriteJSON(w, http.StatusOK, s.engine.CacheItems())
 }
 
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
@@ -147,7 +147,7 @@
 			return
 		}
 	}
-	if err := s.engine.Order(order); err != nil {
+	if err := s.engine.ApplyOrder(order); err != nil {
 		server.WriteProblem(w, "", err)
 		return
 	}
@@ -168,6 +168,6 @@
 		server.WriteProblem(w, "", err)
 		return
 	}
-	s.engine.Set(in)
+	s.engine.SetFaults(in)
 	server.WriteJSON(w, http.StatusOK, in)
 }
--- a/stand/model/text.go
+++ b/stand/model/text.go
@@ -13,8 +13,8 @@
 	defaultLength = 16
 )
 
-// Count returns the number of tokens of the messages: one per word and one per message.
-func Count(messages []types.Message) int {
+// CountTokens returns the number of tokens of the messages: one per word and one per message.
+func CountTokens(messages []types.Message) int {
 	n := 0
 	for _, m := range messages {
 		n += 1 + len(strings.Fields(m.Content))
@@ -22,9 +22,9 @@
 	return n
 }
 
-// Answer returns the words that every engine generates for the messages. Each consists of the
+// AnswerWords returns the words that every engine generates for the messages. Each consists of the
 // digest of the messages and its index, so that tests can detect wrong and incomplete answers.
-func Answer(messages []types.Message, maxTokens int) []string {
+func AnswerWords(messages []types.Message, maxTokens int) []string {
 	digest := Digest(messages)
 	n := min(requestedLength(messages), maxTokens)
 	words := make([]string, 0, n)
--- a/stand/plat/plat.go
+++ b/stand/plat/plat.go
@@ -22,14 +22,14 @@
 // Spec configures a platform.
 type Spec struct {
 	Zones []string
-	// Lag is the delay after which readers see changes of the platform list.
-	Lag time.Duration
-	Log applog.Faults
+	// ListLag is the delay after which readers see changes of the platform list.
+	ListLag time.Duration
+	Log     applog.Faults
 	// Engines is the number of engines, spread over the zones; Model is the model that they serve.
 	Engines int
 	Model   string
-	// Engine adjusts the spec of each engine before it starts; it may be nil.
-	Engine func(spec *model.Spec)
+	// AdjustEngine adjusts the spec of each engine before it starts; it may be nil.
+	AdjustEngine func(spec *model.Spec)
 	// Services is the number of replicas by service.
 	Services map[string]int
 	// WeightRate is the limit of the weight store in fetches per second; at least 1 is used.
@@ -38,12 +38,12 @@
 
 // Platform is a running platform.
 type Platform struct {
-	Log     *applog.Store
-	Roster  *roster.Roster
-	Engines map[string]*model.Engine
-	Tools   map[string]*tool.Tool
-	LogAddr netip.AddrPort
-	ListAt  netip.AddrPort
+	Log      *applog.Store
+	Roster   *roster.Roster
+	Engines  map[string]*model.Engine
+	Tools    map[string]*tool.Tool
+	LogAddr  netip.AddrPort
+	ListAddr netip.AddrPort
 
 	initialList types.PlatformList
 	servers     []*server.Server
@@ -83,16 +83,16 @@
 			}
 		}
 	}
-	p.Roster = roster.New(p.initialList, spec.Lag)
-	p.ListAt, err = p.serve(p.Roster.Routes())
+	p.Roster = roster.New(p.initialList, spec.ListLag)
+	p.ListAddr, err = p.serve(p.Roster.Routes())
 	return err
 }
 
 func (p *Platform) startEngine(ctx context.Context, spec Spec, index int, weights netip.AddrPort) error {
 	name := fmt.Sprintf("engine-%d", index)
 	engineSpec := model.DefaultSpec(name, spec.Model)
-	if spec.Engine != nil {
-		spec.Engine(&engineSpec)
+	if spec.AdjustEngine != nil {
+		spec.AdjustEngine(&engineSpec)
 	}
 	engine := model.New(engineSpec)
 	go engine.Run(ctx)
@@ -134,9 +134,9 @@
 	return srv.Addr(), nil
 }
 
-// Add adds a box to the platform list. Readers see it after the list's lag.
-func (p *Platform) Add(box types.Member) {
-	p.Roster.Change(func(list *types.PlatformList) { list.Boxes = append(list.Boxes, box) })
+// AddBox adds a box to the platform list. Readers see it after the list's lag.
+func (p *Platform) AddBox(box types.Member) {
+	p.Roster.Update(func(list *types.PlatformList) { list.Boxes = append(list.Boxes, box) })
 }
 
 // Effects returns the number of effects by key, summed over all replicas of all services.
--- a/stand/proxy/proxy.go
+++ b/stand/proxy/proxy.go
@@ -24,9 +24,9 @@
 type Faults struct {
 	// Delay is added before each chunk of bytes is forwarded.
 	Delay types.Duration `json:"delay"`
-	// CutUp and CutDown drop the bytes sent to and received from the target; connections stay open.
-	CutUp   bool `json:"cut_up"`
-	CutDown bool `json:"cut_down"`
+	// DropToTarget and CutDown drop the bytes sent to and received from the target; connections stay open.
+	DropToTarget   bool `json:"cut_up"`
+	DropFromTarget bool `json:"cut_down"`
 	// Refuse closes new and open connections.
 	Refuse bool `json:"refuse"`
 	// ResetAfter resets each connection that would forward more than that many bytes from the
@@ -60,8 +60,8 @@
 	return l.ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Set replaces the faults. They apply to open connections too.
-func (l *Link) Set(faults Faults) {
+// SetFaults replaces the faults. They apply to open connections too.
+func (l *Link) SetFaults(faults Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = faults
@@ -76,7 +76,7 @@
 // Close stops listening and closes all connections.
 func (l *Link) Close() {
 	_ = l.ln.Close()
-	l.Set(Faults{Refuse: true})
+	l.SetFaults(Faults{Refuse: true})
 }
 
 func (l *Link) currentFaults() Faults {
@@ -141,7 +141,7 @@
 func (l *Link) forward(dst net.Conn, data []byte, toTarget bool, forwarded *int64) bool {
 	faults := l.currentFaults()
 	time.Sleep(time.Duration(faults.Delay))
-	if (toTarget && faults.CutUp) || (!toTarget && faults.CutDown) {
+	if (toTarget && faults.DropToTarget) || (!toTarget && faults.DropFromTarget) {
 		return true
 	}
 	*forwarded += int64(len(data))
@@ -196,6 +196,6 @@
 		server.WriteProblem(w, "", fault.Refuse(fault.BadRequest, "no such link"))
 		return
 	}
-	link.Set(in)
+	link.SetFaults(in)
 	server.WriteJSON(w, http.StatusOK, in)
 }
--- a/stand/roster/roster.go
+++ b/stand/roster/roster.go
@@ -62,8 +62,8 @@
 	return visible, nil
 }
 
-// Change adds a version that edit makes from the newest one; readers see it after the lag.
-func (l *Roster) Change(edit func(list *types.PlatformList)) {
+// Update adds a version that edit makes from the newest one; readers see it after the lag.
+func (l *Roster) Update(edit func(list *types.PlatformList)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last := l.versions[len(l.versions)-1]
@@ -75,9 +75,9 @@
 	}
 }
 
-// Leave marks a box or target as leaving.
-func (l *Roster) Leave(name string) {
-	l.Change(func(list *types.PlatformList) {
+// MarkLeaving marks a box or target as leaving.
+func (l *Roster) MarkLeaving(name string) {
+	l.Update(func(list *types.PlatformList) {
 		for i := range list.Boxes {
 			list.Boxes[i].Leaving = list.Boxes[i].Leaving || list.Boxes[i].Name == name
 		}
@@ -89,7 +89,7 @@
 
 // Remove removes a box or target from the list.
 func (l *Roster) Remove(name string) {
-	l.Change(func(list *types.PlatformList) {
+	l.Update(func(list *types.PlatformList) {
 		list.Boxes = slices.DeleteFunc(list.Boxes, func(m types.Member) bool { return m.Name == name })
 		list.Targets = slices.DeleteFunc(list.Targets, func(t types.Target) bool { return t.Name == name })
 	})
@@ -138,10 +138,10 @@
 	}
 	l.mu.Unlock()
 	if in.List != nil {
-		l.Change(func(list *types.PlatformList) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
+		l.Update(func(list *types.PlatformList) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
 	}
 	if in.Leave != "" {
-		l.Leave(in.Leave)
+		l.MarkLeaving(in.Leave)
 	}
 	if in.Remove != "" {
 		l.Remove(in.Remove)
--- a/stand/tool/tool.go
+++ b/stand/tool/tool.go
@@ -20,17 +20,17 @@
 	// Delay is the wait before the effect, Hang the wait after it.
 	Delay types.Duration `json:"delay"`
 	Hang  types.Duration `json:"hang"`
-	// DropAnswers is how many of the next calls lose their connection after the effect.
-	DropAnswers int `json:"drop_answers"`
+	// DropResponses is how many of the next calls lose their connection after the effect.
+	DropResponses int `json:"drop_answers"`
 	// Refuse and Leaving reject calls with status 503 and not_run, before any effect.
 	Refuse  bool `json:"refuse"`
 	Leaving bool `json:"leaving"`
-	// Slots limits how many calls may wait for their effect at once; 0 means no limit.
-	Slots int `json:"slots"`
+	// MaxConcurrent limits how many calls may wait for their effect at once; 0 means no limit.
+	MaxConcurrent int `json:"slots"`
 }
 
-// Run is the request body of a call.
-type Run struct {
+// RunRequest is the request body of a call.
+type RunRequest struct {
 	Key   string          `json:"key"`
 	Input json.RawMessage `json:"input"`
 }
@@ -67,8 +67,8 @@
 	return &Tool{name: name, counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
 }
 
-// Set replaces the injected faults.
-func (t *Tool) Set(faults Faults) {
+// SetFaults replaces the injected faults.
+func (t *Tool) SetFaults(faults Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = faults
@@ -87,7 +87,7 @@
 
 // Run applies the effect of a call, again if the key has taken effect before. It returns the faults
 // that were set when the call was admitted.
-func (t *Tool) Run(in Run) (Result, Faults, error) {
+func (t *Tool) Run(in RunRequest) (Result, Faults, error) {
 	faults, err := t.admit()
 	if err != nil {
 		return Result{}, faults, err
@@ -106,18 +106,18 @@
 	if t.faults.Refuse || t.faults.Leaving {
 		return t.faults, fault.Refuse(fault.Stopping, "service accepts no calls")
 	}
-	if t.faults.Slots > 0 && t.running >= t.faults.Slots {
+	if t.faults.MaxConcurrent > 0 && t.running >= t.faults.MaxConcurrent {
 		return t.faults, fault.Refuse(fault.Overloaded, "service has reached its limit of concurrent calls")
 	}
 	t.running++
 	faults := t.faults
-	if t.faults.DropAnswers > 0 {
-		t.faults.DropAnswers--
+	if t.faults.DropResponses > 0 {
+		t.faults.DropResponses--
 	}
 	return faults, nil
 }
 
-func (t *Tool) applyEffect(in Run) json.RawMessage {
+func (t *Tool) applyEffect(in RunRequest) json.RawMessage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
@@ -157,7 +157,7 @@
 }
 
 func (t *Tool) serveRun(w http.ResponseWriter, r *http.Request) {
-	var in Run
+	var in RunRequest
 	if err := server.ReadJSON(w, r, maxBodyBytes, &in); err != nil {
 		server.WriteProblem(w, "", err)
 		return
@@ -167,7 +167,7 @@
 		server.WriteProblem(w, "", err)
 		return
 	}
-	if faults.DropAnswers > 0 {
+	if faults.DropResponses > 0 {
 		server.CloseConnection(w)
 		return
 	}
@@ -180,6 +180,6 @@
 		server.WriteProblem(w, "", err)
 		return
 	}
-	t.Set(in)
+	t.SetFaults(in)
 	server.WriteJSON(w, http.StatusOK, in)
 }
