--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -17,7 +17,7 @@
 type Options struct {
 	// Root is the Git checkout to copy. It is not changed.
 	Root string
-	// Seed is the seed of the property tests, Checks the number of plans that ./proof tries.
+	// Seed is the seed of the property tests, MaxPlans the number of plans that ./proof tries.
 	Seed     string
 	MaxPlans string
 	// Timeout is the time limit of one mutant.
@@ -30,7 +30,7 @@
 	// Found is set if a test failed.
 	Found bool
 	// TestedBy names the tests that ran last: owner (./desk), fleet (./proof), slots (the package in
-	// Mutant.Fuzz) or tests (the package in Mutant.Tests).
+	// Mutant.FuzzPackage) or tests (the package in Mutant.TestPackage).
 	TestedBy string
 	// PlansTried is the number of plans that the property test tried until it failed, Steps the length
 	// of the failing plan. They are empty and 0 if the test does not print them.
--- a/bench/probe/proc.go
+++ b/bench/probe/proc.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Line is y = Base + Slope*x. R2 is the share of the variance of y that it explains.
+// Line is y = Intercept + Slope*x. R2 is the share of the variance of y that it explains.
 type Line struct {
 	Intercept, Slope, R2 float64
 }
--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -116,7 +116,7 @@
 	done chan struct{}
 }
 
-// New returns a Loop for a box in the availability zone.
+// New returns a Scheduler for a box in the availability zone.
 func New(zone string, opts Options, places PlacementPolicy, counts Counts, logger *slog.Logger) *Scheduler {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Scheduler{
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -12,7 +12,7 @@
 	// HeartbeatInterval is the interval between heartbeats to other boxes.
 	HeartbeatInterval types.Duration `json:"beat"`
 	// SuspectTimeout is how long a box may be silent before it no longer counts as live. It must be at
-	// least three times Beat.
+	// least three times HeartbeatInterval.
 	SuspectTimeout types.Duration `json:"suspect"`
 	// ListInterval is the interval between reads of the platform's list.
 	ListInterval types.Duration `json:"list"`
@@ -64,7 +64,7 @@
 // Engines holds the settings for polling engines.
 type Engines struct {
 	// PollInterval is the interval between load reports from an engine that has calls of this box in
-	// flight, IdlePoll that from other engines.
+	// flight, IdlePollInterval that from other engines.
 	PollInterval     types.Duration `json:"poll"`
 	IdlePollInterval types.Duration `json:"idle_poll"`
 	// SyncInterval is the interval between reads of an engine's whole cache list.
@@ -126,7 +126,7 @@
 	BodyTimeout types.Duration `json:"body_timeout"`
 	// TrailSteps is the number of recent decision steps that are kept for operators.
 	TrailSteps int `json:"trail_steps"`
-	// StopTimeout bounds a graceful stop; OwnerWait bounds the search for a slot's owner.
+	// StopTimeout bounds a graceful stop; OwnerTimeout bounds the search for a slot's owner.
 	StopTimeout  types.Duration `json:"stop_wait"`
 	OwnerTimeout types.Duration `json:"owner_wait"`
 }
--- a/gate/desk/sweep_test.go
+++ b/gate/desk/sweep_test.go
@@ -11,7 +11,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// withPrograms returns a Desk with n idle programs.
+// withPrograms returns an OwnerState with n idle programs.
 func withPrograms(tb testing.TB, n int) *OwnerState {
 	tb.Helper()
 	d := New(fold.New(), "i")
--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -27,7 +27,7 @@
 )
 
 // runOnOwner runs local if this box owns the slot, and forwards the request to path at the
-// owner otherwise. It retries for at most Options.OwnerWait while ownership moves or the owner
+// owner otherwise. It retries for at most Options.OwnerTimeout while ownership moves or the owner
 // is unreachable. Retrying after a lost response is safe, because the owner joins a repeated
 // request to the first one or repeats its answer.
 func (f *Front) runOnOwner(c *call, slot ident.Slot, path string, local func() error) error {
--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -160,7 +160,7 @@
 }
 
 // applyList updates the boxes from the list. It removes unlisted boxes that are silent for
-// longer than Timing.Suspect. The caller must hold v.mu.
+// longer than Timing.SuspectTimeout. The caller must hold v.mu.
 func (v *View) applyList(list types.PlatformList) {
 	v.list = list
 	now := time.Now()
@@ -248,7 +248,7 @@
 }
 
 // exchange sends a heartbeat to m and records the heartbeat in the reply. Errors are ignored:
-// a box that does not answer stops being live after Timing.Suspect.
+// a box that does not answer stops being live after Timing.SuspectTimeout.
 func (v *View) exchange(m types.Member, beat *wire.BeatRequest) {
 	ctx, stop := context.WithTimeout(v.ctx, v.timing.SuspectTimeout/2)
 	defer stop()
@@ -298,15 +298,15 @@
 }
 
 // Settled reports whether the list was read, at least two rounds of heartbeats are complete
-// and Timing.Suspect has passed since the start.
+// and Timing.SuspectTimeout has passed since the start.
 func (v *View) Settled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.listRead && v.rounds >= 2 && time.Since(v.started) >= v.timing.SuspectTimeout
 }
 
-// isLive reports whether a heartbeat of the box arrived within Timing.Suspect. Before the
-// first heartbeat, a listed box is live for Timing.Suspect after it was added, or for as long
+// isLive reports whether a heartbeat of the box arrived within Timing.SuspectTimeout. Before the
+// first heartbeat, a listed box is live for Timing.SuspectTimeout after it was added, or for as long
 // as it is kept if this box sends it no heartbeats. The caller must hold v.mu.
 func (v *View) isLive(b *box, now time.Time) bool {
 	if !b.lastSeen.IsZero() {
--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -80,7 +80,7 @@
 }
 
 // Stop stops the box gracefully: it announces that the box leaves, releases the slots while the
-// box still serves, and then finishes the accepted work, within Limits.StopWait in total.
+// box still serves, and then finishes the accepted work, within Limits.StopTimeout in total.
 func (b *Box) Stop(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(b.env.Settings.Limits.StopTimeout))
 	defer stop()
--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -55,7 +55,7 @@
 	// copyAgeDiv sets the age at which a revision is copied, as a fraction of Retention.
 	copyAgeDiv  = 3
 	callTimeout = 2 * time.Second
-	// targetPollers is about the number of reads of the stream per Poll in a large fleet. Each
+	// targetPollers is about the number of reads of the stream per PollInterval in a large fleet. Each
 	// box then reads less often and learns of new revisions from heartbeats.
 	targetPollers = 16
 )
--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -21,7 +21,7 @@
 	Delay types.Duration `json:"slow"`
 	// LoseResponses is how many of the next appends fail after they took effect.
 	LoseResponses int `json:"lose_answers"`
-	// LateAppends is how many of the next appends fail and then take effect after Late.
+	// LateAppends is how many of the next appends fail and then take effect after LateDelay.
 	LateAppends int            `json:"late_appends"`
 	LateDelay   types.Duration `json:"late"`
 	// AppendsPerSecond is in appends per second over all streams; 0 means no limit.
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -18,7 +18,7 @@
 	StepTime types.Duration `json:"step_time"`
 	// BatchCost is the time that each running stream adds to a step, as a fraction of StepTime.
 	BatchCost float64 `json:"batch_cost"`
-	// PrefillRate is in tokens per second; Chunk is the limit of prompt tokens computed in a step.
+	// PrefillRate is in tokens per second; PrefillChunk is the limit of prompt tokens computed in a step.
 	PrefillRate  float64 `json:"prefill_rate"`
 	PrefillChunk int     `json:"chunk"`
 	CacheSize    int64   `json:"cache_size"`
@@ -76,13 +76,13 @@
 	Tokens int64 `json:"tokens"`
 	// ChargedTokens counts prompt and output tokens by cache key.
 	ChargedTokens map[string]int64 `json:"charged"`
-	// Items is the number of cached items, Held the number of those that can't be evicted.
+	// CacheItems is the number of cached items, Held the number of those that can't be evicted.
 	Held  int `json:"held"`
 	Items int `json:"items"`
 	// EvictedTokens counts the tokens of evicted items.
 	EvictedTokens int64     `json:"evicted"`
 	LastCall      time.Time `json:"last_call"`
-	// LoadOrders counts orders to load a model, Stale the orders rejected for an old fencing number.
+	// LoadOrders counts orders to load a model, StaleOrders the orders rejected for an old fencing number.
 	LoadOrders  int `json:"loads"`
 	StaleOrders int `json:"stale_orders"`
 	// HeldTokenSeconds is the integral of the tokens of held items, sampled at every load report.
@@ -138,7 +138,7 @@
 	}
 }
 
-// publishReports publishes a load report every ReportLag until ctx is done.
+// publishReports publishes a load report every ReportInterval until ctx is done.
 func (e *Engine) publishReports(ctx context.Context) {
 	interval := max(time.Duration(e.spec.ReportInterval), time.Millisecond)
 	tick := time.NewTicker(interval)
@@ -383,7 +383,7 @@
 }
 
 // LoadReport returns the newest load report and the cache events after a sequence number, of which
-// Faults.LoseEvents may leave out some.
+// Faults.EventLossRate may leave out some.
 func (e *Engine) LoadReport(after int64) (types.LoadReport, []types.CacheEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/model/orders.go
+++ b/stand/model/orders.go
@@ -24,7 +24,7 @@
 	Held   bool `json:"held"`
 }
 
-// ApplyCacheOrder executes a cache order other than OpImport, for which the caller uses Import.
+// ApplyCacheOrder executes a cache order other than OpImport, for which the caller uses ImportItems.
 func (e *Engine) ApplyCacheOrder(order types.CacheOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/proxy/proxy.go
+++ b/stand/proxy/proxy.go
@@ -24,7 +24,7 @@
 type Faults struct {
 	// Delay is added before each chunk of bytes is forwarded.
 	Delay types.Duration `json:"delay"`
-	// DropToTarget and CutDown drop the bytes sent to and received from the target; connections stay open.
+	// DropToTarget and DropFromTarget drop the bytes sent to and received from the target; connections stay open.
 	DropToTarget   bool `json:"cut_up"`
 	DropFromTarget bool `json:"cut_down"`
 	// Refuse closes new and open connections.
