--- a/gate/sched/admission.go
+++ b/gate/sched/admission.go
@@ -43,7 +43,8 @@
 	Estimates EngineEstimates
 	Overload  Overload
 	profiles  profiles
-	active    map[string]*activeProgram
+	// active holds the programs that have started and not yet been forgotten, by name.
+	active map[string]*activeProgram
 	// refused holds the programs that were refused before they started, by name.
 	refused map[string]refusal
 }
@@ -51,8 +52,8 @@
 // activeProgram is the state of a program that has started.
 type activeProgram struct {
 	kind string
-	// inFlight counts the turns in progress; turns counts those run one after another, where turns
-	// that overlap count once.
+	// inFlight counts the turns in progress. turns counts the turns run so far, where turns that
+	// overlap count once.
 	inFlight, turns int
 	// lastTurnEnd is when the last turn ended.
 	lastTurnEnd time.Time
@@ -65,15 +66,15 @@
 }
 
 const (
-	// minRetryAfter is the least retry delay; within less, hardly any turn ends.
+	// minRetryAfter is the minimum retry delay. In a shorter time hardly any turn ends.
 	minRetryAfter = 150 * time.Millisecond
-	// maxLostTimeShare is the share of its time after which a refused program is unlikely to meet
-	// its deadline.
+	// maxLostTimeShare is the share of the time until its deadline that a refused program may lose
+	// before it counts as unlikely to meet the deadline.
 	maxLostTimeShare = 0.1
 	// maxRefused bounds the number of remembered refusals.
 	maxRefused = 10_000
-	// programIdleTimeout is the idle time after which a program counts as ended; tools and most
-	// callers take less. forgetBatch is the number of programs that are checked for it per call.
+	// programIdleTimeout is the idle time after which a program counts as ended. Most pauses between
+	// turns are shorter. forgetBatch is the number of programs that each call of forget checks.
 	programIdleTimeout = 2 * time.Second
 	forgetBatch        = 8
 )
@@ -85,17 +86,17 @@
 
 // Admit decides on a turn that has just arrived.
 func (a *Admission) Admit(now time.Time, turn Turn) AdmissionDecision {
-	verdict := AdmissionDecision{Slowdown: a.Overload.Slowdown(now), Utilization: a.Overload.Utilization()}
+	decision := AdmissionDecision{Slowdown: a.Overload.Slowdown(now), Utilization: a.Overload.Utilization()}
 	if !turn.NewProgram {
-		return verdict
+		return decision
 	}
 	share := a.Overload.admitShare(now, turn.Priority, a.unlikelyInTime(now, turn))
 	if share >= 1 || rand.Float64() < share {
-		return verdict
+		return decision
 	}
 	a.rememberRefusal(now, turn)
-	verdict.Refuse, verdict.RetryAfter = true, jitter(a.Estimates.turnTime())
-	return verdict
+	decision.Refuse, decision.RetryAfter = true, jitter(a.Estimates.turnTime())
+	return decision
 }
 
 // jitter returns a random retry delay between wait and twice wait, so that callers that were
@@ -105,6 +106,8 @@
 	return wait + rand.N(wait)
 }
 
+// rememberRefusal records the refusal of a program, unless an earlier one is recorded or its deadline
+// is unknown or past.
 func (a *Admission) rememberRefusal(now time.Time, turn Turn) {
 	if _, ok := a.refused[turn.Program]; ok || turn.TimeLeft <= 0 {
 		return
@@ -126,9 +129,9 @@
 
 // TurnStarted records that a turn has got its place.
 func (a *Admission) TurnStarted(now time.Time, turn Turn) {
-	kindProfile := a.profiles.get(turn.Kind)
+	prof := a.profiles.get(turn.Kind)
 	if _, again := a.refused[turn.Program]; turn.NewProgram && turn.TimeLeft > 0 && !again {
-		kindProfile.timeLeft = updateMean(kindProfile.timeLeft, turn.TimeLeft)
+		prof.timeLeft = updateMean(prof.timeLeft, turn.TimeLeft)
 	}
 	delete(a.refused, turn.Program)
 	p, ok := a.active[turn.Program]
@@ -137,7 +140,7 @@
 		a.active[turn.Program] = p
 	}
 	if ok && p.inFlight == 0 {
-		kindProfile.addPause(now.Sub(p.lastTurnEnd))
+		prof.addPause(now.Sub(p.lastTurnEnd))
 	}
 	if p.inFlight == 0 {
 		p.turns++
@@ -169,14 +172,14 @@
 	}
 }
 
-// TurnAnswered records a turn that was answered completely. ideal is the estimated time of the turn at
-// an engine without other load, zero if it is unknown.
+// TurnAnswered records a turn that was answered completely. ideal is the estimated time of the turn on
+// a lightly loaded engine, zero if it is unknown.
 func (a *Admission) TurnAnswered(now time.Time, turn Turn, ideal time.Duration) {
 	if ideal <= 0 {
 		return
 	}
 	a.Estimates.ObserveTurn(ideal)
-	k := a.profiles.get(turn.Kind)
-	k.unloadedTurn = updateMean(k.unloadedTurn, ideal)
-	a.Overload.ObserveTurn(now, float64(now.Sub(turn.Arrived))/float64(ideal), k.allowedSlowdown())
+	prof := a.profiles.get(turn.Kind)
+	prof.unloadedTurn = updateMean(prof.unloadedTurn, ideal)
+	a.Overload.ObserveTurn(now, float64(now.Sub(turn.Arrived))/float64(ideal), prof.allowedSlowdown())
 }
--- a/gate/sched/admission_test.go
+++ b/gate/sched/admission_test.go
@@ -11,28 +11,28 @@
 var testStart = time.UnixMilli(1_700_000_000_000)
 
 // countAdmitted returns how many of a hundred programs are admitted.
-func countAdmitted(in *Admission, now time.Time, turn Turn) int {
+func countAdmitted(adm *Admission, now time.Time, turn Turn) int {
 	n := 0
 	for i := range 100 {
 		turn.Program = fmt.Sprint(turn.Kind, i)
-		if !in.Admit(now, turn).Refuse {
+		if !adm.Admit(now, turn).Refuse {
 			n++
 		}
 	}
 	return n
 }
 
-// newLoadedAdmission returns an Admission that has observed the load for half a minute, and the
-// time then.
-func newLoadedAdmission(stretch, taken float64) (*Admission, time.Time) {
-	in := NewAdmission()
+// newLoadedAdmission returns an Admission that has observed the given load for half a minute, and the
+// time at the end of it.
+func newLoadedAdmission(stretch, utilization float64) (*Admission, time.Time) {
+	adm := NewAdmission()
 	now := testStart
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
-		in.Overload.ObserveTurn(now, stretch, 1)
-		in.Overload.SetUtilization(now, taken)
+		adm.Overload.ObserveTurn(now, stretch, 1)
+		adm.Overload.SetUtilization(now, utilization)
 	}
-	return in, now
+	return adm, now
 }
 
 // TestAdmitByLoad checks that all programs start under usual load, none under sustained overload,
@@ -40,9 +40,9 @@
 func TestAdmitByLoad(t *testing.T) {
 	starting, running := Turn{Kind: "k", NewProgram: true}, Turn{Kind: "k"}
 	cases := []struct {
-		name           string
-		stretch, taken float64
-		admitted       int
+		name                 string
+		stretch, utilization float64
+		admitted             int
 	}{
 		{"calm", 0.5, 0.3, 100},
 		{"nothing reported", 0.9, -1, 100},
@@ -53,8 +53,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			in, now := newLoadedAdmission(c.stretch, c.taken)
-			got := []int{countAdmitted(in, now, starting), countAdmitted(in, now, running)}
+			adm, now := newLoadedAdmission(c.stretch, c.utilization)
+			got := []int{countAdmitted(adm, now, starting), countAdmitted(adm, now, running)}
 			if diff := cmp.Diff([]int{c.admitted, 100}, got); diff != "" {
 				t.Errorf("admitted of a hundred new and a hundred running programs (-want +got):\n%s", diff)
 			}
@@ -62,68 +62,68 @@
 	}
 }
 
-// TestAdmitInShortBurst checks that a burst of two seconds on the slots refuses no program.
+// TestAdmitInShortBurst checks that no program is refused when the slots are full for two seconds.
 func TestAdmitInShortBurst(t *testing.T) {
-	in, now := newLoadedAdmission(0.5, 0.4)
+	adm, now := newLoadedAdmission(0.5, 0.4)
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		in.Overload.SetUtilization(now, 1.1)
+		adm.Overload.SetUtilization(now, 1.1)
 	}
-	if got := countAdmitted(in, now, Turn{Kind: "k", NewProgram: true}); got != 100 {
+	if got := countAdmitted(adm, now, Turn{Kind: "k", NewProgram: true}); got != 100 {
 		t.Errorf("%d of 100 programs admitted, want all", got)
 	}
 }
 
 // TestAdmitByPriority checks that less urgent programs are refused first.
 func TestAdmitByPriority(t *testing.T) {
-	in, now := newLoadedAdmission(0.5, 0.93)
-	first := countAdmitted(in, now, Turn{Kind: "first", NewProgram: true})
-	third := countAdmitted(in, now, Turn{Kind: "third", NewProgram: true, Priority: 2})
+	adm, now := newLoadedAdmission(0.5, 0.93)
+	first := countAdmitted(adm, now, Turn{Kind: "first", NewProgram: true})
+	third := countAdmitted(adm, now, Turn{Kind: "third", NewProgram: true, Priority: 2})
 	if first < 40 || third != 0 {
 		t.Errorf("%d programs of priority 0 admitted, want at least 40; %d of priority 2, want 0", first, third)
 	}
 }
 
-// TestAdmitAfterLostTime checks that a program that was refused is refused again once too much of
-// its time is lost, unless the load is low, and that a new one is admitted.
+// TestAdmitAfterLostTime checks that a refused program which has lost too much time is refused again,
+// that another program is admitted at the same load, and that a late one is admitted at low load.
 func TestAdmitAfterLostTime(t *testing.T) {
-	in, now := newLoadedAdmission(0.9, 0.8)
+	adm, now := newLoadedAdmission(0.9, 0.8)
 	turn := Turn{Program: "p", Kind: "k", NewProgram: true, TimeLeft: 2 * time.Second, Arrived: now}
-	in.rememberRefusal(now, turn)
+	adm.rememberRefusal(now, turn)
 	later := now.Add(500 * time.Millisecond)
-	in.Overload.ObserveTurn(later, 0.9, 1)
+	adm.Overload.ObserveTurn(later, 0.9, 1)
 	turn.TimeLeft, turn.Arrived = turn.TimeLeft-500*time.Millisecond, later
-	if !in.Admit(later, turn).Refuse {
+	if !adm.Admit(later, turn).Refuse {
 		t.Error("a program that has lost a quarter of its time is admitted")
 	}
 	turn.Program = "q"
-	if in.Admit(later, turn).Refuse {
+	if adm.Admit(later, turn).Refuse {
 		t.Error("a program that was not refused before is refused")
 	}
-	for _, taken := range []float64{0.1, 0.45} {
-		calm, now := newLoadedAdmission(0.5, taken)
+	for _, utilization := range []float64{0.1, 0.45} {
+		calm, now := newLoadedAdmission(0.5, utilization)
 		turn.TimeLeft, turn.Arrived, turn.Priority = -time.Second, now, 1
 		if calm.Admit(now, turn).Refuse {
-			t.Errorf("a late program is refused at a utilization of %.2f", taken)
+			t.Errorf("a late program is refused at a utilization of %.2f", utilization)
 		}
 	}
 }
 
 // TestSlowdownDecays checks that a box that refuses all programs admits them again after a while.
 func TestSlowdownDecays(t *testing.T) {
-	in, now := newLoadedAdmission(5, -1)
+	adm, now := newLoadedAdmission(5, -1)
 	turn := Turn{Kind: "k", NewProgram: true}
-	if countAdmitted(in, now, turn) != 0 || countAdmitted(in, now.Add(4*slowdownHalfLife), turn) != 100 {
-		t.Errorf("%d of 100 programs admitted at first, want 0; %d later, want 100", countAdmitted(in, now, turn), countAdmitted(in, now.Add(4*slowdownHalfLife), turn))
+	if countAdmitted(adm, now, turn) != 0 || countAdmitted(adm, now.Add(4*slowdownHalfLife), turn) != 100 {
+		t.Errorf("%d of 100 programs admitted at first, want 0; %d later, want 100", countAdmitted(adm, now, turn), countAdmitted(adm, now.Add(4*slowdownHalfLife), turn))
 	}
 }
 
 // TestRetryAfterIsJittered checks that callers that are refused together don't retry together.
 func TestRetryAfterIsJittered(t *testing.T) {
-	in, now := newLoadedAdmission(5, 2)
+	adm, now := newLoadedAdmission(5, 2)
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		after := in.Admit(now, Turn{Kind: "k", NewProgram: true}).RetryAfter
+		after := adm.Admit(now, Turn{Kind: "k", NewProgram: true}).RetryAfter
 		if after < minRetryAfter || after > 2*defaultTurnTime {
 			t.Fatalf("retry delay %v is out of range", after)
 		}
@@ -134,20 +134,20 @@
 	}
 }
 
-// TestFiguresIdeal checks that the prefill rate, the time to the first event and the time between
-// events are learned from turns, and that there is no estimate before the first turn.
+// TestFiguresIdeal checks that the time of an unloaded turn is estimated from observed first events and
+// event gaps, and that there is no estimate before the first turn.
 func TestFiguresIdeal(t *testing.T) {
-	var f EngineEstimates
-	if got := f.UnloadedTurnTime(1000, 10); got != 0 {
+	var estimates EngineEstimates
+	if got := estimates.UnloadedTurnTime(1000, 10); got != 0 {
 		t.Errorf("time of a turn before any was observed: %v, want 0", got)
 	}
 	for i := range 100 {
 		missing := 100 + 37*i%900
-		f.ObserveFirstEvent(30*time.Millisecond+time.Duration(missing)*time.Millisecond/50, missing)
-		f.ObserveEventGap(25 * time.Millisecond)
+		estimates.ObserveFirstEvent(30*time.Millisecond+time.Duration(missing)*time.Millisecond/50, missing)
+		estimates.ObserveEventGap(25 * time.Millisecond)
 	}
 	want := 30*time.Millisecond + 20*time.Millisecond + 9*25*time.Millisecond
-	if got := f.UnloadedTurnTime(1000, 10); got < want-time.Millisecond || got > want+time.Millisecond {
+	if got := estimates.UnloadedTurnTime(1000, 10); got < want-time.Millisecond || got > want+time.Millisecond {
 		t.Errorf("time of a turn: %v, want %v", got, want)
 	}
 }
@@ -155,8 +155,8 @@
 // TestAllowedSlowdown checks the slowdown that a kind of program allows, before and after programs
 // are observed.
 func TestAllowedSlowdown(t *testing.T) {
-	in := NewAdmission()
-	if got := in.profiles.get("k").allowedSlowdown(); got != defaultAllowedSlowdown {
+	adm := NewAdmission()
+	if got := adm.profiles.get("k").allowedSlowdown(); got != defaultAllowedSlowdown {
 		t.Errorf("allowed slowdown before any program was observed: %v", got)
 	}
 	now := testStart
@@ -164,20 +164,20 @@
 		turn := Turn{Program: fmt.Sprint(n), Kind: "k", NewProgram: true, TimeLeft: 2 * time.Second}
 		for range 4 {
 			turn.Arrived = now
-			in.TurnStarted(now, turn)
+			adm.TurnStarted(now, turn)
 			now = now.Add(200 * time.Millisecond)
-			in.TurnEnded(now, turn)
-			in.TurnAnswered(now, turn, 200*time.Millisecond)
+			adm.TurnEnded(now, turn)
+			adm.TurnAnswered(now, turn, 200*time.Millisecond)
 			now = now.Add(100 * time.Millisecond)
 			turn.NewProgram = false
 		}
 		now = now.Add(2 * programIdleTimeout)
 	}
-	// Four turns in 2 s are 500 ms each, of which 100 ms are a pause: 200 ms more than they need.
-	if got, want := in.profiles.get("k").allowedSlowdown(), 1+usableSlack; got < want-0.1 || got > want+0.1 {
+	// Four turns in 2 s leave 500 ms for each. A turn needs 200 ms and its pause 100 ms, so 200 ms are spare.
+	if got, want := adm.profiles.get("k").allowedSlowdown(), 1+usableSlack; got < want-0.1 || got > want+0.1 {
 		t.Errorf("allowed slowdown: %.2f, want %.2f", got, want)
 	}
-	if len(in.active) > 2*forgetBatch {
-		t.Errorf("%d programs are kept as active", len(in.active))
+	if len(adm.active) > 2*forgetBatch {
+		t.Errorf("%d programs are kept as active", len(adm.active))
 	}
 }
--- a/gate/sched/cold_test.go
+++ b/gate/sched/cold_test.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// TestColdShare checks that boxes which all want a cold replica send it no more calls than the
-// limit within any second, with one or two senders a zone, and that one sender a zone uses at least
-// half of the rate.
+// TestColdShare checks that the boxes together send a cold replica no more calls than the limit
+// within any second, with one or two senders a zone, and at least half of the rate with one.
 func TestColdShare(t *testing.T) {
-	bounds := ColdLimits{Overshoot: 1.5, Slack: 5}
+	limits := ColdLimits{Overshoot: 1.5, Slack: 5}
 	const rate, zones = 23.0, 3
 	for senders := 1; senders <= 2; senders++ {
 		rng := rand.New(rand.NewPCG(1, uint64(senders)))
 		boxes := make([]SendLog, zones*senders)
-		limit := bounds.CallsPerBox(rate, zones)
+		limit := limits.CallsPerBox(rate, zones)
 		now := time.Unix(0, 0)
 		var arrived []time.Time
 		for range 4000 {
@@ -33,7 +32,7 @@
 					in++
 				}
 			}
-			if bound := rate*bounds.Overshoot + bounds.Slack; float64(in) > bound {
+			if bound := rate*limits.Overshoot + limits.Slack; float64(in) > bound {
 				t.Fatalf("%d senders a zone send %d calls within a second, want at most %.1f", senders, in, bound)
 			}
 		}
--- a/gate/sched/engine.go
+++ b/gate/sched/engine.go
@@ -37,18 +37,22 @@
 // Candidate is a target that the call may use, with its state as this box knows it.
 type Candidate struct {
 	Name string
-	// Running and Queued are the streams in the target's last report.
+	// Running and Queued are the numbers of streams in the target's last report, and MaxBatch is the
+	// number of streams that the target runs at once.
 	Running, Queued int
 	MaxBatch        int
-	// PrefillTokens and OutputTokens are the work outstanding in that report.
+	// PrefillTokens and OutputTokens are the outstanding work in that report, in tokens.
 	PrefillTokens, OutputTokens int64
-	PrefillRate                 float64
-	Step                        time.Duration
-	CacheUsed                   int64
-	CacheSize                   int64
-	// InFlight is the number of this box's streams in flight, InFlightAtReport that number at the report.
+	// PrefillRate is in tokens a second, and Step is the time of a decoding step.
+	PrefillRate float64
+	Step        time.Duration
+	// CacheUsed and CacheSize are the used and the total size of the cache, in the same unit.
+	CacheUsed int64
+	CacheSize int64
+	// InFlight is the number of this box's streams in flight, and InFlightAtReport that number at the
+	// report.
 	InFlight, InFlightAtReport int
-	// OthersInFlight is the number of other boxes' streams, from their heartbeats.
+	// OthersInFlight is the number of other boxes' streams in flight, according to their heartbeats.
 	OthersInFlight int
 	// CachedTokens is how much of the prompt the target is estimated to hold in its cache, in tokens.
 	CachedTokens int
@@ -61,8 +65,8 @@
 }
 
 const (
-	// drawShare is how much more than the best score a candidate's may be to be drawn, as a share
-	// of the difference between the best and the worst; minDrawMargin is the least margin.
+	// drawShare is how far above the best score a candidate's score may be for it to be drawn, as a
+	// share of the difference between the best and the worst. minDrawMargin is the least margin.
 	drawShare     = 0.05
 	minDrawMargin = time.Millisecond
 	// minWaitGain is how much better a full target must score for the call to wait for it: about
@@ -75,12 +79,12 @@
 	// evictionWeight weighs the prefill that other programs must repeat when a new prefix evicts
 	// theirs.
 	evictionWeight = 1.0
-	// evictionThreshold is the cache utilization from which a new prefix evicts others.
+	// evictionThreshold is the cache utilization above which a new prefix is assumed to evict others.
 	evictionThreshold = 0.85
 	// defaultOutputSteps is the least length that is assumed of a queued stream, in steps.
 	defaultOutputSteps = 32
-	// stepGrowth is the share by which each stream in the batch lengthens a step; engines don't
-	// report it.
+	// stepGrowth is the share by which each stream in the batch is assumed to lengthen a step, since
+	// engines don't report it.
 	stepGrowth = 0.03
 )
 
@@ -94,7 +98,7 @@
 
 // Score returns the expected cost of the call at the candidate: the time to the complete answer,
 // plus the delay that its prefill causes other programs there.
-func Score(ask PlacementRequest, c Candidate) time.Duration {
+func Score(req PlacementRequest, c Candidate) time.Duration {
 	load := float64(c.Load())
 	batch := math.Min(load+1, float64(c.MaxBatch))
 	step := c.Step.Seconds() * c.Slowdown * (1 + stepGrowth*batch)
@@ -103,9 +107,9 @@
 		perSlot := math.Max(float64(c.OutputTokens)/math.Max(load, 1), defaultOutputSteps)
 		wait += excess / float64(c.MaxBatch) * perSlot * step
 	}
-	prefill := float64(max(0, ask.PromptTokens-c.CachedTokens)) / c.PrefillRate * c.Slowdown
+	prefill := float64(max(0, req.PromptTokens-c.CachedTokens)) / c.PrefillRate * c.Slowdown
 	othersDelay := prefill * (prefillDelayWeight*(batch-1) + evictionWeight*evictionPressure(c))
-	answer := float64(ask.ExpectedTokens) * step
+	answer := float64(req.ExpectedTokens) * step
 	total := time.Duration((wait + prefill + othersDelay + answer) * float64(time.Second))
 	if c.OtherZone {
 		total += otherZoneCost
@@ -113,7 +117,8 @@
 	return total
 }
 
-// evictionPressure is 0 up to evictionThreshold and rises linearly to 1 as the cache fills.
+// evictionPressure returns 0 up to evictionThreshold, and from there a value that rises linearly to 1
+// as the cache fills.
 func evictionPressure(c Candidate) float64 {
 	if c.CacheSize == 0 {
 		return 0
@@ -124,40 +129,40 @@
 
 // Pick chooses one of the candidates with room and returns its index, or -1 if there is none or if
 // the call should wait for a full one. It also returns the score of every candidate.
-func Pick(strategy Strategy, ask PlacementRequest, cands []Candidate, rng *rand.Rand) (int, []types.ScoredTarget) {
-	weighed := make([]types.ScoredTarget, len(cands))
+func Pick(strategy Strategy, req PlacementRequest, cands []Candidate, rng *rand.Rand) (int, []types.ScoredTarget) {
+	scored := make([]types.ScoredTarget, len(cands))
 	for i, c := range cands {
-		weighed[i] = types.ScoredTarget{Name: c.Name, Score: Score(ask, c), Load: c.Load(), CachedTokens: c.CachedTokens, HasRoom: c.HasRoom}
+		scored[i] = types.ScoredTarget{Name: c.Name, Score: Score(req, c), Load: c.Load(), CachedTokens: c.CachedTokens, HasRoom: c.HasRoom}
 	}
 	switch strategy {
 	case Random:
-		return pickRandom(cands, rng), weighed
+		return pickRandom(cands, rng), scored
 	case LeastLoaded:
-		return pickLeast(cands), weighed
+		return pickLeast(cands), scored
 	case Sticky:
-		return pickSticky(ask, cands), weighed
+		return pickSticky(req, cands), scored
 	default:
-		return pickScored(cands, weighed, rng), weighed
+		return pickScored(cands, scored, rng), scored
 	}
 }
 
 // pickScored draws one of the near-best candidates, so that boxes with the same stale reports don't
-// all choose the same target. It returns -1 where a full target scores so much better, usually
-// since it caches the prefix, that the call should wait for it.
-func pickScored(cands []Candidate, weighed []types.ScoredTarget, rng *rand.Rand) int {
+// all choose the same target. It returns -1 if no candidate has room, or if a full target scores so
+// much better, usually because it caches the prefix, that the call should wait for it.
+func pickScored(cands []Candidate, scored []types.ScoredTarget, rng *rand.Rand) int {
 	best, worst, bestOfAll := time.Duration(math.MaxInt64), time.Duration(0), time.Duration(math.MaxInt64)
 	for i := range cands {
-		bestOfAll = min(bestOfAll, weighed[i].Score)
+		bestOfAll = min(bestOfAll, scored[i].Score)
 		if cands[i].HasRoom {
-			best = min(best, weighed[i].Score)
-			worst = max(worst, weighed[i].Score)
+			best = min(best, scored[i].Score)
+			worst = max(worst, scored[i].Score)
 		}
 	}
 	if best == math.MaxInt64 || bestOfAll+minWaitGain < best {
 		return -1
 	}
 	bound := best + max(time.Duration(float64(worst-best)*drawShare), minDrawMargin)
-	return drawAmong(len(cands), func(i int) bool { return cands[i].HasRoom && weighed[i].Score <= bound }, rng)
+	return drawAmong(len(cands), func(i int) bool { return cands[i].HasRoom && scored[i].Score <= bound }, rng)
 }
 
 func pickRandom(cands []Candidate, rng *rand.Rand) int {
@@ -180,7 +185,7 @@
 	return chosen
 }
 
-// pickLeast returns the target with the fewest of this box's calls in flight.
+// pickLeast chooses the candidate with the fewest of this box's calls in flight.
 func pickLeast(cands []Candidate) int {
 	chosen := -1
 	for i := range cands {
@@ -191,15 +196,15 @@
 	return chosen
 }
 
-// pickSticky chooses a target by rendezvous hashing of the program's name.
-func pickSticky(ask PlacementRequest, cands []Candidate) int {
+// pickSticky chooses a candidate by rendezvous hashing of the program's name.
+func pickSticky(req PlacementRequest, cands []Candidate) int {
 	names := make([]string, 0, len(cands))
 	for _, c := range cands {
 		if c.HasRoom {
 			names = append(names, c.Name)
 		}
 	}
-	winner := ident.Rendezvous(ask.Program, names)
+	winner := ident.Rendezvous(req.Program, names)
 	for i, c := range cands {
 		if c.Name == winner {
 			return i
--- a/gate/sched/engine_test.go
+++ b/gate/sched/engine_test.go
@@ -19,16 +19,18 @@
 	}
 }
 
-func pick(ask PlacementRequest, cands ...Candidate) string {
-	i, _ := Pick(Scored, ask, cands, rand.New(rand.NewPCG(1, 2)))
+func pick(req PlacementRequest, cands ...Candidate) string {
+	i, _ := Pick(Scored, req, cands, rand.New(rand.NewPCG(1, 2)))
 	if i < 0 {
 		return ""
 	}
 	return cands[i].Name
 }
 
+// TestPickWeighsPrefixAgainstQueue checks the choice between a target that caches the prefix and an idle
+// one.
 func TestPickWeighsPrefixAgainstQueue(t *testing.T) {
-	ask := PlacementRequest{Program: "p", PromptTokens: 2000, ExpectedTokens: 20}
+	req := PlacementRequest{Program: "p", PromptTokens: 2000, ExpectedTokens: 20}
 	full := candidate("held", 8, 2000)
 	full.HasRoom = false
 	cases := []struct {
@@ -43,7 +45,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, pick(ask, c.held, candidate("free", 0, 0))); diff != "" {
+			if diff := cmp.Diff(c.want, pick(req, c.held, candidate("free", 0, 0))); diff != "" {
 				t.Errorf("choice (-want +got):\n%s", diff)
 			}
 		})
@@ -84,22 +86,24 @@
 			room = room || c.HasRoom
 			cands[i] = c
 		}
-		ask := PlacementRequest{Program: "p", PromptTokens: 500, ExpectedTokens: 20}
+		req := PlacementRequest{Program: "p", PromptTokens: 500, ExpectedTokens: 20}
 		for _, strategy := range Strategies() {
-			i, weighed := Pick(strategy, ask, cands, rand.New(rand.NewPCG(3, 4)))
+			i, scored := Pick(strategy, req, cands, rand.New(rand.NewPCG(3, 4)))
 			if i >= 0 && !cands[i].HasRoom {
 				rt.Fatalf("%s chose %s, which has no room", strategy, cands[i].Name)
 			}
 			if i < 0 && room && strategy != Scored {
 				rt.Fatalf("%s chose no target though one has room", strategy)
 			}
-			if len(weighed) != n {
-				rt.Fatalf("%d of %d candidates have a score", len(weighed), n)
+			if len(scored) != n {
+				rt.Fatalf("%d of %d candidates have a score", len(scored), n)
 			}
 		}
 	})
 }
 
+// TestRank checks that each order ranks the expected program first, and that a higher priority ranks
+// above all.
 func TestRank(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	old := ProgramProgress{Started: now, Arrived: now.Add(time.Minute), Attained: 5000}
--- a/gate/sched/figures.go
+++ b/gate/sched/figures.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// EngineEstimates estimates the speed of a service's engines. ObserveFirstEvent and ObserveEventGap take only turns that ran on
-// lightly loaded engines: under load their times show mostly queueing.
+// EngineEstimates estimates the speed of a service's engines. ObserveFirstEvent and ObserveEventGap must
+// only be called for turns on lightly loaded engines, since under load their times show mostly queueing.
 type EngineEstimates struct {
 	// firstEvent fits the time to the first event, in milliseconds, to the number of prefilled
 	// tokens.
 	firstEvent linearFit
-	// gap is the mean time between two events, zero before the first measurement.
+	// gap is the mean time between two events, zero before the first observation.
 	gap time.Duration
 	// unloadedTurn is the mean time that turns would have taken on lightly loaded engines, zero
 	// before the first estimate. Observed times are not used, since they grow with the load: costs
-	// that grew with it would outweigh those of prefill, and make programs change replicas.
+	// based on them would outweigh the cost of prefill and make programs change replicas.
 	unloadedTurn time.Duration
 }
 
 const (
 	// defaultPrefillRate, in prompt tokens a millisecond, and defaultTurnTime are used until there
-	// are measurements. They suit a large model on one accelerator.
+	// are estimates. They suit a large model on one accelerator.
 	defaultPrefillRate = 40
 	defaultTurnTime    = 400 * time.Millisecond
-	// meanWeight is the weight of a new value in a running mean, which covers about the last
-	// twenty.
+	// meanWeight is the weight of a new value in a running mean, which covers about the last twenty
+	// values.
 	meanWeight = 0.05
 )
 
 // prefillTime estimates the time to prefill the tokens.
-func (f *EngineEstimates) prefillTime(tokens int) time.Duration {
-	slope, ok := f.firstEvent.slope()
+func (e *EngineEstimates) prefillTime(tokens int) time.Duration {
+	slope, ok := e.firstEvent.slope()
 	if !ok {
 		slope = 1.0 / defaultPrefillRate
 	}
@@ -36,38 +36,40 @@
 }
 
 // turnTime returns the mean time of a turn on a lightly loaded engine.
-func (f *EngineEstimates) turnTime() time.Duration {
-	if f.unloadedTurn == 0 {
+func (e *EngineEstimates) turnTime() time.Duration {
+	if e.unloadedTurn == 0 {
 		return defaultTurnTime
 	}
-	return f.unloadedTurn
+	return e.unloadedTurn
 }
 
 // ObserveTurn records how long a turn would have taken on a lightly loaded engine.
-func (f *EngineEstimates) ObserveTurn(ideal time.Duration) {
-	f.unloadedTurn = updateMean(f.unloadedTurn, ideal)
+func (e *EngineEstimates) ObserveTurn(ideal time.Duration) {
+	e.unloadedTurn = updateMean(e.unloadedTurn, ideal)
 }
 
-// ObserveFirstEvent records the time to the first event of a turn that had to prefill the missing tokens.
-func (f *EngineEstimates) ObserveFirstEvent(took time.Duration, missing int) {
-	f.firstEvent.add(float64(missing), float64(took)/float64(time.Millisecond))
+// ObserveFirstEvent records the time to the first event of a turn for which the engine had to prefill
+// the missing tokens.
+func (e *EngineEstimates) ObserveFirstEvent(took time.Duration, missing int) {
+	e.firstEvent.add(float64(missing), float64(took)/float64(time.Millisecond))
 }
 
 // ObserveEventGap records the mean time between the events of an answer.
-func (f *EngineEstimates) ObserveEventGap(gap time.Duration) {
-	f.gap = updateMean(f.gap, gap)
+func (e *EngineEstimates) ObserveEventGap(gap time.Duration) {
+	e.gap = updateMean(e.gap, gap)
 }
 
-// UnloadedTurnTime returns the time that a turn takes on a lightly loaded engine, zero if it is unknown.
-func (f *EngineEstimates) UnloadedTurnTime(missing, events int) time.Duration {
-	if _, ok := f.firstEvent.slope(); !ok || f.gap == 0 {
+// UnloadedTurnTime estimates the time on a lightly loaded engine of a turn with missing tokens to prefill
+// and the given number of events in its answer. It returns zero if it has no estimate yet.
+func (e *EngineEstimates) UnloadedTurnTime(missing, events int) time.Duration {
+	if _, ok := e.firstEvent.slope(); !ok || e.gap == 0 {
 		return 0
 	}
-	start := time.Duration(f.firstEvent.predict(0) * float64(time.Millisecond))
-	return max(start, 0) + f.prefillTime(missing) + time.Duration(max(events-1, 0))*f.gap
+	start := time.Duration(e.firstEvent.predict(0) * float64(time.Millisecond))
+	return max(start, 0) + e.prefillTime(missing) + time.Duration(max(events-1, 0))*e.gap
 }
 
-// updateMean adds a value to a running mean; the first value becomes the mean.
+// updateMean returns the running mean after the value seen; the first value becomes the mean.
 func updateMean(old, seen time.Duration) time.Duration {
 	if old == 0 {
 		return seen
@@ -93,7 +95,7 @@
 	l.xy = l.xy*fitDecay + x*y
 }
 
-// slope returns the slope of the line. It is false if there are too few points, or if the slope is
+// slope returns the slope of the line. ok is false if there are too few points, or if the slope is
 // undefined or not positive.
 func (l *linearFit) slope() (slope float64, ok bool) {
 	spread := l.n*l.xx - l.x*l.x
@@ -104,7 +106,7 @@
 	return slope, slope > 0
 }
 
-// predict returns the line's y at x, or the mean y if the slope is undefined.
+// predict returns the line's y at x, or the mean y if there are too few points or the slope is undefined.
 func (l *linearFit) predict(x float64) float64 {
 	if l.n == 0 {
 		return 0
--- a/gate/sched/order.go
+++ b/gate/sched/order.go
@@ -10,19 +10,21 @@
 
 // The orders. Fifo is the baseline.
 const (
-	// Age runs the program that started first.
+	// Age runs the call of the program that started first.
 	Age Order = "age"
-	// Attained runs the program that has received the least service.
+	// Attained runs the call of the program that has received the least service.
 	Attained Order = "attained"
-	Fifo     Order = "fifo"
+	// Fifo runs the call that arrived first.
+	Fifo Order = "fifo"
 )
 
 // ProgramProgress describes the program of a waiting call.
 type ProgramProgress struct {
 	// Priority is set by the policy; higher runs first.
 	Priority int64
-	Started  time.Time
-	Arrived  time.Time
+	// Started is when the program started, and Arrived when the call arrived.
+	Started time.Time
+	Arrived time.Time
 	// Attained is the service that the program has received, in tokens.
 	Attained int64
 }
@@ -35,15 +37,15 @@
 )
 
 // Rank returns the number by which boxes and engines order waiting calls; higher runs first.
-func Rank(order Order, w ProgramProgress) int64 {
-	base := max(-maxPriority, min(w.Priority, maxPriority)) * priorityStep
+func Rank(order Order, p ProgramProgress) int64 {
+	base := max(-maxPriority, min(p.Priority, maxPriority)) * priorityStep
 	switch order {
 	case Attained:
-		return base - int64(math.Log2(float64(w.Attained+1))*1000)*1_000_000 - w.Arrived.UnixMicro()%1_000_000
+		return base - int64(math.Log2(float64(p.Attained+1))*1000)*1_000_000 - p.Arrived.UnixMicro()%1_000_000
 	case Fifo:
-		return base - micros(w.Arrived)
+		return base - micros(p.Arrived)
 	default:
-		return base - micros(w.Started)
+		return base - micros(p.Started)
 	}
 }
 
--- a/gate/sched/overload.go
+++ b/gate/sched/overload.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Overload measures how close a service is to the load at which programs miss their deadlines, by
-// the time that turns take and by the utilization of the engines' slots.
+// Overload measures how close a service is to the load at which programs miss their deadlines, based on
+// the time that turns take and on the utilization of the engines' slots.
 type Overload struct {
 	// slowdown is the running mean, as of slowdownAt, of the time that turns take relative to the
-	// longest with which their programs meet their deadlines: above 1 programs are late.
+	// longest time with which their programs meet their deadlines. Above 1, programs are late.
 	slowdown   float64
 	slowdownAt time.Time
-	// utilization is the number of calls relative to all slots: above 1 if calls wait, negative if
+	// utilization is the ratio of calls to slots of all engines: above 1 if calls wait, negative if
 	// unknown. meanUtilization is its moving average over utilizationWindow, as of utilizationAt.
 	utilization, meanUtilization float64
 	utilizationAt                time.Time
 }
 
 const (
-	// slowdownWeight is the weight of a new turn in the mean, which covers about the last twenty.
+	// slowdownWeight is the weight of a new turn in the mean, which covers about the last twenty turns.
 	slowdownWeight = 0.05
-	// slowdownHalfLife is the time in which the mean halves while no turn ends, so that a box that
-	// has refused all programs admits some again.
+	// slowdownHalfLife is the time in which the mean halves while no turn ends, so that a box which
+	// refuses all programs admits some again.
 	slowdownHalfLife = 500 * time.Millisecond
-	// utilizationWindow is the averaging time of utilization. It is longer than bursts that engines
-	// absorb.
+	// utilizationWindow is the averaging time of meanUtilization. It is longer than the bursts that
+	// engines can absorb.
 	utilizationWindow = 5 * time.Second
 	// priorityPenalty is added to each load figure per step of lower priority, so that less urgent
 	// programs are refused earlier. unlikelyPenalty is added for programs that are unlikely to meet
@@ -49,50 +49,50 @@
 	meanUtilizationRange = admissionRange{0.9, 1}
 )
 
-// share returns the share of programs that are admitted at the load, 0 to 1.
-func (s admissionRange) share(at float64) float64 {
-	return max(0, min(1, (s.to-at)/(s.to-s.from)))
+// share returns the share of programs that are admitted at the load figure, 0 to 1.
+func (r admissionRange) share(load float64) float64 {
+	return max(0, min(1, (r.to-load)/(r.to-r.from)))
 }
 
-// ObserveTurn records a turn. stretch is its time relative to the time on a lightly loaded engine, and
-// allowed the largest stretch with which its program meets its deadline.
-func (p *Overload) ObserveTurn(now time.Time, stretch, allowed float64) {
-	p.slowdown += slowdownWeight * (stretch/allowed - p.slowdown)
-	p.slowdownAt = now
+// ObserveTurn records the time of a turn. stretch is that time relative to the time on a lightly loaded
+// engine, and allowed is the largest stretch with which the program meets its deadline.
+func (o *Overload) ObserveTurn(now time.Time, stretch, allowed float64) {
+	o.slowdown += slowdownWeight * (stretch/allowed - o.slowdown)
+	o.slowdownAt = now
 }
 
 // Slowdown returns the mean time of turns relative to the allowed time, decayed until now.
-func (p *Overload) Slowdown(now time.Time) float64 {
-	return p.slowdown * math.Exp2(-now.Sub(p.slowdownAt).Seconds()/slowdownHalfLife.Seconds())
+func (o *Overload) Slowdown(now time.Time) float64 {
+	return o.slowdown * math.Exp2(-now.Sub(o.slowdownAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// SetUtilization records the utilization of all slots by the replicas' own reports, negative if it is
-// unknown.
-func (p *Overload) SetUtilization(now time.Time, taken float64) {
-	p.utilization = taken
-	if taken < 0 {
+// SetUtilization records the current utilization of all slots, negative if it is unknown.
+func (o *Overload) SetUtilization(now time.Time, utilization float64) {
+	o.utilization = utilization
+	if utilization < 0 {
 		return
 	}
-	weight := 1 - math.Exp(-now.Sub(p.utilizationAt).Seconds()/utilizationWindow.Seconds())
-	p.meanUtilization += weight * (taken - p.meanUtilization)
-	p.utilizationAt = now
+	weight := 1 - math.Exp(-now.Sub(o.utilizationAt).Seconds()/utilizationWindow.Seconds())
+	o.meanUtilization += weight * (utilization - o.meanUtilization)
+	o.utilizationAt = now
 }
 
-// Utilization returns the last reported utilization of all slots, negative if it is unknown.
-func (p *Overload) Utilization() float64 {
-	return p.utilization
+// Utilization returns the last recorded utilization of all slots, negative if it is unknown.
+func (o *Overload) Utilization() float64 {
+	return o.utilization
 }
 
-// admitShare returns the share of programs of a priority that may start, 0 to 1.
-func (p *Overload) admitShare(now time.Time, priority int, unlikely bool) float64 {
+// admitShare returns the share of programs of a priority that may start, 0 to 1. unlikely is set for
+// programs that are unlikely to meet their deadline.
+func (o *Overload) admitShare(now time.Time, priority int, unlikely bool) float64 {
 	penalty := priorityPenalty * float64(priority)
 	if unlikely {
 		penalty += unlikelyPenalty
 	}
-	share := slowdownRange.share(p.Slowdown(now) + penalty)
-	if p.utilization < 0 {
+	share := slowdownRange.share(o.Slowdown(now) + penalty)
+	if o.utilization < 0 {
 		return share
 	}
-	return min(share, utilizationRange.share(p.utilization+penalty),
-		meanUtilizationRange.share(p.meanUtilization+penalty))
+	return min(share, utilizationRange.share(o.utilization+penalty),
+		meanUtilizationRange.share(o.meanUtilization+penalty))
 }
--- a/gate/sched/pauses.go
+++ b/gate/sched/pauses.go
@@ -9,9 +9,11 @@
 // and the length of answers.
 type TurnStats struct {
 	kinds map[string]*kindStats
-	last  map[string]lastTurn
+	// last holds the last turn of each program.
+	last map[string]lastTurn
 }
 
+// lastTurn is the last turn of a program; endedAt is zero until its answer is complete.
 type lastTurn struct {
 	endedAt time.Time
 	kind    string
@@ -19,16 +21,19 @@
 
 type kindStats struct {
 	meanPause time.Duration
-	// turns and ends are decayed counts, which give the probability of another turn.
+	// turns and ends are decayed counts of turns and of ended programs. Their ratio gives the
+	// probability of another turn.
 	turns, ends float64
 	// meanAnswer is the mean length of an answer in tokens, 0 before the first.
 	meanAnswer float64
 }
 
 const (
-	meanPauseWeight = 0.1
+	// turnStatsWeight is the weight of a new value in a mean.
+	turnStatsWeight = 0.1
 	defaultPause    = 2 * time.Second
-	// countDecay multiplies the counts at each new event, so that about the last thousand count.
+	// countDecay multiplies a count before each increment, so that it covers about the last thousand
+	// events.
 	countDecay = 0.999
 )
 
@@ -37,11 +42,11 @@
 	return &TurnStats{kinds: map[string]*kindStats{}, last: map[string]lastTurn{}}
 }
 
-func (p *TurnStats) kind(name string) *kindStats {
-	k, ok := p.kinds[name]
+func (s *TurnStats) kind(name string) *kindStats {
+	k, ok := s.kinds[name]
 	if !ok {
 		k = &kindStats{meanPause: defaultPause, turns: 1}
-		p.kinds[name] = k
+		s.kinds[name] = k
 	}
 	return k
 }
@@ -53,71 +58,72 @@
 }
 
 // TurnStarted records the start of a turn and returns what is expected after it.
-func (p *TurnStats) TurnStarted(now time.Time, program, kind string) NextTurn {
-	k := p.kind(kind)
-	if last, ok := p.last[program]; ok && !last.endedAt.IsZero() {
+func (s *TurnStats) TurnStarted(now time.Time, program, kind string) NextTurn {
+	k := s.kind(kind)
+	if last, ok := s.last[program]; ok && !last.endedAt.IsZero() {
 		pause := now.Sub(last.endedAt)
-		k.meanPause += time.Duration(meanPauseWeight * float64(pause-k.meanPause))
+		k.meanPause += time.Duration(turnStatsWeight * float64(pause-k.meanPause))
 	}
 	k.turns = k.turns*countDecay + 1
-	p.last[program] = lastTurn{kind: kind}
+	s.last[program] = lastTurn{kind: kind}
 	return NextTurn{Pause: k.meanPause, Probability: 1 - k.ends/math.Max(k.turns, 1)}
 }
 
 // TurnAnswered records the end of a turn and the length of its answer in tokens.
-func (p *TurnStats) TurnAnswered(now time.Time, program string, tokens int) {
-	last, ok := p.last[program]
+func (s *TurnStats) TurnAnswered(now time.Time, program string, tokens int) {
+	last, ok := s.last[program]
 	if !ok {
 		return
 	}
 	last.endedAt = now
-	p.last[program] = last
-	k := p.kind(last.kind)
+	s.last[program] = last
+	k := s.kind(last.kind)
 	if tokens == 0 {
 		return
 	}
 	if k.meanAnswer == 0 {
 		k.meanAnswer = float64(tokens)
 	}
-	k.meanAnswer += meanPauseWeight * (float64(tokens) - k.meanAnswer)
+	k.meanAnswer += turnStatsWeight * (float64(tokens) - k.meanAnswer)
 }
 
 // AnswerLength returns the mean length of an answer of the kind, in tokens, or guess before the first.
-func (p *TurnStats) AnswerLength(kind string, guess int) int {
-	if k, ok := p.kinds[kind]; ok && k.meanAnswer > 0 {
+func (s *TurnStats) AnswerLength(kind string, guess int) int {
+	if k, ok := s.kinds[kind]; ok && k.meanAnswer > 0 {
 		return int(k.meanAnswer)
 	}
 	return guess
 }
 
 // ProgramEnded records that a program has ended.
-func (p *TurnStats) ProgramEnded(program string) {
-	last, ok := p.last[program]
+func (s *TurnStats) ProgramEnded(program string) {
+	last, ok := s.last[program]
 	if !ok {
 		return
 	}
-	k := p.kind(last.kind)
+	k := s.kind(last.kind)
 	k.ends = k.ends*countDecay + 1
-	delete(p.last, program)
+	delete(s.last, program)
 }
 
-// Shares returns the configured share of each workspace, at least 1.
+// Shares provides the configured share of each workspace, at least 1.
 type Shares interface {
 	Share(workspace string) int
 }
 
-// FairShare tracks the service of each workspace, divided by its share, for weighted fair queueing.
+// FairShare tracks the service that each workspace has received, divided by its share, for weighted
+// fair queueing.
 type FairShare struct {
 	shares Shares
 	used   map[string]float64
-	// floor is the least use that any workspace is counted with, so that an idle workspace can't
+	// floor is the least use that any workspace counts as having, so that an idle workspace can't
 	// accumulate credit without limit.
 	floor float64
 }
 
 const (
-	// quantum is the granularity of Level, in tokens for a share of 1. maxCredit is how far a
-	// workspace may fall behind the one with the most use.
+	// quantum is the granularity of Level, in tokens for a share of 1. maxCredit is how far the use
+	// of a workspace may lie below that of the workspace with the most use.
 	quantum   = 20_000
 	maxCredit = 10 * quantum
 )
--- a/gate/sched/profiles.go
+++ b/gate/sched/profiles.go
@@ -19,13 +19,13 @@
 const (
 	// initialPause is assumed before any pause is observed.
 	initialPause = 100 * time.Millisecond
-	// maxPauseFactor caps an observed pause, as a multiple of the mean, when it is added to the
-	// mean.
+	// maxPauseFactor caps the pauses that are added to the mean, as a multiple of the mean.
 	maxPauseFactor = 4
-	// defaultAllowedSlowdown applies until the time, turns and deadlines of the kind are known.
+	// defaultAllowedSlowdown applies until the mean turn time, number of turns and time until the
+	// deadline of the kind are known.
 	defaultAllowedSlowdown = 1.5
-	// usableSlack is the share of the spare time that turns may use: half of the programs need more
-	// than the mean.
+	// usableSlack is the share of the spare time that turns may use. It leaves a reserve, since many
+	// programs need more than the mean.
 	usableSlack = 0.7
 	// minAllowedSlowdown is the least allowed slowdown; below it, the noise of single turns would
 	// leave engines idle.
@@ -35,35 +35,35 @@
 // profiles holds the profiles by kind of program.
 type profiles map[string]*profile
 
-func (s profiles) get(kind string) *profile {
-	k, ok := s[kind]
+func (p profiles) get(kind string) *profile {
+	prof, ok := p[kind]
 	if !ok {
-		k = &profile{pause: initialPause}
-		s[kind] = k
+		prof = &profile{pause: initialPause}
+		p[kind] = prof
 	}
-	return k
+	return prof
 }
 
 // programEnded records the number of turns of a program that has ended.
-func (k *profile) programEnded(turns int) {
-	if k.turns == 0 {
-		k.turns = float64(turns)
+func (p *profile) programEnded(turns int) {
+	if p.turns == 0 {
+		p.turns = float64(turns)
 	}
-	k.turns += meanWeight * (float64(turns) - k.turns)
+	p.turns += meanWeight * (float64(turns) - p.turns)
 }
 
 // addPause records a pause between two turns. Long pauses are capped, since they are usually the
 // retry of a failed turn.
-func (k *profile) addPause(pause time.Duration) {
-	k.pause = updateMean(k.pause, min(pause, maxPauseFactor*k.pause))
+func (p *profile) addPause(pause time.Duration) {
+	p.pause = updateMean(p.pause, min(pause, maxPauseFactor*p.pause))
 }
 
 // allowedSlowdown returns how much longer than on a lightly loaded engine turns may take for
 // programs of the kind to meet their deadlines.
-func (k *profile) allowedSlowdown() float64 {
-	if k.timeLeft == 0 || k.unloadedTurn == 0 || k.turns == 0 {
+func (p *profile) allowedSlowdown() float64 {
+	if p.timeLeft == 0 || p.unloadedTurn == 0 || p.turns == 0 {
 		return defaultAllowedSlowdown
 	}
-	spare := float64(k.timeLeft)/k.turns - float64(k.unloadedTurn+k.pause)
-	return max(minAllowedSlowdown, 1+usableSlack*spare/float64(k.unloadedTurn))
+	spare := float64(p.timeLeft)/p.turns - float64(p.unloadedTurn+p.pause)
+	return max(minAllowedSlowdown, 1+usableSlack*spare/float64(p.unloadedTurn))
 }
--- a/gate/sched/queue.go
+++ b/gate/sched/queue.go
@@ -37,11 +37,11 @@
 
 // Queue is the state of a queue as a call finds it on arrival.
 type Queue struct {
-	// Ahead is the number of calls ahead, Slots the number of the engines' slots, and ServiceTime the
-	// mean time that a call occupies one.
+	// Ahead is the number of calls ahead in the queue, Slots the number of slots of all engines, and
+	// ServiceTime the mean time for which a call occupies a slot.
 	Ahead, Slots int
 	ServiceTime  time.Duration
-	// Backlog is the time for which the least busy engine has queued work of its own.
+	// Backlog is the time that the least busy engine needs for the work in its own queue.
 	Backlog time.Duration
 }
 
@@ -53,22 +53,23 @@
 	return time.Duration(q.Ahead)*q.ServiceTime/time.Duration(q.Slots) + q.Backlog
 }
 
-// QueueDecision is the decision on a call that is to be queued.
+// QueueDecision is the decision whether to queue a call.
 type QueueDecision int
 
-// The decisions.
+// The decisions on a call.
 const (
 	// Enqueue queues the call.
 	Enqueue QueueDecision = iota
-	// RejectNewProgram refuses a call of a program that has not started, since it would wait longer than
-	// allowed.
+	// RejectNewProgram refuses a call of a program that has not started, since it would wait longer
+	// than allowed.
 	RejectNewProgram
 	// RejectLate refuses a call that could not run before its deadline.
 	RejectLate
 )
 
-// Decide decides on a call, and returns the retry delay of one that is refused. A call of a program
-// that has not started is refused if it would wait longer than maxWait.
+// Decide decides whether to queue a call, and returns the retry delay if the call is refused. A call of
+// a program that has not started is refused if it would wait longer than maxWait. Any call is refused
+// if it would wait past its deadline.
 func (q Queue) Decide(
 	now, deadline time.Time, newProgram bool, maxWait time.Duration,
 ) (decision QueueDecision, after time.Duration) {
