--- a/gate/load/load.go
+++ b/gate/load/load.go
@@ -22,7 +22,7 @@
 	// idlePollInterval is the poll interval of a replica that is not busy; a busy one is polled at
 	// every tick.
 	idlePollInterval = 1500 * time.Millisecond
-	// busyShare is the share of a replica's slots in use from which it is busy.
+	// busyShare is the ratio of running and waiting calls to slots from which a replica is busy.
 	busyShare = 0.2
 	// pollTimeout bounds one poll.
 	pollTimeout = 250 * time.Millisecond
@@ -42,12 +42,13 @@
 	Models() []work.Replica
 	// UpdateLoad updates the load of a replica.
 	UpdateLoad(id string, load work.Load)
-	// UpdateFailureRate updates the share of calls that a replica fails, as reported by another box.
+	// UpdateFailureRate updates the share of calls that fail at a replica, as reported by another box.
 	UpdateFailureRate(id string, share float64)
 }
 
-// Boxes returns the boxes that need reports on replicas.
+// Boxes tells which boxes need reports on a replica.
 type Boxes interface {
+	// Live returns all live boxes.
 	Live() []work.Box
 	// PlacingBoxes returns the boxes of this box's availability zone that place turns.
 	PlacingBoxes() []work.Box
@@ -62,7 +63,7 @@
 	Replica string `json:"replica"`
 	// Load is nil in a report on failures.
 	Load *work.Load `json:"load,omitempty"`
-	// Failing is the share of recent calls that the replica failed at the sending box.
+	// Failing is the share of the sending box's recent calls that failed at the replica.
 	Failing float64 `json:"failing,omitempty"`
 }
 
@@ -97,7 +98,7 @@
 	}
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (w *Watch) Start(context.Context) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(w.self.Peer))
 	if err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (w *Watch) Stop(context.Context) error {
 	w.cancel()
 	err := w.conn.Close()
@@ -119,9 +120,9 @@
 	return err
 }
 
-// pollDue polls the replicas that are due and that this box is to poll. Of the boxes that place
-// turns on a replica, one polls it and sends the load to the others. Boxes that place no turns need
-// no load reports.
+// pollDue polls the replicas that are due and that this box is to poll. Of the boxes that may place
+// turns at a replica, one polls it and sends the load to the others. Boxes that place no turns need no
+// load reports.
 func (w *Watch) pollDue(ctx context.Context) {
 	placing := w.boxes.PlacingBoxes()
 	if !slices.ContainsFunc(placing, func(box work.Box) bool { return box.Name == w.self.Name }) {
@@ -138,14 +139,14 @@
 }
 
 // isPoller reports whether this box polls the replica. If all boxes know the replica, rendezvous
-// hashing selects one of the given boxes; otherwise each box that needs the load polls the replica
+// hashing selects one of the recipients. Otherwise each box that needs the load polls the replica
 // itself.
-func (w *Watch) isPoller(rep work.Replica, knowing []work.Box) bool {
+func (w *Watch) isPoller(rep work.Replica, recipients []work.Box) bool {
 	if !w.boxes.KnownToAll(rep) {
 		return true
 	}
-	names := make([]string, 0, len(knowing))
-	for _, box := range knowing {
+	names := make([]string, 0, len(recipients))
+	for _, box := range recipients {
 		names = append(names, box.Name)
 	}
 	return ident.Rendezvous(rep.ID, names) == w.self.Name
@@ -162,6 +163,7 @@
 	return knowing
 }
 
+// due reports whether the replica is due for a poll and, if so, records that the poll starts now.
 func (w *Watch) due(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -193,6 +195,7 @@
 	}
 }
 
+// poll gets the load of a replica, updates it here and sends it to the recipients.
 func (w *Watch) poll(ctx context.Context, rep work.Replica, recipients []work.Box) {
 	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
@@ -208,8 +211,8 @@
 	w.sendAll(recipients, message{Replica: rep.ID, Load: &load})
 }
 
-// SendFailureRate sends the share of calls that a replica fails to all live boxes that know the replica. It
-// does not wait.
+// SendFailureRate sends the share of calls that fail at a replica to all live boxes that know the
+// replica. It does not wait.
 func (w *Watch) SendFailureRate(rep work.Replica, share float64) {
 	go w.sendAll(w.boxesKnowing(w.boxes.Live(), rep), message{Replica: rep.ID, Failing: share})
 }
--- a/gate/load/load_test.go
+++ b/gate/load/load_test.go
@@ -25,19 +25,19 @@
 	failing map[string]float64
 }
 
-func (b *fakeTargets) Models() []work.Replica { return b.models }
-func (b *fakeTargets) UpdateLoad(id string, load work.Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.loads[id] = load
+func (f *fakeTargets) Models() []work.Replica { return f.models }
+func (f *fakeTargets) UpdateLoad(id string, load work.Load) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.loads[id] = load
 }
-func (b *fakeTargets) UpdateFailureRate(id string, share float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.failing[id] = share
+func (f *fakeTargets) UpdateFailureRate(id string, share float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.failing[id] = share
 }
 
-// fleet is a list of boxes, of which those in zone z place turns.
+// fleet is a list of live boxes, of which those in zone z place turns.
 type fleet []work.Box
 
 func (f fleet) Live() []work.Box { return f }
@@ -79,16 +79,16 @@
 	all := map[string]*fakeTargets{}
 	watches := map[string]*Watch{}
 	for _, box := range boxes {
-		b := &fakeTargets{loads: map[string]work.Load{}, failing: map[string]float64{}}
+		targets := &fakeTargets{loads: map[string]work.Load{}, failing: map[string]float64{}}
 		if box.Zone == "z" {
-			b.models = []work.Replica{{ID: "r", Slots: 8}}
+			targets.models = []work.Replica{{ID: "r", Slots: 8}}
 		}
-		w := New(box, reporter{}, b, boxes, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		w := New(box, reporter{}, targets, boxes, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err := w.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = w.Stop(context.Background()) }() // it only closes a socket
-		all[box.Name], watches[box.Name] = b, w
+		all[box.Name], watches[box.Name] = targets, w
 	}
 	watches["a"].send(boxes[2].Peer, []byte("{"))
 	watches["a"].SendFailureRate(work.Replica{ID: "r"}, 0.5)
@@ -97,8 +97,8 @@
 	for range 40 {
 		time.Sleep(50 * time.Millisecond)
 		got = map[string]string{}
-		for name, b := range all {
-			got[name] = b.received()
+		for name, targets := range all {
+			got[name] = targets.received()
 		}
 		if cmp.Equal(wants, got) {
 			return
@@ -107,17 +107,17 @@
 	t.Errorf("reports received (-want +got):\n%s", cmp.Diff(wants, got))
 }
 
-func (b *fakeTargets) received() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fakeTargets) received() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	text := ""
-	if b.loads["r"] == (work.Load{Running: 3, Waiting: 1}) {
+	if f.loads["r"] == (work.Load{Running: 3, Waiting: 1}) {
 		text = "load"
 	}
-	if b.failing["r"] == 0.5 && text != "" {
+	if f.failing["r"] == 0.5 && text != "" {
 		text += " "
 	}
-	if b.failing["r"] == 0.5 {
+	if f.failing["r"] == 0.5 {
 		text += "failing"
 	}
 	return text
