--- a/gate/subset/subset.go
+++ b/gate/subset/subset.go
@@ -3,17 +3,16 @@
 import "mulleingate.dev/base/ident"
 
 const (
-	// minReplicas is the least average number of replicas of a service in one availability zone
-	// that a box knows when a level is drawn, if there are as many: enough for its callers and
-	// slots while a quarter of them is stopped, replaced or slow.
+	// minReplicas is the minimum average number of replicas of a group that a box knows, if the group
+	// has that many, when its level is chosen. It is enough for the box's calls while a quarter of the
+	// replicas is stopped, replaced or slow.
 	minReplicas = 48
-	// minBoxes is the least average number of boxes of an availability zone that know a replica
-	// when a level is drawn, if there are as many: enough to use each place while some boxes
-	// restart.
+	// minBoxes is the minimum average number of boxes of an availability zone that know a replica, if
+	// the zone has that many, when a level is chosen. It is enough to use all slots of the replica while
+	// some boxes restart.
 	minBoxes = 8
-	// maxSizeFactor and minSizeFactor bound the size of a subset, as multiples of minReplicas,
-	// within which its level stays. This avoids drawing and loading subsets anew for every few
-	// replicas that come and go.
+	// maxSizeFactor and minSizeFactor bound the average subset size at which a level is kept, as
+	// multiples of minReplicas. The level thus does not change whenever a few replicas come or go.
 	maxSizeFactor = 2.5
 	minSizeFactor = 0.6
 	// weightBits is the length of a rendezvous weight.
@@ -25,8 +24,8 @@
 	return service + "@" + zone
 }
 
-// Level returns how many times the replicas of a group are halved: a box knows on average one in
-// 2^level of them. Boxes is the number of boxes in its availability zone.
+// Level returns the level for a group of replicas: a box knows on average one in 2^level of them. boxes
+// is the number of boxes in an availability zone.
 func Level(replicas, boxes int) int {
 	level := 0
 	for replicas>>(level+1) >= minReplicas && boxes>>(level+1) >= minBoxes {
@@ -35,8 +34,8 @@
 	return level
 }
 
-// LevelFits reports whether a level drawn earlier may stay: it still equals Level, or the average size
-// of a subset is within the bounds.
+// LevelFits reports whether a level chosen earlier may stay: it equals Level, or the average size of a
+// subset is within the bounds.
 func LevelFits(replicas, boxes, level int) bool {
 	wanted := Level(replicas, boxes)
 	size := float64(replicas) / float64(int(1)<<level)
--- a/gate/subset/subset_test.go
+++ b/gate/subset/subset_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestReplicaCoverage checks that, with half of a zone's boxes gone, nearly every replica is still
-// known to some boxes, and to about as many on average as expected.
+// known to some box, and that the average number of boxes is as expected.
 func TestReplicaCoverage(t *testing.T) {
 	const replicas, boxes = 938, 197
 	levels := Levels{"s@a": Level(replicas, boxes)}
