--- a/gate/target/admission.go
+++ b/gate/target/admission.go
@@ -27,8 +27,8 @@
 	return adm.Admit(now, ask.Turn)
 }
 
-// slotDemand returns the ratio of a service's running and waiting calls to its slots, by recent load
-// reports; negative without reports.
+// slotDemand returns the ratio of a service's running and waiting calls to its slots according to recent
+// load reports, or a negative number without reports.
 func (t *Targets) slotDemand(now time.Time, service string) float64 {
 	totals := t.loadTotals(now, service)
 	if totals.slots == 0 {
@@ -37,13 +37,14 @@
 	return float64(totals.calls) / float64(totals.slots)
 }
 
-// loadTotals sums the recent load reports of a service's replicas.
+// loadTotals holds sums of the recent load reports of a service's replicas.
 type loadTotals struct {
-	// slots is the number of calls that the replicas run at once, usedSlots how many of these slots are
-	// in use, and calls the number of running and waiting calls.
+	// slots is the number of calls that the replicas run at once, usedSlots the number of these slots
+	// that are in use, and calls the number of running and waiting calls.
 	slots, usedSlots, calls int
 }
 
+// loadTotals sums the recent load reports of the service's replicas that accept work.
 func (t *Targets) loadTotals(now time.Time, service string) loadTotals {
 	var sum loadTotals
 	for _, s := range t.services[service] {
@@ -72,12 +73,12 @@
 	}
 }
 
-// uncachedTokens estimates how many tokens of the prompt the replica still has to read.
+// uncachedTokens estimates how many tokens of the prompt the replica has to prefill.
 func (l *Lease) uncachedTokens() int {
 	return max(0, l.ask.Prompt.Tokens-l.Cached)
 }
 
-// finishTurn records the end of a turn. gap is the mean interval between its events; zero if unknown.
+// finishTurn records the end of a turn. gap is the mean time between its events, zero if it is unknown.
 func (t *Targets) finishTurn(l *Lease, out Outcome, gap time.Duration) {
 	adm := t.admissionFor(l.state.Service)
 	now := time.Now()
--- a/gate/target/born_test.go
+++ b/gate/target/born_test.go
@@ -17,7 +17,8 @@
 	return rep
 }
 
-// loadedTargets returns targets with one replica that is full, fails calls and caches a prompt.
+// loadedTargets returns targets with one replica that is full, fails calls and caches a prompt. It also
+// returns the lease of a call in flight there, and what the call asked for.
 func loadedTargets(t *testing.T) (*Targets, *Lease, Ask) {
 	t.Helper()
 	targets, _ := newTargets(0, true)
@@ -42,8 +43,8 @@
 	return s.cachedPartTokens(now, ask.Prompt.Parts), s.load.Waiting, s.inFlight, s.failureRate(now) > 0
 }
 
-// TestRestartSeenInEntry checks that a later start in a replica's entry resets its state and cancels its
-// calls in flight, and that data of an earlier start is ignored.
+// TestRestartSeenInEntry checks that a later start time in a replica's entry resets its state and cancels
+// its calls in flight, and that entries and reports with an earlier start time are ignored.
 func TestRestartSeenInEntry(t *testing.T) {
 	targets, lease, ask := loadedTargets(t)
 	ctx, stop := lease.CancelOnRestart(context.Background())
@@ -71,7 +72,7 @@
 	}
 }
 
-// TestRestartSeenInReport checks that a later start in a load report resets a replica's state.
+// TestRestartSeenInReport checks that a later start time in a load report resets a replica's state.
 func TestRestartSeenInReport(t *testing.T) {
 	targets, _, ask := loadedTargets(t)
 	targets.UpdateLoad("r0", work.Load{Running: 1, StartedAt: time.Unix(200, 0)})
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestCachedTokensOfEarlierStart checks that turns from before a replica's restart do not count as cached
-// there.
+// TestCachedTokensOfEarlierStart checks that a prompt cached before a replica's restart does not count as
+// cached after it.
 func TestCachedTokensOfEarlierStart(t *testing.T) {
 	targets, _ := newTargets(0, true)
 	targets.Put(replicaStartedAt(100))
--- a/gate/target/bound.go
+++ b/gate/target/bound.go
@@ -7,11 +7,11 @@
 	"mulleingate.dev/gate/work"
 )
 
-// Bounds limit the calls to all replicas.
+// Bounds limits which replicas get calls, and how many.
 type Bounds struct {
 	// Regions maps each availability zone to its region.
 	Regions work.Regions
-	// Cold limits the calls to cold replicas.
+	// Cold limits the calls to each cold replica.
 	Cold sched.ColdLimits
 }
 
@@ -23,10 +23,10 @@
 	t.bounds = bounds
 }
 
-// SetWarmingCheck registers may, which reports whether this box is the one in its availability zone that sends
-// calls to a cold replica. It must be called before the first lease.
-func (t *Targets) SetWarmingCheck(may func(rep work.Replica, model bool) bool) {
-	t.warmsReplica = may
+// SetWarmingCheck registers allowed, which reports whether this box is the one in its availability zone
+// that sends calls to a cold replica. It must be called before the first lease.
+func (t *Targets) SetWarmingCheck(allowed func(rep work.Replica, model bool) bool) {
+	t.warmsReplica = allowed
 }
 
 // SetEvacuated sets the availability zones whose replicas get no new calls, in place of those set before.
@@ -44,9 +44,9 @@
 	return s.cold(now, svc) && !t.mayWarm(now, s, svc)
 }
 
-// cold reports whether the replica can take only few calls: its entry says so, or it started so recently
-// that it may not be warm yet. Since clocks may jump, the start time counts only for a while after the
-// replica was listed.
+// cold reports whether the replica may still be warming up, so that it can take only few calls: its entry
+// says so, or it started recently. Since clocks may jump, the start time counts only for a while after
+// the replica was listed.
 func (s *state) cold(now time.Time, svc work.Service) bool {
 	if now.Before(s.coldUntil) {
 		return true
@@ -74,8 +74,8 @@
 	return t.conf.Services[name]
 }
 
-// extendCold records how long the replica's entry says that it stays cold. It never shortens the cold
-// phase.
+// extendCold extends the cold phase to the end that the replica's entry announces. It never shortens
+// the phase.
 func (s *state) extendCold(now time.Time) {
 	if until := now.Add(s.WarmupLeft); until.After(s.coldUntil) {
 		s.coldUntil = until
--- a/gate/target/bound_test.go
+++ b/gate/target/bound_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// coldTargets returns targets with one replica, r0, that says that it is cold; the box may send it four
-// calls a second.
+// coldTargets returns targets with one replica, r0, whose entry says that it stays cold for the given
+// time. The box may send a cold replica four calls a second.
 func coldTargets(cold time.Duration) *Targets {
 	targets, _ := newTargets(0, true)
 	svc := work.Service{Name: "s", Connections: 100, Engine: &work.Engine{Slots: 8}, WarmupTime: 3 * time.Second, WarmupRate: 6}
@@ -87,8 +87,7 @@
 	return targets
 }
 
-// TestColdReplicaGetsFewCalls checks the call limit of a replica that says that it is cold, until it is
-// warm.
+// TestColdReplicaGetsFewCalls checks that a replica gets few calls while its entry says that it is cold.
 func TestColdReplicaGetsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(2 * time.Second)
@@ -113,8 +112,8 @@
 	})
 }
 
-// TestOneBoxWarmsAReplica checks that a box which is not the one to warm a cold replica sends it no
-// calls.
+// TestOneBoxWarmsAReplica checks that a box sends a cold replica no calls if another box of its zone is
+// to do so.
 func TestOneBoxWarmsAReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(2 * time.Second)
--- a/gate/target/choose.go
+++ b/gate/target/choose.go
@@ -11,7 +11,7 @@
 // loadMaxAge is how long a load report is used.
 const loadMaxAge = 2 * time.Second
 
-// choice is a candidate with the estimate of its state and the expected cost of the call there.
+// choice is a selected replica, with the estimate of its state and the expected cost of the call there.
 type choice struct {
 	state    *state
 	estimate sched.ReplicaState
@@ -59,8 +59,8 @@
 	return splits[len(splits)-1].Service
 }
 
-// pickReplica selects among the usable replicas of a service. With lastResort, it includes suspect and
-// ejected ones.
+// pickReplica selects among the usable replicas of a service, and returns the number of them. With
+// lastResort, it includes suspect and ejected ones.
 func (t *Targets) pickReplica(now time.Time, ask Ask, service string, lastResort bool) (choice, int) {
 	t.candidates, t.costs = t.candidates[:0], t.costs[:0]
 	ejector := t.ejectorFor(service)
@@ -72,7 +72,7 @@
 		call.PromptTokens = ask.Prompt.Tokens
 		utilization = t.slotUtilization(now, service)
 	}
-	figures := &t.admissionFor(service).Estimates
+	estimates := &t.admissionFor(service).Estimates
 	for _, s := range t.services[service] {
 		if s.Draining || s.inFlight >= t.connectionShare(svc.Connections, s.level) || (s.missing && !lapsed) || slices.Contains(ask.Exclude, s.ID) || t.excluded(now, s, svc, ask) {
 			continue
@@ -81,7 +81,7 @@
 			continue
 		}
 		t.candidates = append(t.candidates, s)
-		t.costs = append(t.costs, figures.Cost(call, t.estimate(now, ask, s, utilization)))
+		t.costs = append(t.costs, estimates.Cost(call, t.estimate(now, ask, s, utilization)))
 	}
 	pick := sched.PickNearCheapest(t.costs, t.rng)
 	if pick < 0 {
@@ -90,14 +90,13 @@
 	return choice{state: t.candidates[pick], estimate: t.estimate(now, ask, t.candidates[pick], utilization), cost: t.costs[pick]}, len(t.candidates)
 }
 
-// lapsedDivisor sets the limit for entriesLapsed: fewer than one in lapsedDivisor replicas is listed.
+// lapsedDivisor sets the threshold of entriesLapsed: fewer than one in lapsedDivisor replicas is listed.
 // Planned work replaces only a few replicas at a time, so the others cannot all have left.
 const lapsedDivisor = 4
 
 // entriesLapsed reports whether so many entries of a service are missing that they probably expired in a
-// log outage while the replicas still run. Otherwise missing replicas count as gone: a box that could not
-// read the log cannot tell its own outage from the log's, and replicas that have left must get no new
-// calls.
+// log outage while the replicas still run. If not, missing replicas count as gone, since replicas that
+// have left must get no new calls.
 func (t *Targets) entriesLapsed(service string) bool {
 	all, listed := 0, 0
 	for _, s := range t.services[service] {
@@ -116,20 +115,20 @@
 // slots in use at those replicas of its service that report.
 func (t *Targets) estimate(now time.Time, ask Ask, s *state, utilization float64) sched.ReplicaState {
 	age := now.Sub(s.loadAt)
-	b := sched.ReplicaState{
+	est := sched.ReplicaState{
 		InFlight: s.inFlight, InFlightAtReport: s.inFlightAtReport, Slots: s.Slots, Reported: age <= loadMaxAge, ReportAge: age,
 		Placers: 1 + (t.placers-1)>>s.level, AverageUtilization: utilization, Running: s.load.Running, Waiting: s.load.Waiting, Slowdown: s.slowdown, FailureRate: s.failureRate(now), OtherZone: s.Zone != t.zone,
 	}
 	if ask.Prompt != nil {
-		b.CachedTokens = t.cachedTokens(now, ask, s)
-		return b
+		est.CachedTokens = t.cachedTokens(now, ask, s)
+		return est
 	}
-	b.Connected = s.pool != nil && s.pool.HasIdle()
-	return b
+	est.Connected = s.pool != nil && s.pool.HasIdle()
+	return est
 }
 
 // slotUtilization returns the share of slots in use at the replicas of a service that report, zero if
-// none does. Waiting calls are not counted, since they say nothing about other replicas.
+// none does. Calls that wait at full replicas are not counted, since they say nothing about others.
 func (t *Targets) slotUtilization(now time.Time, service string) float64 {
 	totals := t.loadTotals(now, service)
 	return float64(totals.usedSlots) / float64(max(totals.slots, 1))
--- a/gate/target/judge.go
+++ b/gate/target/judge.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// failureRateGain is the weight of a new outcome in the failure rate. plainFailureWeight is what an
-	// error answer of a plain service counts: such calls may fail for reasons of their own, turns do not.
+	// failureRateGain is the weight of a new outcome in the failure rate. plainFailureWeight is the
+	// failure value of an error answer of a plain service. It is below 1, since such a call may fail
+	// through no fault of the replica.
 	failureRateGain    = 0.2
 	plainFailureWeight = 0.3
 	// peerReportWeight scales a failure rate that another box reports.
 	peerReportWeight = 0.8
-	// announceThreshold is the failure rate from which the other boxes are told, reached by two failed
-	// turns in a row. announceInterval is the minimum time between two announcements of a replica.
+	// announceThreshold is the failure rate from which the other boxes are told; two failed turns in a
+	// row reach it. announceInterval is the minimum time between two announcements about a replica.
 	announceThreshold = 0.3
 	announceInterval  = 500 * time.Millisecond
 	// failureRateHalfLife is the time in which a failure rate halves without new outcomes.
 	failureRateHalfLife = 4 * time.Second
 )
 
-// recordOutcome folds an outcome into the failure rate. failure is 0 for a success, up to 1 for a
+// recordOutcome updates the failure rate with an outcome. failure is 0 for a success, and up to 1 for a
 // failure.
 func (s *state) recordOutcome(now time.Time, failure float64) {
 	rate := s.failureRate(now)
@@ -38,13 +39,13 @@
 	return s.lastFailureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureRateHalfLife.Seconds())
 }
 
-// hasQueue reports whether calls wait at the replica by a recent load report, so that a missing answer
-// may only mean that the call is queued.
+// hasQueue reports whether calls wait at the replica according to a recent load report. If so, a missing
+// answer may only mean that the call is queued.
 func (s *state) hasQueue(now time.Time) bool {
 	return now.Sub(s.loadAt) <= loadMaxAge && s.load.Waiting > 0
 }
 
-// unitTime returns the expected time of a unit of the kind of work.
+// unitTime returns the usual time of a unit of the kind of work.
 func (t *Targets) unitTime(kind string) time.Duration {
 	if usual, ok := t.meanUnitTime[kind]; ok {
 		return usual
@@ -79,7 +80,7 @@
 	}
 }
 
-// failureWeight returns what an error answer of the replica counts in its failure rate, 0 to 1.
+// failureWeight returns the failure value of an error answer of the replica, 0 to 1.
 func (t *Targets) failureWeight(s *state) float64 {
 	if t.isModel(s) {
 		return 1
--- a/gate/target/lease.go
+++ b/gate/target/lease.go
@@ -12,7 +12,8 @@
 	Replica work.Replica
 	// Cached is the estimated number of prompt tokens in the replica's cache.
 	Cached int
-	// ExpectedCost is the expected cost of the call at the replica, and Candidates the number of candidates.
+	// ExpectedCost is the expected cost of the call at the replica, and Candidates the number of replicas
+	// that it was selected from.
 	ExpectedCost time.Duration
 	Candidates   int
 
@@ -22,7 +23,7 @@
 	startedAt time.Time
 	// firstEventAfter is the time from the lease to the answer's first event, zero before it.
 	firstEventAfter time.Duration
-	// lightLoad says that the replica had little load when the call was placed.
+	// lightLoad is set if the replica was lightly loaded when the call was placed.
 	lightLoad bool
 }
 
@@ -31,8 +32,9 @@
 	return l.state.pool
 }
 
-// CancelOnRestart returns a context that is also cancelled once the replica is known to have restarted: the call is
-// lost, and its caller can retry at once. The returned function must be called after the call.
+// CancelOnRestart returns a context that is also cancelled once the replica is known to have restarted.
+// The call is then lost, and its caller can retry at once. The returned function must be called after
+// the call.
 func (l *Lease) CancelOnRestart(ctx context.Context) (context.Context, func()) {
 	ctx, stop := context.WithCancel(ctx)
 	if l.state == nil {
@@ -66,7 +68,8 @@
 	Abandoned
 )
 
-// Done releases the place. took is the time of a unit of work; zero if unknown.
+// Done releases the place and records how the call ended. took is the time of a unit of work, zero if it
+// is unknown.
 func (l *Lease) Done(out Outcome, took time.Duration) {
 	t, s := l.targets, l.state
 	t.mu.Lock()
--- a/gate/target/parts.go
+++ b/gate/target/parts.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxPromptParts bounds the prompt parts remembered for a replica: enough for some hundred programs.
+	// maxPromptParts bounds the prompt parts that are remembered for a replica.
 	maxPromptParts = 512
 	// promptPartTTL is how long a replica is assumed to keep an unused part in its cache.
 	promptPartTTL = 30 * time.Second
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -24,7 +24,7 @@
 	slowdownGain = 0.2
 	unitTimeGain = 0.05
 	// suspectFor is how long a replica gets no calls after one did not reach it, unless no other replica
-	// is available. It is about as long as the replica list may lag.
+	// is available. It is about as long as the list of replicas may lag behind.
 	suspectFor = time.Second
 )
 
@@ -37,19 +37,19 @@
 	// an ordinary replica. A unit is one call of a plain service, or the interval between two events of a
 	// model's answer.
 	slowdown float64
-	// lastFailureRate is the moving average of failed calls, 0 to 1, as of failureRateAt. It decays with
-	// time, so that an avoided replica is tried again.
+	// lastFailureRate is the moving average of failed calls, 0 to 1, as of failureRateAt. failureRate
+	// decays it with time, so that an avoided replica is tried again.
 	lastFailureRate float64
 	failureRateAt   time.Time
 	// announcedAt is when this box last told the other boxes that the replica fails calls.
 	announcedAt time.Time
-	// removed is set once the replica is off the list or has restarted. missing is set if its entry
-	// disappeared while the log was unreachable: the replica may have left, or its entry expired and will
-	// be written again.
+	// removed is set once this state is out of use: the replica has left the list, restarted, or changed
+	// its address or service. missing is set if its entry disappeared in a log outage: the replica may
+	// have left, or its entry has expired and will be written again.
 	removed, missing bool
 	// suspectUntil is when the replica stops being avoided after a call did not reach it.
 	suspectUntil time.Time
-	// level says that one box in 2^level has the replica in its subset.
+	// level is the subset level of the replica's group: on average one box in 2^level knows the replica.
 	level int
 	// promptParts holds the prompt parts that were recently sent to the replica, by ID.
 	promptParts map[string]cachedPart
@@ -58,15 +58,15 @@
 	// get no answer.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// listedAt is when the replica was listed, coldUntil the end of its cold phase by its own entry, and
-	// coldCalls the times of the calls sent to it while it was cold.
+	// listedAt is when the replica was listed, coldUntil the end of its cold phase according to its entry,
+	// and coldCalls the times of the calls sent to it while it was cold.
 	listedAt, coldUntil time.Time
 	coldCalls           sched.SendLog
-	// load is the newest load report, loadAt when it arrived, and inFlightAtReport the value of inFlight
-	// then.
+	// load is the newest load report.
 	load work.Load
 	// lastTurnAt is when this box last placed a turn there.
-	lastTurnAt       time.Time
+	lastTurnAt time.Time
+	// loadAt is when load arrived, and inFlightAtReport the value of inFlight then.
 	loadAt           time.Time
 	inFlightAtReport int
 }
@@ -91,8 +91,9 @@
 	opener Opener
 	log    *slog.Logger
 
-	mu       sync.Mutex
-	byID     map[string]*state
+	mu   sync.Mutex
+	byID map[string]*state
+	// services holds the replicas of each service, and ejectors its ejector.
 	services map[string][]*state
 	ejectors map[string]*limit.Ejector
 	// meanUnitTime is the moving average of the time of a unit of work, by kind of work.
@@ -103,7 +104,7 @@
 	bounds     Bounds
 	// evacuated holds the availability zones whose replicas get no new calls.
 	evacuated map[string]bool
-	// levels are the subset levels at which this box's replicas were selected.
+	// levels holds the subset levels by which this box's replicas were selected.
 	levels subset.Levels
 	// warmsReplica reports whether this box may send calls to a cold replica; it must not block.
 	warmsReplica func(rep work.Replica, model bool) bool
@@ -112,9 +113,10 @@
 	costs      []time.Duration
 	// placers is the number of boxes that place calls at the same replicas, including this one.
 	placers int
-	boxes   int
-	rng     *rand.Rand
-	// onFailing is called for replicas that fail calls; it must not block.
+	// boxes is the number of boxes that share the replicas' connections.
+	boxes int
+	rng   *rand.Rand
+	// onFailing is called with a replica that fails calls and its failure rate; it must not block.
 	onFailing func(rep work.Replica, share float64)
 }
 
@@ -131,13 +133,14 @@
 	}
 }
 
-// OnFailing registers do, which is called with a replica whose answers report failures and with its
-// failure rate, 0 to 1. It must be called before the first lease.
+// OnFailing registers do, which is called with a replica that reports failed calls and with its failure
+// rate, 0 to 1. It must be called before the first lease.
 func (t *Targets) OnFailing(do func(rep work.Replica, share float64)) {
 	t.onFailing = do
 }
 
-// UpdateFailureRate records a failure rate that another box observed at a replica, unless the known rate is higher.
+// UpdateFailureRate records a failure rate that another box observed at a replica, unless the known rate
+// is higher.
 func (t *Targets) UpdateFailureRate(id string, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +186,8 @@
 	}
 }
 
-// Put adds or updates a listed replica. An entry of an earlier start is ignored.
+// Put adds or updates a listed replica. An entry with an earlier start time than the known one is
+// ignored.
 func (t *Targets) Put(rep work.Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,14 +235,14 @@
 	t.log.Info("target: replica listed", "replica", rep.ID, "service", rep.Service, "zone", rep.Zone, "born", rep.StartedAt)
 }
 
-// replaceRestarted resets a replica that has restarted under the same ID. Nothing known about the earlier
-// start applies any more, and calls in flight there are lost. Its next list entry says whether it is
+// replaceRestarted resets a replica that has restarted under the same ID. What was known about it no
+// longer applies, and calls in flight there are lost. Its next list entry will say whether it is
 // draining.
-func (t *Targets) replaceRestarted(s *state, born time.Time) {
+func (t *Targets) replaceRestarted(s *state, startedAt time.Time) {
 	rep := s.Replica
-	rep.StartedAt, rep.Draining, rep.WarmupLeft = born, false, 0
+	rep.StartedAt, rep.Draining, rep.WarmupLeft = startedAt, false, 0
 	t.discardRestarted(s)
-	t.log.Warn("target: replica restarted", "replica", rep.ID, "service", rep.Service, "born", born)
+	t.log.Warn("target: replica restarted", "replica", rep.ID, "service", rep.Service, "born", startedAt)
 	t.add(rep)
 }
 
@@ -251,7 +255,7 @@
 	}
 }
 
-// Drop removes a replica from the list. Calls in flight there continue.
+// Drop removes a replica. Calls in flight there continue.
 func (t *Targets) Drop(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -261,13 +265,13 @@
 	}
 }
 
-// recentTurnWindow is how long a replica counts as one where this box places turns. It exceeds the usual
-// pause between two turns of a program.
+// recentTurnWindow is how long after a turn a replica counts as one where this box places turns. It
+// exceeds the usual pause between two turns of a program.
 const recentTurnWindow = 5 * time.Second
 
-// Models returns the model replicas of this box's zone that accept work and whose load this box must
-// poll: all of them if it uses the whole group, otherwise those where it places turns. Most replicas of a
-// large fleet are idle, and polling one of those would open a new connection.
+// Models returns the model replicas of this box's zone that accept work and whose load this box needs:
+// all replicas of groups without a subset level, otherwise those where this box places turns. Most
+// replicas of a large fleet are idle, and polling those would open new connections.
 func (t *Targets) Models() []work.Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -284,7 +288,8 @@
 	return models
 }
 
-// UpdateLoad records a load report of a replica. A report of an earlier start is ignored.
+// UpdateLoad records a load report of a replica. A report with an earlier start time than the known one
+// is ignored.
 func (t *Targets) UpdateLoad(id string, load work.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -302,7 +307,7 @@
 	s.load, s.loadAt, s.inFlightAtReport = load, time.Now(), s.inFlight
 }
 
-// ListedIDs returns the sorted IDs of the replicas.
+// ListedIDs returns the sorted IDs of the replicas, missing ones included.
 func (t *Targets) ListedIDs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -314,6 +319,7 @@
 	return ids
 }
 
+// remove takes a replica out of use. Its pool is closed once its last call has ended.
 func (t *Targets) remove(s *state) {
 	s.removed = true
 	delete(t.byID, s.ID)
@@ -334,16 +340,16 @@
 	// WorkKind names the kind of work, by which unit times are averaged.
 	WorkKind string
 	Services []work.Split
-	// Regions are those in which the call may run; an empty list allows all.
+	// Regions holds the regions in which the call may run; an empty list allows all.
 	Regions []string
 	// Exclude lists the IDs of replicas to which the call must not be sent, since it was sent there before.
 	Exclude []string
 	// Prompt is nil for calls of plain services.
 	Prompt *work.Prompt
-	// CachedTokens maps a replica's RunID to the number of prompt tokens that it still caches from earlier turns;
-	// may be nil.
+	// CachedTokens maps a replica's RunID to the number of prompt tokens that it caches from earlier
+	// turns; it may be nil.
 	CachedTokens map[string]int
-	// Turn is the input to admission control.
+	// Turn describes the call to admission control.
 	Turn sched.Turn
 }
 
@@ -380,8 +386,8 @@
 	}
 }
 
-// SetLevels sets the subset levels at which this box's replicas were selected. The fewer boxes use a replica,
-// the larger the share of its connections that each may open.
+// SetLevels sets the subset levels by which this box's replicas were selected. The fewer boxes use a
+// replica, the larger the share of its connections that each of them may open.
 func (t *Targets) SetLevels(levels subset.Levels) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -407,7 +413,7 @@
 }
 
 const (
-	// minConnections is the number of connections that a box may always open to a replica.
+	// minConnections is the number of connections to a replica that a box may open in any case.
 	minConnections = 2
 	// spareBoxes reserves connections for boxes that join later.
 	spareBoxes = 4
--- a/gate/target/target_test.go
+++ b/gate/target/target_test.go
@@ -18,6 +18,7 @@
 	"mulleingate.dev/gate/work"
 )
 
+// fakePools counts the pools that are opened and closed, and records the last connection limit.
 type fakePools struct {
 	open, closed, limit int
 	// connected is the ID of the replica that has an idle connection.
@@ -35,10 +36,11 @@
 	id    string
 }
 
-func (c fakePool) Close()                   { c.pools.closed++ }
-func (c fakePool) SetLimit(connections int) { c.pools.limit = connections }
-func (c fakePool) HasIdle() bool            { return c.pools.connected == c.id }
+func (p fakePool) Close()                   { p.pools.closed++ }
+func (p fakePool) SetLimit(connections int) { p.pools.limit = connections }
+func (p fakePool) HasIdle() bool            { return p.pools.connected == p.id }
 
+// newTargets returns targets with n replicas of one service, which serves a model if engine is set.
 func newTargets(n int, engine bool) (*Targets, *fakePools) {
 	p := &fakePools{}
 	t := New("a", p, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -119,6 +121,7 @@
 	}
 }
 
+// TestSlowReplicaGetsFewerCalls checks that a replica which is slower than the others gets fewer calls.
 func TestSlowReplicaGetsFewerCalls(t *testing.T) {
 	targets, _ := newTargets(2, false)
 	got := map[string]int{}
@@ -137,7 +140,7 @@
 }
 
 // TestTurnsFollowCachedPrompt checks that turns go to the replica that caches their prompt until it
-// reports that it is full.
+// reports a long queue.
 func TestTurnsFollowCachedPrompt(t *testing.T) {
 	targets, _ := newTargets(3, true)
 	ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
@@ -180,8 +183,8 @@
 	}
 }
 
-// TestMissingReplicas checks that missing replicas get no calls while enough of their service is listed,
-// and that all are used while almost all entries are missing.
+// TestMissingReplicas checks that missing replicas get no calls while enough replicas of their service
+// are listed, and that all are used while almost all entries are missing.
 func TestMissingReplicas(t *testing.T) {
 	targets, _ := newTargets(6, false)
 	used := func() []string {
@@ -211,6 +214,8 @@
 	}
 }
 
+// TestUnavailableReplicasGetNoCalls checks that replicas which drain, were not reached or were dropped
+// get no calls.
 func TestUnavailableReplicasGetNoCalls(t *testing.T) {
 	targets, p := newTargets(3, false)
 	draining := replica(0, "a")
@@ -250,8 +255,8 @@
 	}
 }
 
-// TestSilentReplicaIsAvoided checks that a replica which sends no answers is avoided, unless it reports
-// waiting calls.
+// TestSilentReplicaIsAvoided checks that a replica which sends no answers is avoided, unless it has
+// reported waiting calls.
 func TestSilentReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, waiting := range []int{0, 2} {
@@ -306,8 +311,8 @@
 	}
 }
 
-// TestTakeInvariants applies random changes and checks that no call goes to a replica that drains, is
-// avoided or has no connection left.
+// TestTakeInvariants applies random changes and checks that no call goes to a replica that is draining,
+// removed or excluded, or has no connection left.
 func TestTakeInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		targets, _ := newTargets(5, rapid.Bool().Draw(rt, "engine"))
@@ -328,14 +333,14 @@
 					leases = leases[1:]
 				}
 			default:
-				avoid := []string{fmt.Sprintf("r%d", i)}
-				lease, err := targets.Take(Ask{WorkKind: "w", Services: splitToS, Exclude: avoid, Prompt: &work.Prompt{Tokens: 100 * i}})
+				exclude := []string{fmt.Sprintf("r%d", i)}
+				lease, err := targets.Take(Ask{WorkKind: "w", Services: splitToS, Exclude: exclude, Prompt: &work.Prompt{Tokens: 100 * i}})
 				if err != nil {
 					continue
 				}
 				leases = append(leases, lease)
 				s := lease.state
-				if s.Draining || s.removed || s.ID == avoid[0] || s.inFlight > targets.maxConnections(s) {
+				if s.Draining || s.removed || s.ID == exclude[0] || s.inFlight > targets.maxConnections(s) {
 					rt.Fatalf("call placed at %+v", s.Replica)
 				}
 			}
