--- a/gate/subset/subset.go
+++ b/gate/subset/subset.go
@@ -4,11 +4,11 @@
 
 const (
 	// minReplicas is the minimum average number of replicas of a group that a box knows, if the group
-	// has that many, when its level is chosen. It is enough for the box's calls while a quarter of the
+	// has that many, when its level is set. It is enough for the box's calls while a quarter of the
 	// replicas is stopped, replaced or slow.
 	minReplicas = 48
 	// minBoxes is the minimum average number of boxes of an availability zone that know a replica, if
-	// the zone has that many, when a level is chosen. It is enough to use all slots of the replica while
+	// the zone has that many, when a level is set. It is enough to use all slots of the replica while
 	// some boxes restart.
 	minBoxes = 8
 	// maxSizeFactor and minSizeFactor bound the average subset size at which a level is kept, as
@@ -34,7 +34,7 @@
 	return level
 }
 
-// LevelFits reports whether a level chosen earlier may stay: it equals Level, or the average size of a
+// LevelFits reports whether a level that was set earlier may stay: it equals Level, or the average size of a
 // subset is within the bounds.
 func LevelFits(replicas, boxes, level int) bool {
 	wanted := Level(replicas, boxes)
