--- a/gate/feed/feed.go
+++ b/gate/feed/feed.go
@@ -15,11 +15,11 @@
 
 const (
 	// readWait is how long one read waits for new records. The log may fail to wake a read that starts at
-	// the moment of a change, so it is half of the 2 s within which a change must be in force and for
-	// which leaving replicas keep serving.
+	// the moment of a change. So readWait is half of the 2 s within which a change must be in force and
+	// for which replicas that leave keep serving.
 	readWait = time.Second
-	// readTimeoutMargin is how much longer than readWait a read may take: enough for two attempts that
-	// hang.
+	// readTimeoutMargin is how much longer than readWait a read may take. It leaves time for two attempts
+	// that hang.
 	readTimeoutMargin = 2 * time.Second
 	// configReadInterval and replicaReadInterval are the minimum time from the start of one read to the
 	// next, so that many small changes cost few calls. Both are well below the time within which a change
@@ -31,11 +31,11 @@
 	// outageAfter is how much longer than requested a read may take, or how long reads may fail, before
 	// the log counts as having been unavailable.
 	outageAfter = 500 * time.Millisecond
-	// missingGrace is how long after the log's recovery a replica may stay missing whose entry
-	// disappeared in the outage. A running replica writes its entry again within 2 s.
+	// missingGrace is how long after the log's recovery a replica may stay missing if its entry disappeared
+	// in the outage. A running replica writes its entry again within 2 s.
 	missingGrace = 2200 * time.Millisecond
-	// lateAfter is the time between two answers from which the newer one is logged as late: longer than
-	// an interval and a read that waits in vain.
+	// lateAfter is the time between two answers above which the newer one is logged as late. It is longer
+	// than an interval and a read that gets no new records.
 	lateAfter = replicaReadInterval + readWait + outageAfter
 	// missingCheckInterval bounds how long a read waits while replicas are missing, so that they are
 	// dropped in time.
@@ -44,8 +44,7 @@
 
 // Log is the part of the log that a feed reads.
 type Log interface {
-	// Snapshot returns the newest record of each key of a topic. It bounds the time of each of its calls
-	// itself.
+	// Snapshot returns the newest record of each key of a topic. It applies its own timeouts.
 	Snapshot(ctx context.Context, topic work.Topic) (work.Snapshot, error)
 	// Read returns the records from the offset on, as soon as there are any or after wait. It fails with
 	// HistoryGone if they are no longer kept.
@@ -85,11 +84,12 @@
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 	conf     atomic.Pointer[work.Config]
-	// newest is the configuration version that the log returned last.
-	newest int64
-	// proven is the send time of the newest request whose answer showed that conf is the newest
-	// configuration; nil before the first. It is stored after the records of that answer are applied.
-	proven atomic.Pointer[time.Time]
+	// newestVersion is the version of the configuration that the log returned last.
+	newestVersion int64
+	// confirmedAt is when the newest request was sent whose answer showed that conf is the newest
+	// configuration, less the age of that answer; nil before the first. It is stored after the records of
+	// that answer have been applied.
+	confirmedAt atomic.Pointer[time.Time]
 	// listLoaded is set once the list of replicas has been read.
 	listLoaded atomic.Bool
 	// listCheckedAt is the time as of which the list of replicas was last read or found unchanged; nil
@@ -98,9 +98,9 @@
 	// evacuated holds the evacuated availability zones. Only the goroutine that follows the settings uses
 	// it, and replaces the map instead of changing it.
 	evacuated map[string]bool
-	// rejectedConfigs counts the configurations that do not decode, foreign the replica entries that do
-	// not.
-	rejectedConfigs, foreign atomic.Int64
+	// rejectedConfigs counts the configurations that did not decode, and rejectedEntries the replica
+	// entries that did not.
+	rejectedConfigs, rejectedEntries atomic.Int64
 }
 
 // New returns a feed that has not been started.
@@ -121,16 +121,17 @@
 // Known returns the newest configuration and when it was last shown to be the newest.
 func (f *Feed) Known() access.ConfigSnapshot {
 	known := access.ConfigSnapshot{}
-	if proven := f.proven.Load(); proven != nil {
-		known.ConfirmedAt = *proven
+	if confirmedAt := f.confirmedAt.Load(); confirmedAt != nil {
+		known.ConfirmedAt = *confirmedAt
 	}
-	known.Config = f.conf.Load() // loaded after proven, so that it is no older than that
+	known.Config = f.conf.Load() // loaded after confirmedAt, so that it is no older than that
 	return known
 }
 
-// ConfigAge returns the time since the configuration was last shown to be the newest; zero before that.
+// ConfigAge returns the time since the configuration was last shown to be the newest; zero if it never
+// was.
 func (f *Feed) ConfigAge() time.Duration {
-	return age(f.proven.Load())
+	return age(f.confirmedAt.Load())
 }
 
 // ConfigsRefused returns the number of configurations that did not decode.
@@ -140,7 +141,7 @@
 
 // EntriesRefused returns the number of replica entries that did not decode.
 func (f *Feed) EntriesRefused() int64 {
-	return f.foreign.Load()
+	return f.rejectedEntries.Load()
 }
 
 func age(at *time.Time) time.Duration {
@@ -155,8 +156,8 @@
 	return f.conf.Load() != nil && f.listLoaded.Load()
 }
 
-// ListAge returns the time since the list of replicas was last read or found unchanged; zero before that.
-// It bounds how long a replica's departure can go unnoticed here.
+// ListAge returns the time since the list of replicas was last read or found unchanged; zero if it never
+// was. It bounds how long a replica's departure may have gone unnoticed.
 func (f *Feed) ListAge() time.Duration {
 	return age(f.listCheckedAt.Load())
 }
@@ -167,13 +168,13 @@
 	f.cancel = cancel
 	settingsFollower := &follower{
 		feed: f, topic: work.Settings, interval: configReadInterval, wait: readWait,
-		onRecord: f.applySetting, onSnapshot: f.applySettingsSnapshot, onAnswer: func(time.Time) {}, current: f.confirmConfig,
+		onRecord: f.applySetting, onSnapshot: f.applySettingsSnapshot, onAnswer: func(time.Time) {}, onConfirmed: f.confirmConfig,
 	}
 	replicas := &replicaList{feed: f, missing: map[string]time.Time{}, malformed: map[string]bool{}}
 	replicaFollower := &follower{
 		feed: f, topic: work.Replicas, interval: replicaReadInterval, wait: readWait,
 		onRecord: replicas.onRecord, onSnapshot: replicas.onSnapshot, afterRead: replicas.expire, onAnswer: func(at time.Time) { f.listCheckedAt.Store(&at) },
-		current: func(time.Time) {},
+		onConfirmed: func(time.Time) {},
 	}
 	f.done.Go(func() { settingsFollower.follow(ctx) })
 	f.done.Go(func() { replicaFollower.follow(ctx) })
@@ -198,8 +199,8 @@
 	}
 }
 
-// applySettingsSnapshot applies all newest settings records at once: the evacuation of an availability
-// zone that none of them names has ended.
+// applySettingsSnapshot ends the evacuation of each availability zone that none of the newest settings
+// records names.
 func (f *Feed) applySettingsSnapshot(recs []work.Record, _ time.Time) {
 	named := map[string]bool{}
 	for _, rec := range recs {
@@ -233,7 +234,7 @@
 	f.logger.Warn("feed: availability zone evacuation changed", "zone", zone, "evacuated", on)
 }
 
-// applyConfig puts a configuration in force if it is newer than the present one.
+// applyConfig puts a configuration in force if it is newer than the current one.
 func (f *Feed) applyConfig(rec work.Record) {
 	conf, err := f.decoder.Config(rec)
 	if err != nil {
@@ -244,7 +245,7 @@
 	if conf == nil {
 		return
 	}
-	f.newest = conf.Version
+	f.newestVersion = conf.Version
 	if conf.Version <= f.version() {
 		return
 	}
@@ -262,13 +263,13 @@
 	return -1
 }
 
-// confirmConfig records that the configuration was the newest at asked, when the request was sent whose
-// answer has been applied. An answer with an older configuration than the known one confirms nothing.
-func (f *Feed) confirmConfig(asked time.Time) {
-	if f.conf.Load() == nil || f.newest < f.version() {
+// confirmConfig records that the configuration was the newest at requestedAt. An answer with an older
+// configuration than the known one confirms nothing.
+func (f *Feed) confirmConfig(requestedAt time.Time) {
+	if f.conf.Load() == nil || f.newestVersion < f.version() {
 		return
 	}
-	f.proven.Store(&asked)
+	f.confirmedAt.Store(&requestedAt)
 }
 
 // follower reads one topic continuously.
@@ -276,15 +277,17 @@
 	feed     *Feed
 	topic    work.Topic
 	interval time.Duration
-	// onRecord is called with each record. A replica whose entry is gone may stay missing until the given
-	// time, which has passed unless the log has just recovered.
+	// onRecord is called with each record, and with the time until which a replica whose entry disappeared
+	// may stay missing. That time has passed unless the log has just recovered.
 	onRecord func(rec work.Record, until time.Time)
 	// onSnapshot is called with all newest records, after onRecord was called with each of them.
 	onSnapshot func(recs []work.Record, until time.Time)
-	// afterRead is called after every read; it returns how long the next one may wait for new records.
+	// afterRead is called after every read and returns the new value of wait; it may be nil.
 	afterRead func() time.Duration
-	wait      time.Duration
+	// wait is how long the next read may wait for new records.
+	wait time.Duration
 
+	// next is the offset of the next record, negative if it is unknown.
 	next int64
 	// failingSince is when reads began to fail; zero while they succeed.
 	failingSince time.Time
@@ -292,28 +295,28 @@
 	recoveredAt time.Time
 	// lastAnswerAt is when the newest answer arrived.
 	lastAnswerAt time.Time
-	// onAnswer is called with the time as of which the newest answer holds.
+	// onAnswer is called with the time at which the newest answer was accurate.
 	onAnswer func(at time.Time)
-	// current is called with the time as of which the known records are surely complete: when the request
-	// was sent whose answer has been applied, less the answer's age. A read that waits for new records
-	// confirms nothing about the time in which it waited.
-	current func(asked time.Time)
+	// onConfirmed is called with the time at which the known records were certainly complete: when the
+	// request was sent whose answer has been applied, less the age of the answer. A read that waits for new
+	// records confirms nothing about the time in which it waited.
+	onConfirmed func(requestedAt time.Time)
 }
 
 // follow reads the topic until ctx ends.
-func (t *follower) follow(ctx context.Context) {
-	t.next = -1
+func (f *follower) follow(ctx context.Context) {
+	f.next = -1
 	for ctx.Err() == nil {
 		start := time.Now()
-		pause := t.interval
-		if err := t.readOnce(ctx, start); err != nil && ctx.Err() == nil {
+		pause := f.interval
+		if err := f.readOnce(ctx, start); err != nil && ctx.Err() == nil {
 			pause = retryInterval
-			t.noteFailure(start)
-			t.feed.logger.Debug("feed: cannot read the log", "topic", t.topic, "cause", err)
+			f.noteFailure(start)
+			f.feed.logger.Debug("feed: cannot read the log", "topic", f.topic, "cause", err)
 		}
-		if t.afterRead != nil {
-			t.wait = t.afterRead()
-			pause = min(pause, t.wait)
+		if f.afterRead != nil {
+			f.wait = f.afterRead()
+			pause = min(pause, f.wait)
 		}
 		select {
 		case <-time.After(max(0, pause-time.Since(start))):
@@ -322,93 +325,94 @@
 	}
 }
 
-// noteFailure records that a read which began at start failed.
-func (t *follower) noteFailure(start time.Time) {
-	if t.failingSince.IsZero() {
-		t.failingSince = start
+// noteFailure records that a read which began at start has failed.
+func (f *follower) noteFailure(start time.Time) {
+	if f.failingSince.IsZero() {
+		f.failingSince = start
 	}
 }
 
-// noteSuccess records an answer to a read that began at start and was to wait up to wait for new records.
-// It returns the time until which missing entries may come back.
-func (t *follower) noteSuccess(start time.Time, wait time.Duration) time.Time {
+// noteSuccess records an answer to a read that began at start and could wait for new records as long as
+// wait. It returns the time until which replicas whose entries disappeared may stay missing.
+func (f *follower) noteSuccess(start time.Time, wait time.Duration) time.Time {
 	now := time.Now()
-	t.noteAnswer(now)
+	f.noteAnswer(now)
 	overdue := now.Sub(start) > wait+outageAfter
 	if overdue {
-		t.noteFailure(start)
+		f.noteFailure(start)
 	}
-	if overdue || (!t.failingSince.IsZero() && now.Sub(t.failingSince) > outageAfter) {
-		t.recoveredAt = now
-		t.feed.logger.Info("feed: log available again", "topic", t.topic, "away", now.Sub(t.failingSince))
+	if overdue || (!f.failingSince.IsZero() && now.Sub(f.failingSince) > outageAfter) {
+		f.recoveredAt = now
+		f.feed.logger.Info("feed: log available again", "topic", f.topic, "away", now.Sub(f.failingSince))
 	}
-	t.failingSince = time.Time{}
-	return t.recoveredAt.Add(missingGrace)
+	f.failingSince = time.Time{}
+	return f.recoveredAt.Add(missingGrace)
 }
 
 // noteAnswer records when an answer arrived, and logs one that is late.
-func (t *follower) noteAnswer(now time.Time) {
-	if age := now.Sub(t.lastAnswerAt); !t.lastAnswerAt.IsZero() && age > lateAfter {
-		t.feed.logger.Info("feed: log answered late", "topic", t.topic, "age", age)
+func (f *follower) noteAnswer(now time.Time) {
+	if age := now.Sub(f.lastAnswerAt); !f.lastAnswerAt.IsZero() && age > lateAfter {
+		f.feed.logger.Info("feed: log answered late", "topic", f.topic, "age", age)
 	}
-	t.lastAnswerAt = now
+	f.lastAnswerAt = now
 }
 
-// readOnce reads the next records, or the newest record of each key if the offset is unknown or no longer
-// kept.
-func (t *follower) readOnce(ctx context.Context, start time.Time) error {
-	if t.next < 0 {
-		return t.reload(ctx, start)
+// readOnce reads the next records, or the newest record of each key if the next offset is unknown or its
+// record is no longer kept.
+func (f *follower) readOnce(ctx context.Context, start time.Time) error {
+	if f.next < 0 {
+		return f.reload(ctx, start)
 	}
-	wait := t.wait
-	if !t.failingSince.IsZero() {
+	wait := f.wait
+	if !f.failingSince.IsZero() {
 		wait = 0 // notice the log's recovery at once
 	}
-	page, err := t.read(ctx, wait)
+	page, err := f.read(ctx, wait)
 	if fault.Is(err, fault.HistoryGone) {
-		t.feed.logger.Info("feed: log history dropped, reading the newest records", "topic", t.topic)
-		t.next = -1
-		t.noteSuccess(start, wait) // this is an answer, perhaps the first after an outage
-		return t.reload(ctx, time.Now())
+		f.feed.logger.Info("feed: log history dropped, reading the newest records", "topic", f.topic)
+		f.next = -1
+		f.noteSuccess(start, wait) // this is an answer, perhaps the first after an outage
+		return f.reload(ctx, time.Now())
 	}
 	if err != nil {
 		return err
 	}
-	until := t.noteSuccess(start, wait)
-	t.next = page.Next
+	until := f.noteSuccess(start, wait)
+	f.next = page.Next
 	for _, rec := range page.Records {
-		t.onRecord(rec, until)
+		f.onRecord(rec, until)
 	}
-	t.reportFreshness(start, page.Age)
+	f.reportFreshness(start, page.Age)
 	return nil
 }
 
-func (t *follower) read(ctx context.Context, wait time.Duration) (work.Page, error) {
+func (f *follower) read(ctx context.Context, wait time.Duration) (work.Page, error) {
 	ctx, stop := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer stop()
-	return t.feed.log.Read(ctx, t.topic, t.next, wait)
+	return f.feed.log.Read(ctx, f.topic, f.next, wait)
 }
 
-func (t *follower) reload(ctx context.Context, start time.Time) error {
-	snapshot, err := t.feed.log.Snapshot(ctx, t.topic)
+// reload reads the newest record of each key.
+func (f *follower) reload(ctx context.Context, start time.Time) error {
+	snapshot, err := f.feed.log.Snapshot(ctx, f.topic)
 	if err != nil {
 		return err
 	}
-	until := t.noteSuccess(start, 0)
-	t.next = snapshot.Next
+	until := f.noteSuccess(start, 0)
+	f.next = snapshot.Next
 	for _, rec := range snapshot.Records {
-		t.onRecord(rec, until)
+		f.onRecord(rec, until)
 	}
-	t.onSnapshot(snapshot.Records, until)
-	t.reportFreshness(start, snapshot.Age)
+	f.onSnapshot(snapshot.Records, until)
+	f.reportFreshness(start, snapshot.Age)
 	return nil
 }
 
-// reportFreshness reports that the answer to a request sent at start has been applied; its records were
-// age old.
-func (t *follower) reportFreshness(start time.Time, age time.Duration) {
-	t.onAnswer(time.Now().Add(-age))
-	t.current(start.Add(-age))
+// reportFreshness reports that the answer to a request sent at start has been applied. The answer was age
+// old when it arrived.
+func (f *follower) reportFreshness(start time.Time, age time.Duration) {
+	f.onAnswer(time.Now().Add(-age))
+	f.onConfirmed(start.Add(-age))
 }
 
 // replicaList applies the list of replicas to the targets. A replica whose entry disappears in a log
@@ -419,11 +423,11 @@
 	mu sync.Mutex
 	// missing maps the IDs of replicas whose entries disappeared to the time at which they are dropped.
 	missing map[string]time.Time
-	// malformed holds the keys of entries that did not decode and have been logged.
+	// malformed holds the keys of entries that did not decode and were logged.
 	malformed map[string]bool
 }
 
-// maxMalformed bounds the malformed entries that are remembered: more than a list of replicas has.
+// maxMalformed bounds the malformed entries that are remembered.
 const maxMalformed = 1000
 
 func (l *replicaList) onRecord(rec work.Record, until time.Time) {
@@ -443,8 +447,8 @@
 	l.feed.targets.Put(rep)
 }
 
-// reject handles an entry that does not decode, such as one from another writer. The replica that was
-// listed under its key is dropped. A repeated entry is not logged again.
+// reject handles an entry that does not decode, such as one from another writer. It drops the replica that
+// was listed under the key. A repeated entry is not logged again.
 func (l *replicaList) reject(id string, cause error) {
 	l.mu.Lock()
 	delete(l.missing, id)
@@ -454,7 +458,7 @@
 	}
 	l.mu.Unlock()
 	l.feed.targets.Drop(id)
-	l.feed.foreign.Add(1)
+	l.feed.rejectedEntries.Add(1)
 	if !logged {
 		l.feed.logger.Warn("feed: invalid replica entry", "replica", id, "cause", cause)
 	}
@@ -475,6 +479,7 @@
 	}
 }
 
+// onSnapshot removes the replicas that are not among the newest records.
 func (l *replicaList) onSnapshot(recs []work.Record, until time.Time) {
 	listed := map[string]bool{}
 	for _, rec := range recs {
--- a/gate/feed/feed_test.go
+++ b/gate/feed/feed_test.go
@@ -20,10 +20,11 @@
 	"mulleingate.dev/gate/work"
 )
 
-// fakeLog is the log that operators and replicas write to.
+// fakeLog is an in-memory log.
 type fakeLog struct {
-	mu          sync.Mutex
-	topics      map[work.Topic][]work.Record
+	mu     sync.Mutex
+	topics map[work.Topic][]work.Record
+	// first is the first offset of each topic that can still be read.
 	first       map[work.Topic]int64
 	unavailable bool
 	// noWakeup makes reads that wait for new records return only when their wait is over.
@@ -34,39 +35,39 @@
 	delay time.Duration
 }
 
-func (s *fakeLog) put(topic work.Topic, key, value string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.topics[topic] = append(s.topics[topic], work.Record{Key: key, Value: []byte(value)})
+func (l *fakeLog) put(topic work.Topic, key, value string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.topics[topic] = append(l.topics[topic], work.Record{Key: key, Value: []byte(value)})
 }
 
-func (s *fakeLog) setUnavailable(unavailable bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unavailable = unavailable
+func (l *fakeLog) setUnavailable(unavailable bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.unavailable = unavailable
 }
 
 // dropHistory makes all records so far unreadable by offset.
-func (s *fakeLog) dropHistory() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for topic, recs := range s.topics {
-		s.first[topic] = int64(len(recs))
+func (l *fakeLog) dropHistory() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for topic, recs := range l.topics {
+		l.first[topic] = int64(len(recs))
 	}
 }
 
-func (s *fakeLog) Snapshot(_ context.Context, topic work.Topic) (work.Snapshot, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.unavailable {
+func (l *fakeLog) Snapshot(_ context.Context, topic work.Topic) (work.Snapshot, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.unavailable {
 		return work.Snapshot{}, fault.Refuse(fault.LogUnavailable, "away")
 	}
-	recs := s.topics[topic]
+	recs := l.topics[topic]
 	newest := map[string]int{}
 	for i, rec := range recs {
 		newest[rec.Key] = i
 	}
-	all := work.Snapshot{Next: int64(len(recs)), Age: s.age}
+	all := work.Snapshot{Next: int64(len(recs)), Age: l.age}
 	for i, rec := range recs {
 		if newest[rec.Key] == i && len(rec.Value) > 0 {
 			all.Records = append(all.Records, rec)
@@ -75,17 +76,17 @@
 	return all, nil
 }
 
-func (s *fakeLog) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
-	s.mu.Lock()
-	delay := s.delay
-	s.mu.Unlock()
+func (l *fakeLog) Read(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
+	l.mu.Lock()
+	delay := l.delay
+	l.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(wait + delay)
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(50 * time.Millisecond) {
-		s.mu.Lock()
-		recs, first, unavailable, noWakeup, age := s.topics[topic], s.first[topic], s.unavailable, s.noWakeup, s.age
-		s.mu.Unlock()
+		l.mu.Lock()
+		recs, first, unavailable, noWakeup, age := l.topics[topic], l.first[topic], l.unavailable, l.noWakeup, l.age
+		l.mu.Unlock()
 		switch {
 		case noWakeup && time.Now().Before(end):
 			continue
@@ -99,7 +100,8 @@
 	}
 }
 
-// fakeDecoder decodes a number as a configuration version, and anything but "broken" as a replica.
+// fakeDecoder decodes numbers as configuration versions, any value but "broken" as a replica, and keys
+// that begin with "empty " as evacuations.
 type fakeDecoder struct{}
 
 func (fakeDecoder) Config(rec work.Record) (*work.Config, error) {
@@ -128,75 +130,77 @@
 	evacuated map[string]bool
 }
 
-func (l *fakeTargets) SetEvacuated(zones map[string]bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.evacuated = zones
+func (t *fakeTargets) SetEvacuated(zones map[string]bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.evacuated = zones
 }
 
-func (l *fakeTargets) Configure(*work.Config) {}
-func (l *fakeTargets) Put(rep work.Replica) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ids[rep.ID] = true
+func (t *fakeTargets) Configure(*work.Config) {}
+func (t *fakeTargets) Put(rep work.Replica) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ids[rep.ID] = true
 }
-func (l *fakeTargets) MarkMissing(string) {}
+func (t *fakeTargets) MarkMissing(string) {}
 
-func (l *fakeTargets) Drop(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.ids, id)
+func (t *fakeTargets) Drop(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.ids, id)
 }
-func (l *fakeTargets) ListedIDs() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *fakeTargets) ListedIDs() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	ids := []string{}
-	for id := range l.ids {
+	for id := range t.ids {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	return ids
 }
 
-func runFeed(t *testing.T, do func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets)) {
+// runFeed runs do with a feed that has read configuration 4 and the replicas a and b, on a fake clock.
+func runFeed(t *testing.T, do func(t *testing.T, log *fakeLog, f *Feed, targets *fakeTargets)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}}
-		l := &fakeTargets{ids: map[string]bool{}}
-		f := New(s, fakeDecoder{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		s.put(work.Settings, "config", "4")
-		s.put(work.Replicas, "a", "x")
-		s.put(work.Replicas, "b", "x")
+		log := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}}
+		targets := &fakeTargets{ids: map[string]bool{}}
+		f := New(log, fakeDecoder{}, targets, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		log.put(work.Settings, "config", "4")
+		log.put(work.Replicas, "a", "x")
+		log.put(work.Replicas, "b", "x")
 		if err := f.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		do(t, s, f, l)
+		do(t, log, f, targets)
 		_ = f.Stop(context.Background()) // it never fails
 	})
 }
 
-func expect(t *testing.T, l *fakeTargets, want ...string) {
+// expect checks the IDs of the listed replicas.
+func expect(t *testing.T, targets *fakeTargets, want ...string) {
 	t.Helper()
-	if diff := cmp.Diff(want, l.ListedIDs()); diff != "" {
+	if diff := cmp.Diff(want, targets.ListedIDs()); diff != "" {
 		t.Errorf("replicas (-want +got):\n%s", diff)
 	}
 }
 
 func TestFollowsTopics(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
+	runFeed(t, func(t *testing.T, log *fakeLog, f *Feed, targets *fakeTargets) {
 		if !f.Ready() || f.Config().Version != 4 {
 			t.Errorf("configuration %+v", f.Config())
 		}
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "c", "x")
-		s.put(work.Replicas, "d", "broken")
-		s.put(work.Replicas, "a", "")
-		s.put(work.Settings, "config", "9")
-		s.put(work.Settings, "config", "5")
-		s.put(work.Settings, "config", "broken")
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "c", "x")
+		log.put(work.Replicas, "d", "broken")
+		log.put(work.Replicas, "a", "")
+		log.put(work.Settings, "config", "9")
+		log.put(work.Settings, "config", "5")
+		log.put(work.Settings, "config", "broken")
 		time.Sleep(800 * time.Millisecond)
-		expect(t, l, "b", "c")
+		expect(t, targets, "b", "c")
 		if f.Config().Version != 9 {
 			t.Errorf("version %d", f.Config().Version)
 		}
@@ -206,25 +210,25 @@
 // TestEvacuations checks that the start and the end of an evacuation are reported, the end also if its
 // record was dropped unread.
 func TestEvacuations(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
+	runFeed(t, func(t *testing.T, log *fakeLog, _ *Feed, targets *fakeTargets) {
 		reported := func() map[string]bool {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return l.evacuated
+			targets.mu.Lock()
+			defer targets.mu.Unlock()
+			return targets.evacuated
 		}
-		s.put(work.Settings, "empty a", "now")
-		s.put(work.Settings, "empty b", "now")
+		log.put(work.Settings, "empty a", "now")
+		log.put(work.Settings, "empty b", "now")
 		time.Sleep(time.Second)
 		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, reported()); diff != "" {
 			t.Errorf("evacuated (-want +got):\n%s", diff)
 		}
-		s.put(work.Settings, "empty a", "")
+		log.put(work.Settings, "empty a", "")
 		time.Sleep(time.Second)
 		if diff := cmp.Diff(map[string]bool{"b": true}, reported()); diff != "" {
 			t.Errorf("one evacuation ended (-want +got):\n%s", diff)
 		}
-		s.put(work.Settings, "empty b", "")
-		s.dropHistory()
+		log.put(work.Settings, "empty b", "")
+		log.dropHistory()
 		time.Sleep(2 * time.Second)
 		if diff := cmp.Diff(map[string]bool{}, reported()); diff != "" {
 			t.Errorf("both evacuations ended (-want +got):\n%s", diff)
@@ -232,13 +236,13 @@
 	})
 }
 
-// TestAgeOfRelayedAnswers checks that records which another box relays count as being as old as it says.
+// TestAgeOfRelayedAnswers checks that the reported ages include the age of answers that another box relays.
 func TestAgeOfRelayedAnswers(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, _ *fakeTargets) {
+	runFeed(t, func(t *testing.T, log *fakeLog, f *Feed, _ *fakeTargets) {
 		const age = 4 * time.Second // longer than an interval and a read
-		s.mu.Lock()
-		s.age = age
-		s.mu.Unlock()
+		log.mu.Lock()
+		log.age = age
+		log.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		if f.ConfigAge() < age || f.ListAge() < age {
 			t.Errorf("configuration age %v, replicas age %v, but the answers were %v old", f.ConfigAge(), f.ListAge(), age)
@@ -247,21 +251,21 @@
 }
 
 // TestChangeWithoutWakeup checks that a change is known in time even if the log does not wake the read
-// that waits for it. Otherwise replicas get calls after they have left.
+// that waits for it. Otherwise replicas would get calls after they have left.
 func TestChangeWithoutWakeup(t *testing.T) {
 	const known = 1500 * time.Millisecond // a change must be in force within 2 s
-	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
-		s.mu.Lock()
-		s.noWakeup = true
-		s.mu.Unlock()
+	runFeed(t, func(t *testing.T, log *fakeLog, f *Feed, targets *fakeTargets) {
+		log.mu.Lock()
+		log.noWakeup = true
+		log.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		for step := range 20 {
 			time.Sleep(time.Duration(step) * 137 * time.Millisecond)
 			id, version := fmt.Sprintf("r%d", step), int64(10+step)
-			s.put(work.Replicas, id, "x")
-			s.put(work.Settings, "config", strconv.FormatInt(version, 10))
+			log.put(work.Replicas, id, "x")
+			log.put(work.Settings, "config", strconv.FormatInt(version, 10))
 			time.Sleep(known)
-			if !slices.Contains(l.ListedIDs(), id) || f.Config().Version != version {
+			if !slices.Contains(targets.ListedIDs(), id) || f.Config().Version != version {
 				t.Errorf("step %d: not known %v after the change", step, known)
 				return
 			}
@@ -269,15 +273,15 @@
 	})
 }
 
-// TestHistoryGone checks that changes are found whose records were dropped unread.
+// TestHistoryGone checks that changes are found even if their records were dropped unread.
 func TestHistoryGone(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, f *Feed, l *fakeTargets) {
-		s.put(work.Replicas, "a", "")
-		s.put(work.Replicas, "c", "x")
-		s.put(work.Settings, "config", "7")
-		s.dropHistory()
+	runFeed(t, func(t *testing.T, log *fakeLog, f *Feed, targets *fakeTargets) {
+		log.put(work.Replicas, "a", "")
+		log.put(work.Replicas, "c", "x")
+		log.put(work.Settings, "config", "7")
+		log.dropHistory()
 		time.Sleep(1500 * time.Millisecond)
-		expect(t, l, "b", "c")
+		expect(t, targets, "b", "c")
 		if f.Config().Version != 7 {
 			t.Errorf("version %d", f.Config().Version)
 		}
@@ -285,85 +289,86 @@
 }
 
 // TestHistoryGoneInAnOutage checks that a log which recovers without its history counts as having been
-// unavailable, so that replicas missing then may come back.
+// unavailable, so that replicas whose entries disappeared may come back.
 func TestHistoryGoneInAnOutage(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
-		s.mu.Lock()
-		s.delay = 1900 * time.Millisecond
-		s.mu.Unlock()
+	runFeed(t, func(t *testing.T, log *fakeLog, _ *Feed, targets *fakeTargets) {
+		log.mu.Lock()
+		log.delay = 1900 * time.Millisecond
+		log.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond) // the next read has begun
-		s.put(work.Replicas, "a", "")
-		s.dropHistory()
-		s.mu.Lock()
-		s.delay = 0
-		s.mu.Unlock()
+		log.put(work.Replicas, "a", "")
+		log.dropHistory()
+		log.mu.Lock()
+		log.delay = 0
+		log.mu.Unlock()
 		time.Sleep(2800 * time.Millisecond)
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "a", "x")
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "a", "x")
 		time.Sleep(3 * time.Second)
-		expect(t, l, "a", "b")
+		expect(t, targets, "a", "b")
 	})
 }
 
 // TestEntriesExpiredInOutage checks that entries which disappeared in a log outage are kept for about two
 // seconds after its end, and no longer.
 func TestEntriesExpiredInOutage(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
-		s.setUnavailable(true)
+	runFeed(t, func(t *testing.T, log *fakeLog, _ *Feed, targets *fakeTargets) {
+		log.setUnavailable(true)
 		time.Sleep(6 * time.Second)
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "a", "")
-		s.put(work.Replicas, "b", "")
-		s.setUnavailable(false)
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "a", "")
+		log.put(work.Replicas, "b", "")
+		log.setUnavailable(false)
 		time.Sleep(time.Second)
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "b", "x")
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "b", "x")
 		time.Sleep(2500 * time.Millisecond)
-		expect(t, l, "b")
+		expect(t, targets, "b")
 	})
 }
 
-// TestMissingGraceStartsAtRecovery checks that an entry which is found missing late is kept no longer
-// after the log's recovery than others.
+// TestMissingGraceStartsAtRecovery checks that the grace period of a missing replica starts at the log's
+// recovery, even if its entry disappears later.
 func TestMissingGraceStartsAtRecovery(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
-		s.setUnavailable(true)
+	runFeed(t, func(t *testing.T, log *fakeLog, _ *Feed, targets *fakeTargets) {
+		log.setUnavailable(true)
 		time.Sleep(6 * time.Second)
-		s.setUnavailable(false)
+		log.setUnavailable(false)
 		time.Sleep(1200 * time.Millisecond)
-		s.put(work.Replicas, "a", "")
+		log.put(work.Replicas, "a", "")
 		time.Sleep(800 * time.Millisecond)
-		expect(t, l, "a", "b")
+		expect(t, targets, "a", "b")
 		time.Sleep(900 * time.Millisecond)
-		expect(t, l, "b")
+		expect(t, targets, "b")
 	})
 }
 
-// TestShortOutage checks that a short outage is detected too.
+// TestShortOutage checks that entries which disappear in a short outage are kept, and that entries removed
+// later are not.
 func TestShortOutage(t *testing.T) {
-	runFeed(t, func(t *testing.T, s *fakeLog, _ *Feed, l *fakeTargets) {
+	runFeed(t, func(t *testing.T, log *fakeLog, _ *Feed, targets *fakeTargets) {
 		time.Sleep(2 * time.Second)
-		s.setUnavailable(true)
+		log.setUnavailable(true)
 		time.Sleep(3500 * time.Millisecond)
-		s.put(work.Replicas, "a", "")
-		s.setUnavailable(false)
+		log.put(work.Replicas, "a", "")
+		log.setUnavailable(false)
 		time.Sleep(500 * time.Millisecond)
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "a", "x")
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "a", "x")
 		time.Sleep(3 * time.Second)
-		expect(t, l, "a", "b")
-		s.put(work.Replicas, "b", "")
+		expect(t, targets, "a", "b")
+		log.put(work.Replicas, "b", "")
 		time.Sleep(3 * time.Second)
-		expect(t, l, "a")
+		expect(t, targets, "a")
 	})
 }
 
 // TestStartWithoutLog checks that a feed which has never reached the log is not ready.
 func TestStartWithoutLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}, unavailable: true}
-		l := &fakeTargets{ids: map[string]bool{}}
-		f := New(s, fakeDecoder{}, l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		log := &fakeLog{topics: map[work.Topic][]work.Record{}, first: map[work.Topic]int64{}, unavailable: true}
+		targets := &fakeTargets{ids: map[string]bool{}}
+		f := New(log, fakeDecoder{}, targets, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err := f.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -371,8 +376,8 @@
 		if f.Ready() || f.Config() != nil {
 			t.Error("ready without the log")
 		}
-		s.put(work.Settings, "config", "4")
-		s.setUnavailable(false)
+		log.put(work.Settings, "config", "4")
+		log.setUnavailable(false)
 		time.Sleep(time.Second)
 		if !f.Ready() {
 			t.Error("not ready after the log's recovery")
