--- a/gate/dial/confirm.go
+++ b/gate/dial/confirm.go
@@ -12,9 +12,8 @@
 )
 
 // sendExpectContinue sends the request's body only once the peer has asked for it. An idle connection may
-// be dead without a sign, so a reused one that fails is replaced by the next, or finally a new one. If
-// the peer does not respond in time, no other connection is tried, since the peer would not respond there
-// either.
+// be dead without notice, so if a reused one fails, the next is tried, and finally a new one. If the peer
+// does not respond in time, no other connection is tried, since it would not respond there either.
 func (p *Pool) sendExpectContinue(ctx context.Context, req Request) (*Response, error) {
 	for {
 		c, err := p.acquire(ctx, req.MaxIdle)
@@ -38,8 +37,8 @@
 	}
 }
 
-// writeExpectContinue writes the head of the request and, once the peer asks for it, the body. Any other
-// response is left to be read.
+// writeExpectContinue writes the head of the request and, if the peer asks for it, the body. Any other
+// response is left unread.
 func (r *Response) writeExpectContinue(ctx context.Context, req Request) error {
 	if _, err := r.conn.netConn.Write(requestHead(req, 0)); err != nil {
 		return err
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// awaitContinue reports whether the peer asks for the body; false if it has begun another response.
+// awaitContinue waits until the peer responds, and reports whether it asks for the body.
 func (r *Response) awaitContinue(ctx context.Context, timeout time.Duration) (bool, error) {
 	if err := r.conn.netConn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return false, err
@@ -66,7 +65,7 @@
 		return false, err
 	}
 	if ctx.Err() != nil {
-		r.conn.interrupt() // the previous call may have cleared the deadline that interrupt set
+		r.conn.interrupt() // SetReadDeadline may have cleared the deadline that interrupt set
 	}
 	if string(start) != string(continueLine) {
 		return false, nil
--- a/gate/dial/conn.go
+++ b/gate/dial/conn.go
@@ -20,10 +20,10 @@
 }
 
 func (c *conn) disconnect() {
-	_ = c.netConn.Close() // the connection is given up in any case
+	_ = c.netConn.Close() // the connection is not used any more
 }
 
-// isReusable reports whether the connection is open and holds no bytes that were not requested.
+// isReusable reports whether the connection is open and has no unread bytes.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/gate/dial/dial_test.go
+++ b/gate/dial/dial_test.go
@@ -38,7 +38,7 @@
 }
 
 // serve responds to requests with the raw responses that do returns. do gets the number of the request on
-// its connection, and reports whether to keep the connection.
+// its connection, and also returns whether to keep the connection.
 func serve(t *testing.T, do func(n int, req *http.Request) (string, bool)) netip.AddrPort {
 	t.Helper()
 	return listen(t, func(_ int, conn net.Conn) {
@@ -59,6 +59,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nId: 1\r\n\r\nok"
 
+// get sends a GET request and returns the body of the response.
 func get(t *testing.T, p *Pool, req Request) (string, error) {
 	t.Helper()
 	req.Method, req.Target, req.Host = http.MethodGet, "/x", "h"
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestNothingIsSentTwice checks that a request whose connection breaks is not sent again, and that the
-// fault does not claim that it has not run.
+// TestNothingIsSentTwice checks that a request whose connection breaks is not sent again, and that its
+// fault does not have NotRun set.
 func TestNothingIsSentTwice(t *testing.T) {
 	seen := make(chan string, 10)
 	addr := serve(t, func(n int, req *http.Request) (string, bool) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestExpectContinue checks that a request whose body is held back has not run if the peer is gone or
-// silent, and that a dead idle connection is replaced by a new one.
+// TestExpectContinue checks that a request with ContinueTimeout has not run if the peer is gone or silent,
+// and that a dead idle connection is replaced by a new one.
 func TestExpectContinue(t *testing.T) {
 	const within = 200 * time.Millisecond
 	bodies := make(chan string, 4)
@@ -303,6 +304,7 @@
 	}
 }
 
+// TestLimit checks that a request is refused if all connections that the limit allows are in use.
 func TestLimit(t *testing.T) {
 	free := make(chan struct{})
 	p := New(serve(t, func(int, *http.Request) (string, bool) { <-free; return okResponse, true }), 1)
@@ -357,6 +359,8 @@
 	}
 }
 
+// TestContextEnds checks that a request fails at once when its context ends, and that its connection is
+// discarded.
 func TestContextEnds(t *testing.T) {
 	p := New(serve(t, func(int, *http.Request) (string, bool) { time.Sleep(time.Minute); return okResponse, true }), 1)
 	ctx, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/gate/dial/pool.go
+++ b/gate/dial/pool.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection: a few round trips between availability zones,
-	// but less than the time after which TCP resends a lost SYN.
+	// connectTimeout bounds the opening of a connection. It allows a few round trips between availability
+	// zones, but is less than the time after which TCP resends a lost SYN.
 	connectTimeout = 400 * time.Millisecond
 	// ackTimeout is how long written bytes may stay unacknowledged before the connection counts as dead.
 	ackTimeout = 1500 * time.Millisecond
 	// keepAliveIdle, keepAliveEvery and keepAliveCount detect a dead peer while a response is awaited,
-	// within about 2 s, the minimum in whole seconds. Callers give up on a silent replica after 2.4 s or
-	// more, and can retry a call earlier if its connection breaks earlier.
+	// within about 2 s. That is the minimum, since TCP keep-alive times are whole seconds. The earlier
+	// the connection breaks, the earlier the caller can retry.
 	keepAliveIdle  = time.Second
 	keepAliveEvery = time.Second
 	keepAliveCount = 1
@@ -35,7 +35,7 @@
 // Pool holds the connections to one address.
 type Pool struct {
 	addr netip.AddrPort
-	// limit is the maximum number of open connections.
+	// limit is the maximum number of open connections; mu guards it.
 	limit int
 
 	mu sync.Mutex
@@ -76,14 +76,14 @@
 	return p.dials
 }
 
-// Full reports whether a request would now find neither an idle connection nor room for a new one.
+// Full reports whether there is neither an idle connection nor room for a new one.
 func (p *Pool) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) == 0 && p.open >= p.limit
 }
 
-// HasIdle reports whether a request could now reuse an idle connection, its MaxIdle aside.
+// HasIdle reports whether a request could now reuse an idle connection. It ignores Request.MaxIdle.
 func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,8 +103,8 @@
 	p.idle = nil
 }
 
-// acquire returns an idle connection that still looks alive, or a new one. An idle one may have been idle
-// for as long as the peer allows, or for at most idleLimit if the peer has not said.
+// acquire returns an idle connection that is still reusable, or a new one. A connection may have been idle
+// for as long as the peer announced, or for at most idleLimit if the peer has not announced a time.
 func (p *Pool) acquire(ctx context.Context, idleLimit time.Duration) (*conn, error) {
 	now := time.Now()
 	for {
@@ -171,8 +171,8 @@
 	p.open--
 }
 
-// release returns a connection to the pool after a whole response. keepAlive is the idle timeout that the
-// peer announced; zero if none.
+// release returns a connection to the pool after a complete response. keepAlive is the idle timeout that
+// the peer announced; zero if none.
 func (p *Pool) release(c *conn, keepAlive time.Duration) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
--- a/gate/dial/rest_test.go
+++ b/gate/dial/rest_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestIdleTimeout checks how long a connection may have been idle when a request with MaxIdle reuses it:
-// as long as the peer says that it keeps it or, if the peer does not say, no longer than MaxIdle.
+// TestIdleTimeout checks how long a connection may have been idle for a request to reuse it: as long as
+// the peer announces or, if it announces nothing, no longer than MaxIdle.
 func TestIdleTimeout(t *testing.T) {
 	const bound = 20 * time.Millisecond
 	for _, c := range []struct {
--- a/gate/dial/send.go
+++ b/gate/dial/send.go
@@ -13,8 +13,8 @@
 	"mulleingate.dev/base/fault"
 )
 
-// maxResponseHeads bounds the response heads that are read for one request, those of interim responses
-// and of earlier requests included.
+// maxResponseHeads bounds the response heads that are read for one request, including those of interim
+// responses and of responses to earlier requests.
 const maxResponseHeads = 4
 
 // requestHeadSize is enough for most heads of requests, in bytes.
@@ -28,13 +28,13 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle bounds how long a reused connection may have been idle if the peer does not announce how
-	// long it keeps one; zero means the pool's own bound. With a short time the request is less likely to
-	// be lost on a connection that the peer has just closed.
+	// MaxIdle bounds how long a reused connection may have been idle if the peer has not announced an idle
+	// timeout; zero means the pool's own bound. With a short bound, the request is less likely to be lost
+	// on a connection that the peer has just closed.
 	MaxIdle time.Duration
-	// ContinueTimeout is how long the peer may take to ask for the body with 100 Continue, until which the body
-	// is held back; zero sends everything at once. The peer must not act before it has the body, so that
-	// a request which fails on a dead connection has not run.
+	// ContinueTimeout is how long the peer may take to ask for the body with 100 Continue. The body is held
+	// back until then, so that a request which fails on a dead connection has not run. Zero sends
+	// everything at once.
 	ContinueTimeout time.Duration
 	// Matches reports whether a response belongs to this request; nil accepts any.
 	Matches func(header http.Header) bool
@@ -56,14 +56,15 @@
 	written chan struct{}
 	// writeFailed is set if the request could not be written completely.
 	writeFailed *atomic.Bool
-	// reusable says that the head of the response allows another request on the connection.
+	// reusable is set if the head of the response allows another request on the connection.
 	reusable  bool
 	bodyEnded bool
 	closed    bool
 }
 
 // Send sends the request once. A fault with NotRun means that the peer has not received the whole
-// request. The caller must call Close on the response. When ctx ends, the connection is cut.
+// request. The caller must call Close on the response. When ctx ends, reads and writes on the connection
+// fail.
 func (p *Pool) Send(ctx context.Context, req Request) (*Response, error) {
 	if req.MaxIdle == 0 {
 		req.MaxIdle = maxIdleTime
@@ -80,7 +81,8 @@
 	return resp.awaitResponse(ctx, req)
 }
 
-// newResponse prepares an exchange on the connection, which is interrupted when ctx ends.
+// newResponse returns the response to a request that is about to be sent on the connection, which is
+// interrupted when ctx ends.
 func (p *Pool) newResponse(ctx context.Context, c *conn) *Response {
 	resp := &Response{pool: p, conn: c, written: make(chan struct{}), writeFailed: &atomic.Bool{}}
 	resp.unwatch = context.AfterFunc(ctx, c.interrupt)
@@ -105,6 +107,7 @@
 // longer one may block while the target already responds.
 const maxInlineWrite = 4 << 10
 
+// writeRequest writes the request, in the background if it is long.
 func (r *Response) writeRequest(raw []byte) {
 	if len(raw) <= maxInlineWrite {
 		r.writeAll(raw)
@@ -120,7 +123,7 @@
 	}
 }
 
-// requestHead returns the request without its body, with room for that many more bytes.
+// requestHead returns the request line and headers, with capacity for room more bytes.
 func requestHead(req Request, room int) []byte {
 	var b bytes.Buffer
 	b.Grow(requestHeadSize + room)
@@ -174,7 +177,7 @@
 	return n, err
 }
 
-// Close returns the connection to the pool if request and response are complete, and closes it otherwise.
+// Close returns the connection to the pool if it can be reused, and closes it otherwise.
 func (r *Response) Close() {
 	if r.closed {
 		return
