--- a/gate/replay/engine_test.go
+++ b/gate/replay/engine_test.go
@@ -12,11 +12,11 @@
 // engineSpec is the capacity and speed of an engine.
 type engineSpec struct {
 	slots, queue int
-	// prefillRate is the number of prompt tokens prefilled in a millisecond; prefillChunk is the
-	// most in one step.
+	// prefillRate is the number of prompt tokens prefilled in a millisecond, and prefillChunk the
+	// maximum in one step.
 	prefillRate, prefillChunk int
-	// step is the time of a decoding step without calls, and stepPerCall what each running call
-	// adds to it.
+	// step is the fixed part of the time of a decoding step, and stepPerCall what each running call adds
+	// to it.
 	step, stepPerCall time.Duration
 	// cacheSize is the size of the prompt cache, in tokens.
 	cacheSize int
@@ -26,18 +26,20 @@
 
 // engineCall is one call at an engine.
 type engineCall struct {
-	// parent is the conversation whose prompt a sub-agent's begins with, empty for others.
+	// conversation, parent and prefix name the entries of the prompt cache that the call can use: its
+	// conversation, the one that a sub-agent inherits from, and the prefix of its kind of program.
 	conversation, parent, prefix string
-	// shared is the length of the prefix that all programs of the kind share, prompt that of the
+	// shared is the length of the prefix that all programs of the kind share, and prompt that of the
 	// whole prompt, in tokens.
 	shared, prompt int
-	// missing is the number of prompt tokens still to be prefilled, tokens the length of the
+	// missing is the number of prompt tokens still to be prefilled, and tokens the length of the
 	// answer.
 	missing, tokens int
-	// first is closed at the first event, done at the last.
+	// first is closed at the first event, and done at the end of the answer.
 	first, done chan struct{}
 	canceled    bool
-	generated   int
+	// generated is the number of tokens of the answer so far.
+	generated int
 }
 
 // cacheEntry is a cached prompt prefix.
@@ -47,7 +49,7 @@
 }
 
 // engine emulates continuous batching. Calls start in order of arrival, prompts are prefilled in
-// chunks between the decoding steps of other calls, and prefixes are cached with LRU eviction.
+// chunks during the decoding steps of other calls, and prefixes are cached with LRU eviction.
 type engine struct {
 	engineSpec
 	rep  work.Replica
@@ -58,7 +60,7 @@
 	stepFactor       float64
 	waiting, running []*engineCall
 	cache            map[string]cacheEntry
-	// prefilled counts the prompt tokens prefilled.
+	// prefilled counts the prompt tokens that were prefilled.
 	prefilled int
 }
 
@@ -93,6 +95,7 @@
 	return time.Duration(e.stepFactor * float64(e.prefill()))
 }
 
+// startWaiting moves waiting calls to free slots.
 func (e *engine) startWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < e.slots {
 		next := e.waiting[0]
@@ -106,15 +109,15 @@
 }
 
 // cachedTokens returns how much of the call's prompt is cached.
-func (e *engine) cachedTokens(r *engineCall) int {
-	if entry, ok := e.cache[r.conversation]; ok {
-		return min(entry.tokens, r.prompt)
+func (e *engine) cachedTokens(c *engineCall) int {
+	if entry, ok := e.cache[c.conversation]; ok {
+		return min(entry.tokens, c.prompt)
 	}
-	if entry, ok := e.cache[r.parent]; ok {
-		return min(entry.tokens, r.prompt)
+	if entry, ok := e.cache[c.parent]; ok {
+		return min(entry.tokens, c.prompt)
 	}
-	if entry, ok := e.cache[r.prefix]; ok {
-		return min(entry.tokens, r.shared)
+	if entry, ok := e.cache[c.prefix]; ok {
+		return min(entry.tokens, c.shared)
 	}
 	return 0
 }
@@ -122,9 +125,9 @@
 // prefill assigns the next chunk of prompt tokens and returns the time that the step takes.
 func (e *engine) prefill() time.Duration {
 	left := e.prefillChunk
-	for _, r := range e.running {
-		n := min(left, r.missing)
-		r.missing -= n
+	for _, c := range e.running {
+		n := min(left, c.missing)
+		c.missing -= n
 		left -= n
 	}
 	tokens := e.prefillChunk - left
@@ -133,33 +136,36 @@
 	return stepTime + time.Duration(tokens)*time.Millisecond/time.Duration(e.prefillRate)
 }
 
+// finishStep generates a token for each running call that is prefilled, and removes the calls that are
+// complete or canceled.
 func (e *engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	running := e.running[:0]
-	for _, r := range e.running {
-		if r.canceled {
+	for _, c := range e.running {
+		if c.canceled {
 			continue
 		}
-		if r.missing > 0 {
-			running = append(running, r)
+		if c.missing > 0 {
+			running = append(running, c)
 			continue
 		}
-		r.generated++
-		if r.generated == e.stride {
-			close(r.first)
+		c.generated++
+		if c.generated == e.stride {
+			close(c.first)
 		}
-		if r.generated < r.tokens {
-			running = append(running, r)
+		if c.generated < c.tokens {
+			running = append(running, c)
 			continue
 		}
-		e.cachePrefix(r.prefix, r.shared)
-		e.cachePrefix(r.conversation, r.prompt+r.tokens)
-		close(r.done)
+		e.cachePrefix(c.prefix, c.shared)
+		e.cachePrefix(c.conversation, c.prompt+c.tokens)
+		close(c.done)
 	}
 	e.running = running
 }
 
+// cachePrefix caches a prefix, and evicts the least recently used ones while the cache is too full.
 func (e *engine) cachePrefix(name string, tokens int) {
 	e.cache[name] = cacheEntry{tokens: tokens, lastUsed: time.Now()}
 	sum := 0
@@ -180,8 +186,8 @@
 
 // send runs the call, and calls first at its first event. It returns a fault with NotRun if the
 // queue is full.
-func (e *engine) send(ctx context.Context, r *engineCall, firstEventTimeout time.Duration, first func()) error {
-	if !e.enqueue(r) {
+func (e *engine) send(ctx context.Context, c *engineCall, firstEventTimeout time.Duration, first func()) error {
+	if !e.enqueue(c) {
 		return fault.Refuse(fault.Overloaded, "the engine's queue is full")
 	}
 	select {
@@ -189,25 +195,25 @@
 	default:
 	}
 	select {
-	case <-r.first:
+	case <-c.first:
 		first()
 	case <-time.After(firstEventTimeout):
-		e.cancel(r)
+		e.cancel(c)
 		return fault.Fail(fault.CallerGone, "no event arrived in time")
 	case <-ctx.Done():
-		e.cancel(r)
+		e.cancel(c)
 		return fault.Fail(fault.TimedOut, "the deadline has passed")
 	}
 	select {
-	case <-r.done:
+	case <-c.done:
 		return nil
 	case <-ctx.Done():
-		e.cancel(r)
+		e.cancel(c)
 		return fault.Fail(fault.TimedOut, "the deadline has passed")
 	}
 }
 
-// slowDown sets the factor by which all later steps take longer.
+// slowDown sets the factor by which the time of all later steps is multiplied.
 func (e *engine) slowDown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,21 +221,21 @@
 }
 
 // enqueue queues the call, unless the queue is full.
-func (e *engine) enqueue(r *engineCall) bool {
+func (e *engine) enqueue(c *engineCall) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) >= e.queue {
 		return false
 	}
-	r.first, r.done = make(chan struct{}), make(chan struct{})
-	e.waiting = append(e.waiting, r)
+	c.first, c.done = make(chan struct{}), make(chan struct{})
+	e.waiting = append(e.waiting, c)
 	return true
 }
 
-func (e *engine) cancel(r *engineCall) {
+func (e *engine) cancel(c *engineCall) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r.canceled = true
+	c.canceled = true
 }
 
 func (e *engine) load() work.Load {
--- a/gate/replay/fleet_test.go
+++ b/gate/replay/fleet_test.go
@@ -18,7 +18,8 @@
 
 const (
 	service = "engines"
-	// reportEvery is the interval of an engine's load reports, and reportLag their age on arrival.
+	// reportEvery is the interval of an engine's load reports, and reportLag the age of a report on
+	// arrival.
 	reportEvery = 300 * time.Millisecond
 	reportLag   = 100 * time.Millisecond
 )
@@ -29,7 +30,8 @@
 	// their calls.
 	boxes, owners int
 	zones         int
-	// placers is the number of placing boxes that each box is told, or zero to use sched.Placers.
+	// placers is the number of placing boxes that each box is told, or zero to use
+	// sched.EffectivePlacers.
 	placers int
 }
 
@@ -54,6 +56,7 @@
 	twoHundred = fleetSize{boxes: 200, owners: 40, zones: 5}
 )
 
+// noPool is a connection pool that does nothing, and its own opener.
 type noPool struct{}
 
 func (noPool) Close()                             {}
@@ -61,15 +64,16 @@
 func (noPool) HasIdle() bool                      { return true }
 func (noPool) Open(work.Replica, int) target.Pool { return noPool{} }
 
-// placeFunc takes a place for a turn.
+// placeFunc places a turn on behalf of a box.
 type placeFunc func(box *target.Targets, ask target.Ask) (*target.Lease, error)
 
 // fleet is a set of boxes that place calls on emulated engines.
 type fleet struct {
 	size fleetSize
 	spec engineSpec
-	// boxes are the owners, which place calls.
-	boxes   []*target.Targets
+	// boxes holds the state of the boxes that own programs and place calls.
+	boxes []*target.Targets
+	// engines holds the engines by ID, and ordered in a fixed order.
 	engines map[string]*engine
 	ordered []*engine
 	place   placeFunc
@@ -81,11 +85,11 @@
 	cached map[string]map[string]int
 }
 
-func newFleet(layout fleetSize, engines int, spec engineSpec, place placeFunc, seed uint64) *fleet {
-	f := &fleet{size: layout, spec: spec, engines: map[string]*engine{}, place: place, rng: rand.New(rand.NewPCG(seed, seed)), cached: map[string]map[string]int{}}
+func newFleet(size fleetSize, engines int, spec engineSpec, place placeFunc, seed uint64) *fleet {
+	f := &fleet{size: size, spec: spec, engines: map[string]*engine{}, place: place, rng: rand.New(rand.NewPCG(seed, seed)), cached: map[string]map[string]int{}}
 	for i := range engines {
 		rep := work.Replica{
-			ID: fmt.Sprintf("e%d", i), Service: service, Zone: layout.zone(i), Slots: spec.slots,
+			ID: fmt.Sprintf("e%d", i), Service: service, Zone: size.zone(i), Slots: spec.slots,
 			Addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+i)),
 		}
 		e := newEngine(rep, spec)
@@ -93,11 +97,11 @@
 		f.ordered = append(f.ordered, e)
 	}
 	conf := work.NewConfig(1, nil, []work.Service{{Name: service, Connections: 10_000, Engine: &work.Engine{Slots: spec.slots, Stride: spec.stride}}}, work.Limits{})
-	for i := range layout.owners {
-		t := target.New(layout.zone(i), noPool{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	for i := range size.owners {
+		t := target.New(size.zone(i), noPool{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		t.Configure(conf)
-		t.SetBoxCount(layout.boxes)
-		t.SetPlacerCount(layout.placerCount())
+		t.SetBoxCount(size.boxes)
+		t.SetPlacerCount(size.placerCount())
 		for _, e := range f.ordered {
 			t.Put(e.rep)
 		}
@@ -134,6 +138,7 @@
 	return f.rng.IntN(n)
 }
 
+// cachedFor returns the tokens cached for a conversation or its parent, by engine ID.
 func (f *fleet) cachedFor(conv conversation) map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gate/replay/programs_test.go
+++ b/gate/replay/programs_test.go
@@ -18,20 +18,22 @@
 type kind struct {
 	name     string
 	priority int
-	// value is what a program that meets its deadline earns, lateValue what one earns that takes at
-	// most twice its time.
+	// value is what a program earns that meets its deadline, and lateValue what one earns that takes at
+	// most twice the time it is given.
 	value, lateValue float64
 	// perSecond is the number of programs that start in a second, at a load of 1.
 	perSecond float64
-	// turns, input, shared and events are means: the turns of a program, the new and the shared
-	// tokens of a turn's prompt, and the events of its answer.
+	// turns, input and events are means: the turns of a program, the new tokens of a turn's prompt, and
+	// the events of its answer. shared is the length of the prefix that all programs of the kind share,
+	// in tokens.
 	turns, input, shared, events int
-	think, tool                  time.Duration
-	// deadlineFactor times the program's time on unloaded engines, plus deadlineSlack, is the time
-	// that the program is given.
+	// think and tool add up to the mean pause after a turn.
+	think, tool time.Duration
+	// deadlineFactor and deadlineSlack set a program's deadline: deadlineFactor times its time on unloaded
+	// engines, plus deadlineSlack.
 	deadlineFactor float64
 	deadlineSlack  time.Duration
-	// subAgentShare is the share of turns after which sub-agents of two turns each run.
+	// subAgentShare is the share of turns after which sub-agents run, each of two turns.
 	subAgentShare float64
 	// inheritPrompt reports whether the prompts of sub-agents begin with their program's.
 	inheritPrompt bool
@@ -45,11 +47,11 @@
 	work float64
 }
 
-func (t *outcomes) count() int { return t.inTime + t.late + t.failed + t.refused }
+func (o *outcomes) count() int { return o.inTime + o.late + o.failed + o.refused }
 
 // valueShare returns the share of the possible value that was earned.
-func (t *outcomes) valueShare(k kind) float64 {
-	return (float64(t.inTime)*k.value + float64(t.late)*k.lateValue) / (k.value * float64(max(1, t.count())))
+func (o *outcomes) valueShare(k kind) float64 {
+	return (float64(o.inTime)*k.value + float64(o.late)*k.lateValue) / (k.value * float64(max(1, o.count())))
 }
 
 // Behaviour of callers.
@@ -71,8 +73,8 @@
 	rng      *rand.Rand
 	deadline time.Time
 	box      *target.Targets
-	// refused is set if the last request was refused, begun once a turn has got a place.
-	refused, begun atomic.Bool
+	// refused is set if the last request was refused, and started once a turn has got a place.
+	refused, started atomic.Bool
 }
 
 // plan holds the turns of a program. They are drawn before it starts, so that its time on unloaded
@@ -83,6 +85,7 @@
 	subAgents      []int
 }
 
+// plan draws the turns of a program of the kind.
 func (k kind) plan(rng *rand.Rand) plan {
 	var p plan
 	for range sample(rng, k.turns) {
@@ -103,8 +106,8 @@
 	return max(1, int(float64(mean)*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// unloaded returns the plan's time on unloaded engines, and the engine time that it needs, in
-// seconds.
+// unloaded returns the time that the plan takes on unloaded engines, and the engine time that it needs,
+// in seconds. The latter assumes that all slots are in use.
 func (p plan) unloaded(spec engineSpec, k kind) (took time.Duration, work float64) {
 	for i := range p.inputs {
 		missing := p.inputs[i]
@@ -162,7 +165,7 @@
 	}
 }
 
-// runSubAgents runs n sub-agents concurrently, two turns each.
+// runSubAgents runs n sub-agents concurrently, two turns each, and reports whether all turns succeeded.
 func (p *program) runSubAgents(n, prompt, events int, counts *outcomes) bool {
 	results := make(chan bool, n)
 	for i := range n {
@@ -184,11 +187,12 @@
 // conversation is a sequence of turns, each of which extends the prompt of the one before.
 type conversation struct {
 	name string
-	// parent is the conversation whose prompt a sub-agent's begins with, empty for others.
+	// parent is the conversation whose prompt a sub-agent's prompt begins with, empty for others.
 	parent string
 }
 
-// runTurn runs a turn as callers do: it sends a failed turn again, up to maxAttempts times.
+// runTurn runs a turn as a caller does: it repeats a failed request, up to maxAttempts in all. It reports
+// whether the turn succeeded.
 func (p *program) runTurn(conv conversation, prompt, events int, counts *outcomes) bool {
 	for try := range maxAttempts {
 		if try > 0 {
@@ -201,7 +205,7 @@
 	return false
 }
 
-// request sends a request, and sends it once more after a refusal and the advised delay.
+// request sends a request, and sends it once more if it is refused, after the Retry-After delay.
 func (p *program) request(conv conversation, prompt, events int, counts *outcomes) bool {
 	deadline := time.Now().Add(callTimeout)
 	for range 2 {
@@ -230,7 +234,7 @@
 		Prompt:       &work.Prompt{Tokens: prompt, Most: 36 * p.spec.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
 		CachedTokens: p.cachedFor(conv),
 		Turn: sched.Turn{
-			Program: p.id, Kind: p.name, NewProgram: !p.begun.Load(), Priority: p.priority, TimeLeft: time.Until(p.deadline), Arrived: arrived,
+			Program: p.id, Kind: p.name, NewProgram: !p.started.Load(), Priority: p.priority, TimeLeft: time.Until(p.deadline), Arrived: arrived,
 		},
 	}
 	lease, err := p.place(p.box, ask)
@@ -238,7 +242,7 @@
 		p.refused.Store(true)
 		return err
 	}
-	p.begun.Store(true)
+	p.started.Store(true)
 	p.refused.Store(false)
 	e := p.engines[lease.Replica.ID]
 	call := &engineCall{conversation: conv.name, parent: conv.parent, prefix: p.name, shared: p.shared, prompt: prompt, tokens: events * p.spec.stride}
--- a/gate/replay/replay_test.go
+++ b/gate/replay/replay_test.go
@@ -14,12 +14,13 @@
 	"mulleingate.dev/gate/target"
 )
 
-// small is a fast engine with few slots, which is full once its slots are; large is a slow one with
-// many slots, whose prefill is saturated long before.
+// The kinds of engines.
 var (
+	// small is a fast engine with few slots, which are all in use before its prefill is saturated.
 	small = engineSpec{
 		slots: 16, queue: 48, prefillRate: 61, prefillChunk: 2048, step: 3370 * time.Microsecond, stepPerCall: 11 * time.Microsecond, cacheSize: 112_000, stride: 8,
 	}
+	// large is a slow engine with many slots, whose prefill is saturated long before they are in use.
 	large = engineSpec{
 		slots: 40, queue: 48, prefillRate: 25, prefillChunk: 2048, step: 7 * time.Millisecond, stepPerCall: 11 * time.Microsecond, cacheSize: 112_000, stride: 8,
 	}
@@ -27,8 +28,8 @@
 	medium = engineSpec{
 		slots: 16, queue: 48, prefillRate: 38, prefillChunk: 2048, step: 4630 * time.Microsecond, stepPerCall: 60 * time.Microsecond, cacheSize: 100_000, stride: 5,
 	}
-	// few is a fast engine with very few slots.
-	few = engineSpec{
+	// fewSlots is about as fast as medium, with very few slots.
+	fewSlots = engineSpec{
 		slots: 6, queue: 18, prefillRate: 38, prefillChunk: 2048, step: 4630 * time.Microsecond, stepPerCall: 153 * time.Microsecond, cacheSize: 72_000, stride: 5,
 	}
 )
@@ -65,11 +66,13 @@
 // pattern is a load over time.
 type pattern struct {
 	name string
-	// size is the size of the fleet, ten boxes if it is not set; kinds are its programs.
+	// size is the size of the fleet, and kinds its kinds of programs. If size is not set, the fleet has
+	// ten boxes and the programs of the function kinds.
 	size  fleetSize
 	kinds []kind
-	// minValue is the share of the value that must be earned with admission control, and minGain
-	// the least gain over running without it. Both leave a margin for the scheduling of goroutines.
+	// minValue is the minimum share of the value that must be earned with admission control, and minGain
+	// the minimum gain over running without it. Both leave a margin for variations between runs, since
+	// goroutines are scheduled differently.
 	minValue, minGain float64
 	// seeds is the number of runs that are averaged, one if it is not set. The noise of the mean
 	// must stay well below minGain.
@@ -77,7 +80,7 @@
 	spec     engineSpec
 	engines  int
 	duration time.Duration
-	// load returns the load of a kind at a time.
+	// load returns the load of a kind of program at a time since the start, relative to its usual load.
 	load func(at time.Duration, kind string) float64
 	// disturb changes the fleet during the run; it may be nil.
 	disturb func(f *fleet)
@@ -87,7 +90,7 @@
 type result struct {
 	outcomes []*outcomes
 	kinds    []kind
-	// limit is the share of the value that the engines' capacity allows.
+	// limit is the ratio of the engines' capacity to the work of all programs, at most 1.
 	limit float64
 	// prefilled is the number of prompt tokens that all engines prefilled.
 	prefilled int
@@ -116,7 +119,7 @@
 	return text
 }
 
-// play runs a pattern with a way of placing turns.
+// play runs a pattern, in which turns are placed by place.
 func play(t *testing.T, p pattern, place placeFunc, seed uint64) result {
 	t.Helper()
 	if p.size.boxes == 0 {
@@ -139,8 +142,8 @@
 		}
 		all.Wait()
 		work := 0.0
-		for _, t := range res.outcomes {
-			work += t.work
+		for _, o := range res.outcomes {
+			work += o.work
 		}
 		res.limit = min(1, float64(p.engines)*p.duration.Seconds()/work)
 		for _, e := range f.ordered {
@@ -173,8 +176,8 @@
 // placeAdmitted places turns as boxes do: programs must be admitted to start.
 func placeAdmitted(box *target.Targets, ask target.Ask) (*target.Lease, error) {
 	if ask.Turn.NewProgram {
-		if verdict := box.Admit(ask); verdict.Refuse {
-			return nil, fault.Refuse(fault.Overloaded, "not admitted").WithRetryAfter(verdict.RetryAfter)
+		if decision := box.Admit(ask); decision.Refuse {
+			return nil, fault.Refuse(fault.Overloaded, "not admitted").WithRetryAfter(decision.RetryAfter)
 		}
 	}
 	return box.Take(ask)
@@ -184,8 +187,7 @@
 	return func(time.Duration, string) float64 { return load }
 }
 
-// calmThen returns a low load, during which boxes learn the engines' speed, followed by a steady
-// load.
+// calmThen returns a low load, in which boxes learn the engines' speed, followed by a steady load.
 func calmThen(load float64) func(time.Duration, string) float64 {
 	const calmTime, calmLoad = 4 * time.Second, 0.2
 	return func(at time.Duration, _ string) float64 {
@@ -196,8 +198,8 @@
 	}
 }
 
-// burst returns a load of 1 with a burst on one kind, or on all if kind is empty. Before it, boxes
-// learn the engines' speed.
+// burst returns a load of 1 with a burst on one kind of program, or on all if kind is empty. Before the
+// burst, boxes learn the engines' speed.
 func burst(to time.Duration, kind string, load float64) func(time.Duration, string) float64 {
 	const from = 4 * time.Second
 	return func(at time.Duration, name string) float64 {
@@ -229,8 +231,8 @@
 		}},
 		{name: "full engines, for a minute", minValue: 0.4, minGain: 0.3, spec: small, engines: 5, duration: time.Minute, load: calmThen(1.3)},
 		{name: "twice what engines can do, for a minute", minValue: 0.2, minGain: 0.15, spec: small, engines: 4, duration: time.Minute, load: calmThen(1.6)},
-		{name: "200 boxes, calm", minValue: 0.97, minGain: -0.03, size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: steady(1)},
-		{name: "200 boxes, a burst on all", minValue: 0.87, minGain: -0.06, size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)},
+		{name: "200 boxes, calm", minValue: 0.97, minGain: -0.03, size: twoHundred, kinds: largeFleetKinds(), spec: fewSlots, engines: 62, duration: 10 * time.Second, load: steady(1)},
+		{name: "200 boxes, a burst on all", minValue: 0.87, minGain: -0.06, size: twoHundred, kinds: largeFleetKinds(), spec: fewSlots, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)},
 		{name: "slow prefill, full load", minValue: 0.58, minGain: -0.1, spec: large, engines: 11, duration: 30 * time.Second, load: calmThen(1)},
 		{name: "slow prefill, twice the load", minValue: 0.18, minGain: 0.03, spec: large, engines: 11, duration: 30 * time.Second, load: calmThen(2)},
 	}
@@ -263,10 +265,10 @@
 	}
 }
 
-// TestPlacersOfLargeFleet checks that a box counts no more placing boxes than a replica has slots,
-// however many it is told of. Otherwise programs leave the replicas that cache their prompts.
+// TestPlacersOfLargeFleet checks that a box which is told of many placing boxes counts no more of them
+// than a replica has slots. Otherwise programs would leave the replicas that cache their prompts.
 func TestPlacersOfLargeFleet(t *testing.T) {
-	p := pattern{size: twoHundred, kinds: largeFleetKinds(), spec: few, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)}
+	p := pattern{size: twoHundred, kinds: largeFleetKinds(), spec: fewSlots, engines: 62, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.1)}
 	for _, placers := range []int{0, twoHundred.owners, twoHundred.boxes} {
 		p.size.placers = placers
 		res := play(t, p, placeAdmitted, 1)
@@ -277,9 +279,9 @@
 	}
 }
 
-// TestFewOwners checks a burst on a fleet where few boxes own all programs. Replicas get calls from
-// the owners in all zones, so that counting only those of one zone would overload the replicas that
-// cache prompts.
+// TestFewOwners checks the value that is earned in a burst on a fleet where few boxes own all programs.
+// Replicas get calls from the owners in all zones, so that counting only those of one zone would overload
+// the replicas that cache prompts.
 func TestFewOwners(t *testing.T) {
 	p := pattern{size: sixtyFour, kinds: largeFleetKinds(), spec: medium, engines: 60, duration: 10 * time.Second, load: burst(8*time.Second, "", 2.5)}
 	const seeds = 3
