--- a/gate/sched/engine.go
+++ b/gate/sched/engine.go
@@ -88,7 +88,7 @@
 	stepGrowth = 0.03
 )
 
-// Load returns the estimated number of streams at the target now. It is the larger of two figures:
+// Load returns the estimated number of streams at the target now. It is the larger of two estimates:
 // the last report corrected by this box's streams since, and the streams that all boxes say they
 // have in flight.
 func (c Candidate) Load() int {
