--- a/gate/turns/answer.go
+++ b/gate/turns/answer.go
@@ -12,7 +12,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// forwardReply streams the answer to the caller and ends the turn in the ledger.
+// forwardReply streams the answer to the caller and records the end of the turn in the ledger.
 func (t *turn) forwardReply(ctx context.Context, reply work.Reply) error {
 	defer reply.Body.Close()
 	if err := t.awaitStart(ctx); err != nil {
@@ -36,7 +36,8 @@
 	return t.ledger.finish(ctx)
 }
 
-// forwardFailure forwards an answer with an error status, which is no event stream.
+// forwardFailure handles a reply that is not a signed event stream: it rejects an unsigned success and
+// forwards an error status to the caller, unless part of the answer was already sent.
 func (t *turn) forwardFailure(reply work.Reply) error {
 	if reply.Head.Status < http.StatusMultipleChoices {
 		t.lease.Done(target.Incomplete, 0)
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// statusOutcome maps a status to an outcome: a 5xx is a failure of the replica, except a timeout, which says
-// nothing about it; other statuses are answers.
+// statusOutcome maps a status to an outcome. A 5xx is a failure of the replica, except 504, which says
+// nothing about the replica. Other statuses are answers.
 func statusOutcome(status int) target.Outcome {
 	switch {
 	case status == http.StatusGatewayTimeout:
@@ -99,26 +100,26 @@
 	head work.Head
 	// collected holds the events sent to the caller.
 	collected events
-	// partial is the beginning of an event on a resumable route. The caller gets complete events only, so
-	// that none is duplicated after a resume.
+	// partial buffers an incomplete event on a resumable route. Only complete events are sent to the caller,
+	// so that a resumed answer repeats no part of an event.
 	partial []byte
-	// begun is set once anything was sent to the caller.
+	// begun is set once a part of the answer was sent to the caller.
 	begun bool
 }
 
 // Write implements work.Answer.
-func (p *answerWriter) Write(data []byte) error {
-	p.turn.lastReceived = time.Now()
-	if !p.turn.route.Resumable {
-		return p.send(data)
+func (w *answerWriter) Write(data []byte) error {
+	w.turn.lastReceived = time.Now()
+	if !w.turn.route.Resumable {
+		return w.send(data)
 	}
-	p.partial = append(p.partial, data...)
-	end := completeEvents(p.partial)
+	w.partial = append(w.partial, data...)
+	end := completeEvents(w.partial)
 	if end == 0 {
 		return nil
 	}
-	err := p.send(p.partial[:end])
-	p.partial = append(p.partial[:0], p.partial[end:]...)
+	err := w.send(w.partial[:end])
+	w.partial = append(w.partial[:0], w.partial[end:]...)
 	return err
 }
 
@@ -134,26 +135,26 @@
 	return end
 }
 
-// flush sends what follows the last event of a complete answer.
-func (p *answerWriter) flush() error {
-	if len(p.partial) == 0 {
+// flush sends the bytes after the last complete event, once the answer has ended.
+func (w *answerWriter) flush() error {
+	if len(w.partial) == 0 {
 		return nil
 	}
-	rest := p.partial
-	p.partial = nil
-	return p.send(rest)
+	rest := w.partial
+	w.partial = nil
+	return w.send(rest)
 }
 
-// send sends bytes to the caller, after the head if they are the first.
-func (p *answerWriter) send(data []byte) error {
-	if !p.begun {
-		p.begun = true
-		p.turn.lease.RecordFirstEvent(time.Since(p.turn.sentAt))
-		p.turn.firstEventLatency = time.Since(p.turn.call.Arrived)
-		if err := p.Begin(p.head); err != nil {
+// send writes data to the caller and sends the head before the first bytes.
+func (w *answerWriter) send(data []byte) error {
+	if !w.begun {
+		w.begun = true
+		w.turn.lease.RecordFirstEvent(time.Since(w.turn.sentAt))
+		w.turn.firstEventLatency = time.Since(w.turn.call.Arrived)
+		if err := w.Begin(w.head); err != nil {
 			return err
 		}
 	}
-	p.collected.write(data)
-	return p.Answer.Write(data)
+	w.collected.write(data)
+	return w.Answer.Write(data)
 }
--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// recordSpare is the space in a log record, in bytes, kept for the identifiers beside a turn's text.
-	// answerDivisor sets the part of the text that the input must leave for the answer: 1/answerDivisor.
+	// recordSpare is the number of bytes of a log record that are reserved for the identifiers of a turn.
+	// answerDivisor sets how much of the remaining space the input must leave for the answer:
+	// 1/answerDivisor.
 	recordSpare   = 1 << 10
 	answerDivisor = 4
 	// maxHistoryBytes bounds a prompt: the program's history and the new input.
 	maxHistoryBytes = 16 << 20
-	// defaultRetention is how long a program's spending is kept if its route sets no retention. It exceeds
-	// the usual pause between two turns.
+	// defaultRetention is how long the token count of a program is kept if its route sets no retention. It
+	// exceeds the usual pause between two turns.
 	defaultRetention = 2 * time.Minute
 	// settleTimeout bounds the attempts to record the tokens that a turn has spent.
 	settleTimeout = 10 * time.Second
 )
 
-// ledger charges a turn to its program's budget and decides what the log keeps of it.
+// ledger charges a turn to its program's budget and writes the turn's records to the log.
 type ledger interface {
 	// enter checks the turn against the state and reserves its budget.
 	enter(state *chain.State) error
@@ -50,175 +51,177 @@
 }
 
 // statefulLedger is the ledger for stateful routes: the log stores every turn, and later turns continue from
-// it.
+// the stored ones.
 type statefulLedger struct{ *turn }
 
-func (t *statefulLedger) enter(state *chain.State) error {
-	if len(t.input) > t.maxTextBytes-t.maxTextBytes/answerDivisor {
+func (l *statefulLedger) enter(state *chain.State) error {
+	if len(l.input) > l.maxTextBytes-l.maxTextBytes/answerDivisor {
 		return fault.Refuse(fault.TooLarge, "the turn is too long for a log record")
 	}
-	if len(t.call.Turn.Base) > t.maxTextBytes {
+	if len(l.call.Turn.Base) > l.maxTextBytes {
 		return fault.Refuse(fault.TooLarge, "the history to copy is too long for a log record")
 	}
 	var recs []work.Record
-	history, err := state.History(t.open.Program, t.open.Previous)
-	if fault.Is(err, fault.NoTurn) && t.call.Turn.Base != nil {
-		recs = append(recs, state.ImportCopy(time.Now(), t.open.Program, t.open.Previous, t.call.Turn.Base, t.open.Retention))
-		history, err = state.History(t.open.Program, t.open.Previous)
+	history, err := state.History(l.open.Program, l.open.Previous)
+	if fault.Is(err, fault.NoTurn) && l.call.Turn.Base != nil {
+		recs = append(recs, state.ImportCopy(time.Now(), l.open.Program, l.open.Previous, l.call.Turn.Base, l.open.Retention))
+		history, err = state.History(l.open.Program, l.open.Previous)
 	}
 	if err != nil {
 		return err
 	}
-	size := len(t.input)
-	for _, before := range history {
-		size += len(before.Text)
+	size := len(l.input)
+	for _, earlier := range history {
+		size += len(earlier.Text)
 	}
 	if size > maxHistoryBytes {
 		return fault.Refuse(fault.TooLarge, "the program's history is too long")
 	}
-	starts, err := state.BeginStateful(time.Now(), t.open, t.call.Turn.Budget)
+	starts, err := state.BeginStateful(time.Now(), l.open, l.call.Turn.Budget)
 	if err != nil {
 		return err
 	}
 	recs = append(recs, starts...)
-	t.buildPrompt(history, size)
+	l.buildPrompt(history, size)
 	if len(recs) > 0 {
-		t.started = t.slot.QueueLocked(recs)
+		l.started = l.slot.QueueLocked(recs)
 	}
 	return nil
 }
 
 // buildPrompt assembles the prompt, of size bytes, from the history and the input.
-func (t *statefulLedger) buildPrompt(history []*chain.Turn, size int) {
-	t.prompt = make([]byte, 0, size)
-	t.cachedTokens = map[string]int{}
-	for _, before := range history {
-		t.prompt = append(t.prompt, before.Text...)
-		if before.RanOn != "" {
-			t.cachedTokens[before.RanOn] = before.CachedTokens
+func (l *statefulLedger) buildPrompt(history []*chain.Turn, size int) {
+	l.prompt = make([]byte, 0, size)
+	l.cachedTokens = map[string]int{}
+	for _, earlier := range history {
+		l.prompt = append(l.prompt, earlier.Text...)
+		if earlier.RanOn != "" {
+			l.cachedTokens[earlier.RanOn] = earlier.CachedTokens
 		}
 	}
-	t.prompt = append(t.prompt, t.input...)
+	l.prompt = append(l.prompt, l.input...)
 }
 
 func (*statefulLedger) needsLog() bool { return true }
 
 func (*statefulLedger) onStartLogged() {}
 
-// finish writes the turn to the log and waits for it; only then is the answer complete for the caller.
-func (t *statefulLedger) finish(ctx context.Context) error {
-	text := append(append([]byte(nil), t.input...), t.answer.collected.text...)
-	if len(text) > t.maxTextBytes {
+// finish writes the turn to the log and waits for the confirmation. Until then, the answer does not count as
+// complete for the caller.
+func (l *statefulLedger) finish(ctx context.Context) error {
+	text := append(append([]byte(nil), l.input...), l.answer.collected.text...)
+	if len(text) > l.maxTextBytes {
 		return fault.Fail(fault.TooLarge, "the turn with its answer is too long for a log record")
 	}
-	tokens := t.answerTokens(t.answer.collected.count)
+	tokens := l.answerTokens(l.answer.collected.count)
 	var pending *shard.PendingWrite
-	t.slot.Update(func(state *chain.State) {
-		finished, recs := state.Finish(time.Now(), t.open, tokens, text)
-		finished.RanOn = t.lease.Replica.RunID()
-		if t.call.Prompt != nil {
-			finished.CachedTokens = t.call.Prompt.Tokens + tokens
+	l.slot.Update(func(state *chain.State) {
+		finished, recs := state.Finish(time.Now(), l.open, tokens, text)
+		finished.RanOn = l.lease.Replica.RunID()
+		if l.call.Prompt != nil {
+			finished.CachedTokens = l.call.Prompt.Tokens + tokens
 		}
-		pending = t.slot.QueueLocked(recs)
-		t.ended = true
+		pending = l.slot.QueueLocked(recs)
+		l.ended = true
 	})
 	start := time.Now()
-	if err := t.slot.WaitOrForward(ctx, pending); err != nil {
-		t.log.Warn("turns: end of turn not confirmed by the log", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
-		t.counts.Count("turns.unconfirmed", 1)
-		go t.releaseReservation(context.Background(), pending) // returns at the latest when the slot is given up
+	if err := l.slot.WaitOrForward(ctx, pending); err != nil {
+		l.log.Warn("turns: end of turn not confirmed by the log", "id", l.call.ID, "program", l.call.Turn.Program, "slot", l.slot.Number(), "cause", err)
+		l.counts.Count("turns.unconfirmed", 1)
+		go l.releaseReservation(context.Background(), pending) // returns at the latest when this box releases or loses the slot
 		return fault.Fail(fault.LogUnavailable, "the log did not confirm the answer").WithCause(err)
 	}
-	t.releaseReservation(ctx, pending)
-	t.counts.Time("turns.confirm_time", time.Since(start))
-	t.answered(time.Since(start))
+	l.releaseReservation(ctx, pending)
+	l.counts.Time("turns.confirm_time", time.Since(start))
+	l.answered(time.Since(start))
 	return nil
 }
 
-// releaseReservation lets the program's next turn use the tokens that this one had reserved, once this owner
-// has written the turn's end to the log.
-func (t *statefulLedger) releaseReservation(ctx context.Context, end *shard.PendingWrite) {
+// releaseReservation makes the tokens that this turn had reserved available to the program's next turn, once
+// this owner has written the turn's end to the log.
+func (l *statefulLedger) releaseReservation(ctx context.Context, end *shard.PendingWrite) {
 	if end.Wait(ctx) == nil {
-		t.slot.Update(func(state *chain.State) { state.FreeReservation(t.open) })
+		l.slot.Update(func(state *chain.State) { state.FreeReservation(l.open) })
 	}
 }
 
-func (t *statefulLedger) abort() {
-	t.slot.Update(func(state *chain.State) {
-		if t.mayHaveRun {
-			state.Abort(t.open)
+func (l *statefulLedger) abort() {
+	l.slot.Update(func(state *chain.State) {
+		if l.mayHaveRun {
+			state.Abort(l.open)
 			return
 		}
-		if drops := state.Cancel(t.open); len(drops) > 0 {
-			t.slot.QueueLocked(drops)
+		if drops := state.Cancel(l.open); len(drops) > 0 {
+			l.slot.QueueLocked(drops)
 		}
 	})
 }
 
-// statelessLedger is the ledger for turns that carry their own history. The log holds a token grant for
-// several turns of a program, written in advance, so that most turns neither wait for the log nor need it.
+// statelessLedger is the ledger for turns that carry their own history. The log holds a token grant that
+// covers several turns of a program, so that most turns do not wait for the log.
 type statelessLedger struct{ *turn }
 
-func (t *statelessLedger) enter(state *chain.State) error {
-	recs, err := state.BeginStateless(time.Now(), t.open, t.call.Turn.Budget)
+func (l *statelessLedger) enter(state *chain.State) error {
+	recs, err := state.BeginStateless(time.Now(), l.open, l.call.Turn.Budget)
 	if err != nil {
 		return err
 	}
-	t.prompt = t.input
+	l.prompt = l.input
 	if len(recs) > 0 {
-		t.started = t.slot.QueueLocked(recs)
-		t.open.GrantedTokens = state.GrantedTokens(t.open.Program)
+		l.started = l.slot.QueueLocked(recs)
+		l.open.GrantedTokens = state.GrantedTokens(l.open.Program)
 	}
 	return nil
 }
 
-func (t *statelessLedger) needsLog() bool { return t.started != nil }
+func (l *statelessLedger) needsLog() bool { return l.started != nil }
 
-func (t *statelessLedger) onStartLogged() {
-	t.slot.Update(func(state *chain.State) { state.ConfirmGrant(t.open.Program, t.open.GrantedTokens) })
+func (l *statelessLedger) onStartLogged() {
+	l.slot.Update(func(state *chain.State) { state.ConfirmGrant(l.open.Program, l.open.GrantedTokens) })
 }
 
 // finish charges the answer's tokens without waiting for the log.
-func (t *statelessLedger) finish(context.Context) error {
-	t.ended = true
-	t.charge()
-	t.answered(0)
+func (l *statelessLedger) finish(context.Context) error {
+	l.ended = true
+	l.charge()
+	l.answered(0)
 	return nil
 }
 
-func (t *statelessLedger) abort() {
-	t.charge()
+func (l *statelessLedger) abort() {
+	l.charge()
 }
 
 // charge counts the tokens sent to the caller, also for an incomplete answer, and frees the rest of the
 // reservation.
-func (t *statelessLedger) charge() {
+func (l *statelessLedger) charge() {
 	tokens := 0
-	if t.answer.begun {
-		tokens = min(t.answerTokens(t.answer.collected.started()), t.open.MaxTokens)
+	if l.answer.begun {
+		tokens = min(l.answerTokens(l.answer.collected.started()), l.open.MaxTokens)
 	}
 	var pending *shard.PendingWrite
-	t.slot.Update(func(state *chain.State) {
-		if recs := state.EndStateless(t.open, tokens); len(recs) > 0 {
-			pending = t.slot.QueueLocked(recs)
+	l.slot.Update(func(state *chain.State) {
+		if recs := state.EndStateless(l.open, tokens); len(recs) > 0 {
+			pending = l.slot.QueueLocked(recs)
 		}
 	})
 	if pending != nil {
-		go t.awaitSettlement(pending)
+		go l.awaitSettlement(pending)
 	}
 }
 
-// awaitSettlement waits until the log holds what the turn has spent, if need be by way of the slot's next
-// owner, which otherwise counts the turn's maximum.
-func (t *statelessLedger) awaitSettlement(pending *shard.PendingWrite) {
+// awaitSettlement waits until the log holds the number of tokens that the turn has spent. If the slot has
+// moved, the record is forwarded to the next owner, which counts the turn's maximum until then.
+func (l *statelessLedger) awaitSettlement(pending *shard.PendingWrite) {
 	ctx, stop := context.WithTimeout(context.Background(), settleTimeout)
 	defer stop()
-	if err := t.slot.WaitOrForward(ctx, pending); err != nil {
-		t.log.Info("turns: tokens spent not logged, the next owner counts the turn's maximum", "id", t.call.ID, "program", t.call.Turn.Program, "slot", t.slot.Number(), "cause", err)
+	if err := l.slot.WaitOrForward(ctx, pending); err != nil {
+		l.log.Info("turns: tokens spent not logged, the next owner counts the turn's maximum", "id", l.call.ID, "program", l.call.Turn.Program, "slot", l.slot.Number(), "cause", err)
 	}
 }
 
-// answered logs and measures a complete answer; confirm is how long its end waited for the log.
+// answered logs a complete answer and records its latency. confirm is how long the turn's end waited for the
+// log.
 func (t *turn) answered(confirm time.Duration) {
 	t.counts.Time("turns.first_event{class="+t.route.Name+"}", t.firstEventLatency)
 	t.log.Info("turns: turn answered", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(),
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -20,17 +20,18 @@
 	maxSends = 4
 	// retryAfter is the Retry-After delay for a turn that no replica accepts.
 	retryAfter = 200 * time.Millisecond
-	// silenceThreshold is how long a replica may send nothing before the failure counts against it even
-	// though the caller has left.
+	// silenceThreshold is how long a replica may send nothing before a failed turn counts against the replica
+	// although the caller has left.
 	silenceThreshold = 1500 * time.Millisecond
 	// minRetryTime is the least time before the deadline at which another replica is still tried.
 	minRetryTime = 30 * time.Millisecond
 	// logUnavailableAfter is how long an append may be pending before the log counts as unavailable.
 	logUnavailableAfter = 600 * time.Millisecond
-	// maxFailures is the number of consecutive failed tries that a program survives; one more ends it.
+	// maxFailures is the number of consecutive failed attempts of one turn that a program can have; one more
+	// failure ends the program.
 	maxFailures = 2
-	// minTimeAfterRetry is the time that must remain for a postponed turn once its caller retries. It
-	// covers a silence that callers tolerate and the turn itself.
+	// minTimeAfterRetry is the time that must remain before the deadline when the caller of a postponed turn
+	// retries. It allows for the turn itself and for a pause without events.
 	minTimeAfterRetry = 2500 * time.Millisecond
 	// retryDelayDivisor sets the retry delay of a postponed turn: its remaining time divided by this.
 	retryDelayDivisor = 3
@@ -47,6 +48,7 @@
 type Targets interface {
 	// Admit decides whether the program of a turn may start.
 	Admit(ask target.Ask) sched.AdmissionDecision
+	// Take selects a replica and reserves capacity on it.
 	Take(ask target.Ask) (*target.Lease, error)
 }
 
@@ -83,15 +85,18 @@
 	input, prompt []byte
 	// cachedTokens is how many tokens of the history each replica holds, by work.Replica.RunID.
 	cachedTokens map[string]int
-	// started is the pending record that must be in the log before any of the answer is sent to the
-	// caller; nil if the log already holds it.
+	// started is the pending write of the record that reserves the turn's tokens, which must be in the log
+	// before any of the answer is sent to the caller; nil if the turn needs no such record or the log holds
+	// it.
 	started *shard.PendingWrite
-	// firstTurn is set for a program's first turn; failures counts this turn's consecutive failed tries.
+	// firstTurn is set for a program's first turn. failures counts the consecutive failed attempts of this
+	// turn.
 	firstTurn bool
 	failures  int
-	// mayHaveRun is set once a replica may have run the turn, ended once the state has recorded its end.
+	// mayHaveRun is set once a replica may have run the turn. ended is set once the end of the turn has been
+	// accounted for.
 	mayHaveRun, ended bool
-	// lease is the lease of the latest attempt; empty before the first.
+	// lease is the lease of the latest attempt; an empty lease before the first attempt.
 	lease *target.Lease
 	// sent counts the replicas that the turn was sent to, runs those that may have run it.
 	sent, runs int
@@ -127,7 +132,7 @@
 	return err
 }
 
-// recordResult updates the count of the turn's consecutive failed tries.
+// recordResult updates the count of consecutive failed attempts of the turn.
 func (t *turn) recordResult(state *chain.State, err error) {
 	switch {
 	case err == nil:
@@ -137,8 +142,8 @@
 	}
 }
 
-// enter starts the turn in the slot's state. A program that has not started and would not finish in time is
-// refused before anything about it is written.
+// enter starts the turn in the slot's state. A new program that would not finish in time is refused before
+// any record of it is written.
 func (t *turn) enter(state *chain.State) error {
 	t.firstTurn = !state.HasStarted(t.open.Program)
 	t.failures = state.FailureCount(t.open)
@@ -153,14 +158,14 @@
 	if !t.firstTurn || t.call.Prompt == nil {
 		return nil
 	}
-	verdict := t.targets.Admit(t.ask(nil))
-	if !verdict.Refuse {
+	decision := t.targets.Admit(t.ask(nil))
+	if !decision.Refuse {
 		return nil
 	}
 	t.log.Info("turns: program not begun", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "left", t.call.Turn.Left,
-		"stretch", verdict.Slowdown, "taken", verdict.Utilization, "retry_after", verdict.RetryAfter)
+		"stretch", decision.Slowdown, "taken", decision.Utilization, "retry_after", decision.RetryAfter)
 	t.counts.Count("turns.not_begun", 1)
-	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").WithRetryAfter(verdict.RetryAfter)
+	return fault.Refuse(fault.Overloaded, "a new program would not finish in time").WithRetryAfter(decision.RetryAfter)
 }
 
 // maxAnswerTokens returns the most tokens that the call's answer may have, zero without a prompt.
@@ -171,7 +176,7 @@
 	return call.Prompt.Most
 }
 
-// abandon ends a turn that has no complete answer.
+// abandon logs and ends a turn that has no complete answer.
 func (t *turn) abandon(ctx context.Context, err error) {
 	t.log.Info("turns: turn failed", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(), "ran", t.mayHaveRun,
 		"replica", t.lease.Replica.ID, "sent", t.sent, "caller_gone", ctx.Err() == context.Canceled, "after", time.Since(t.call.Arrived), "kind", fault.From(err).Kind, "cause", err)
@@ -195,7 +200,7 @@
 		t.lease = lease
 		avoid = append(avoid, lease.Replica.ID)
 		err = t.attempt(ctx)
-		if err == nil || (t.mayHaveRun && !t.resumes(ctx, err)) {
+		if err == nil || (t.mayHaveRun && !t.canResume(ctx, err)) {
 			return err
 		}
 		last = err
@@ -210,9 +215,8 @@
 	return fault.Refuse(fault.Overloaded, "no replica accepted the turn").WithRetryAfter(retryAfter).WithCause(last)
 }
 
-// postpone refuses the last try of a turn that needs the log while the log is unavailable, provided that its
-// caller has enough time to retry. Another failure would end the program, and a later try is more likely to
-// outlast the outage. Earlier tries wait for the log instead.
+// postpone refuses a turn while the log is unavailable if one more failure would end the program and the
+// caller has enough time to retry. Turns with fewer failed attempts wait for the log instead.
 func (t *turn) postpone() error {
 	if t.failures < maxFailures || !t.ledger.needsLog() || t.slot.AppendAge() < logUnavailableAfter {
 		return nil
@@ -237,8 +241,8 @@
 	}
 }
 
-// resumes reports whether another replica may resume the turn after err.
-func (t *turn) resumes(ctx context.Context, err error) bool {
+// canResume reports whether another replica may continue the turn after err.
+func (t *turn) canResume(ctx context.Context, err error) bool {
 	if !t.route.Resumable || t.ended || t.runs >= t.route.Attempts {
 		return false
 	}
@@ -324,7 +328,7 @@
 }
 
 // awaitStart waits until the log holds the record that reserves the turn's tokens. The record is not
-// delivered to another owner, since only the owner that wrote it has checked it against the budget.
+// forwarded to another owner, since only the owner that wrote it has checked it against the budget.
 func (t *turn) awaitStart(ctx context.Context) error {
 	if t.started == nil {
 		return nil
@@ -337,8 +341,8 @@
 	return nil
 }
 
-// answerTokens returns the tokens of an answer with the given number of events. Where the route's stride
-// is not known, it returns the turn's maximum.
+// answerTokens returns the number of tokens in an answer with the given number of events. If the route's
+// stride is not known, it returns the turn's maximum.
 func (t *turn) answerTokens(events int) int {
 	if t.route.Stride == 0 {
 		return t.open.MaxTokens
@@ -346,7 +350,7 @@
 	return events * t.route.Stride
 }
 
-// promptTokens returns the length of the call's prompt, zero if it is not known.
+// promptTokens returns the length of the call's prompt in tokens; zero if it is not known.
 func promptTokens(call *work.Call) int {
 	if call.Prompt == nil {
 		return 0
--- a/gate/turns/turns_test.go
+++ b/gate/turns/turns_test.go
@@ -13,7 +13,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// TestAnswerTokens checks that a turn is charged its maximum where the stride of its events is not known.
+// TestAnswerTokens checks that a turn is charged its maximum if the stride of its events is not known.
 func TestAnswerTokens(t *testing.T) {
 	got := map[int]int{}
 	for _, stride := range []int{0, 1, 4} {
