--- a/gate/entry/doc.go
+++ b/gate/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry handles incoming calls: it finds the route, checks the caller and its quota, and sends turns
-// of programs to the box that owns them and other calls to a replica.
+// Package entry handles incoming calls: it finds the route, checks the caller and its quota, and sends the
+// turns of programs to the box that owns the program and other calls to a replica.
 package entry
--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxOwnerLookups bounds how often the owners of a slot are looked up for one call, and
-	// ownerRetryDelay is the pause between lookups, in which a slot handover can finish. Both are small
-	// because a late refusal is of no use to the caller.
+	// maxOwnerLookups is the number of attempts to find the owner of a slot for one call, and ownerRetryDelay
+	// the pause between them, in which a slot handover can finish. Both are small because a late refusal is
+	// of no use to the caller.
 	maxOwnerLookups = 2
 	ownerRetryDelay = 30 * time.Millisecond
 	// ownerCandidates is how many boxes are asked in one lookup: the expected owner of the slot and its
@@ -24,10 +24,10 @@
 	// join at once when an availability zone comes back.
 	ownerCandidates = 4
 	// retryOwnerUnknown is the Retry-After delay while the owner of a program cannot be reached and the
-	// time of a takeover is not known. It also bounds the delay where that time is known.
+	// duration of a takeover is not known. It is also the longest delay if that duration is known.
 	retryOwnerUnknown = 1200 * time.Millisecond
-	// findTimeout bounds the search for a turn on all boxes: a round trip between availability zones, and
-	// the log's confirmation where an owner needs one.
+	// findTimeout bounds the search for a turn on all boxes. It allows for a round trip between availability
+	// zones and for an owner that has to confirm its ownership with the log.
 	findTimeout = 600 * time.Millisecond
 )
 
@@ -40,8 +40,8 @@
 type Boxes interface {
 	// Owner returns the box that should own the slot.
 	Owner(slot string) (work.Box, bool)
-	// Owners returns at most n boxes: the one that should own the slot, followed by those that would own
-	// it if all boxes before them were gone.
+	// Owners returns at most n boxes: the one that should own the slot, followed by those that would own it
+	// if all boxes before them were gone.
 	Owners(slot string, n int) []work.Box
 	// MarkUnreachable records that a box could not be reached.
 	MarkUnreachable(box work.Box)
@@ -75,16 +75,16 @@
 
 // Peers forwards turns to other boxes.
 type Peers interface {
-	// Turn runs a turn on the box if that owns the slot.
+	// Turn runs a turn on the box if that box owns the slot.
 	Turn(ctx context.Context, box work.Box, slot int, call *work.Call, route *work.Route, out work.Answer) error
-	// Find asks a box for a turn in any of its slots; see Entry.Find.
+	// Find searches the slots of a box for a turn; see Entry.Find.
 	Find(ctx context.Context, box work.Box, turn string, home int) (text []byte, slots []int, err error)
 }
 
 // Quotas limits the calls of workspaces.
 type Quotas interface {
-	// Take counts a call against the workspace's quota; begins is set if a program may start with it. A fault
-	// of Take says that the call has not run and when to retry.
+	// Take counts a call against the workspace's quota; begins is set if a program may start with the call.
+	// Its faults have NotRun set and carry a Retry-After delay.
 	Take(ctx context.Context, space work.Workspace, begins bool) (quota.Permit, error)
 }
 
@@ -103,25 +103,25 @@
 	self   work.Box
 	layout shard.Layout
 	// regions maps each availability zone to its region.
-	regions work.Regions
-	feed    Feed
-	rules   access.Rules
-	quotas  Quotas
-	boxes   Boxes
-	reach   Connectivity
-	slots   Slots
-	runner  Runner
-	peers   Peers
-	relay   Relay
-	counts  Counts
-	log     *slog.Logger
+	regions      work.Regions
+	feed         Feed
+	rules        access.Rules
+	quotas       Quotas
+	boxes        Boxes
+	connectivity Connectivity
+	slots        Slots
+	runner       Runner
+	peers        Peers
+	relay        Relay
+	counts       Counts
+	log          *slog.Logger
 }
 
 // New returns an Entry for the box self.
-func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, reach Connectivity, slots Slots, runner Runner,
+func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, connectivity Connectivity, slots Slots, runner Runner,
 	peers Peers, relay Relay, counts Counts, log *slog.Logger) *Entry {
 	return &Entry{
-		self: self, layout: layout, regions: regions, feed: feed, rules: rules, quotas: quotas, boxes: boxes, reach: reach, slots: slots, runner: runner,
+		self: self, layout: layout, regions: regions, feed: feed, rules: rules, quotas: quotas, boxes: boxes, connectivity: connectivity, slots: slots, runner: runner,
 		peers: peers, relay: relay, counts: counts, log: log,
 	}
 }
@@ -140,8 +140,8 @@
 	space, err := e.rules.Caller(known, call, route)
 	if err != nil {
 		e.counts.Count("entry.caller_refused", 1)
-		if fault.Is(err, fault.StaleConfig) && e.reach.CutOff() {
-			err = fault.From(err).WithRetryAfter(e.reach.RetryDelay()) // another box may have the newest configuration
+		if fault.Is(err, fault.StaleConfig) && e.connectivity.CutOff() {
+			err = fault.From(err).WithRetryAfter(e.connectivity.RetryDelay()) // another box may have the newest configuration
 		}
 		e.log.Info("entry: caller refused", "id", call.ID, "route", route.Name, "version", known.Config.Version,
 			"proven", call.Arrived.Sub(known.ConfirmedAt), "cause", err)
@@ -168,8 +168,8 @@
 	return nil, e.refuseNoRegion(call, route, "", "the route and the workspace allow no region in common")
 }
 
-// refuseNoRegion returns the refusal of a call that may not be served in any region, or not where its owner
-// is. owner is the name of that owner, empty if there is none.
+// refuseNoRegion returns the refusal of a call for which no region is allowed, or not the region of its
+// program's owner. owner is the name of that owner; empty in the first case.
 func (e *Entry) refuseNoRegion(call *work.Call, route *work.Route, owner, detail string) error {
 	e.counts.Count("entry.no_region", 1)
 	e.log.Info("entry: no region is allowed", "id", call.ID, "route", route.Name, "workspace", call.Workspace, "owner", owner)
@@ -182,10 +182,10 @@
 	return !e.regions.Allow(call.Regions, box.Zone) && e.regions[box.Zone] != e.regions[e.self.Zone]
 }
 
-// runWithinQuota counts the call against its workspace's quota and runs it. The count is returned if the call
+// runWithinQuota counts the call against its workspace's quota and runs it. It refunds the quota if the call
 // has not run.
 func (e *Entry) runWithinQuota(ctx context.Context, space work.Workspace, call *work.Call, route *work.Route, out work.Answer) error {
-	pass, err := e.quotas.Take(ctx, space, mayStartProgram(call, route))
+	permit, err := e.quotas.Take(ctx, space, mayStartProgram(call, route))
 	if err != nil {
 		e.counts.Count("entry.quota_refused", 1)
 		e.log.Info("entry: refused by quota", "id", call.ID, "workspace", space.Name, "begins", mayStartProgram(call, route), "after", time.Since(call.Arrived), "cause", err)
@@ -193,13 +193,13 @@
 	}
 	err = e.run(ctx, call, route, out)
 	if err != nil && fault.From(err).NotRun {
-		pass.Refund()
+		permit.Refund()
 	}
 	return err
 }
 
-// mayStartProgram reports whether a program may start with the call. On routes that are not stateful, turns
-// carry their own history and do not tell whether they are the first.
+// mayStartProgram reports whether a program may start with the call. Turns on routes that are not stateful
+// carry their own history and do not show whether they are the first.
 func mayStartProgram(call *work.Call, route *work.Route) bool {
 	return route.Stateful && call.Turn != nil && call.Turn.Previous == ""
 }
@@ -219,29 +219,29 @@
 }
 
 const (
-	// workspaceStep and routeStep are the weights of the workspace's and the route's priority.
-	workspaceStep = 3
-	routeStep     = 2
-	// firstTurnPenalty makes a program's first turn less urgent than later turns: under overload it is better
-	// to finish some programs than to delay all.
+	// workspaceWeight and routeWeight are the weights of the workspace's and the route's priority.
+	workspaceWeight = 3
+	routeWeight     = 2
+	// firstTurnPenalty makes a program's first turn less urgent than later turns, since under overload it is
+	// better to finish some programs than to delay all.
 	firstTurnPenalty = 3
 )
 
 // replicaPriority returns the call's priority at replicas that order their calls; 0 is the most urgent.
 func replicaPriority(call *work.Call, space work.Workspace, route *work.Route) int {
-	urgent := workspaceStep*space.Priority + routeStep*route.Priority
+	priority := workspaceWeight*space.Priority + routeWeight*route.Priority
 	if call.Turn != nil && call.Turn.Previous == "" {
-		urgent += firstTurnPenalty
+		priority += firstTurnPenalty
 	}
-	return urgent
+	return priority
 }
 
 // turn runs a turn on the box that owns its program.
 func (e *Entry) turn(ctx context.Context, call *work.Call, route *work.Route, out work.Answer) error {
-	if e.reach.CutOff() {
+	if e.connectivity.CutOff() {
 		e.counts.Count("entry.cut_off", 1)
 		e.log.Info("entry: turn refused, this box is cut off", "id", call.ID, "program", call.Turn.Program, "route", route.Name)
-		return fault.Refuse(fault.OwnerUnavailable, "this box is cut off from the others").WithRetryAfter(e.reach.RetryDelay())
+		return fault.Refuse(fault.OwnerUnavailable, "this box is cut off from the others").WithRetryAfter(e.connectivity.RetryDelay())
 	}
 	home := e.layout.SlotOf(call.QualifiedName(call.Turn.Program))
 	if box, ok := e.boxes.Owner(e.layout.Name(home)); ok && e.leavesRegions(call, box) {
@@ -300,7 +300,7 @@
 // tryOwners tries the boxes that may hold the slot, the most likely one first. If none holds it, the fault of
 // the first candidate owner is returned.
 func (e *Entry) tryOwners(ctx context.Context, slot int, call *work.Call, route *work.Route, out work.Answer) error {
-	// A box that is giving up its slots still holds them until their next owner asks for them.
+	// A box that is about to lose its slots holds them until their next owner asks for them.
 	if e.slots.Holds(slot) {
 		if err := e.RunHere(ctx, slot, call, route, out); !ownerNotReached(err) {
 			return err
@@ -322,7 +322,7 @@
 	return first
 }
 
-// runOnBox runs the turn on the given box if that holds the slot.
+// runOnBox runs the turn on the given box if that box holds the slot.
 func (e *Entry) runOnBox(ctx context.Context, box work.Box, rank, slot int, call *work.Call, route *work.Route, out work.Answer) error {
 	if box.Name == e.self.Name {
 		return e.RunHere(ctx, slot, call, route, out)
--- a/gate/entry/entry_test.go
+++ b/gate/entry/entry_test.go
@@ -37,8 +37,9 @@
 	mu          sync.Mutex
 	// searched holds the names of the boxes that were asked for a turn.
 	searched []string
-	calls    []string
-	// quotaCalls records the calls of Take, quotaErr is its result.
+	// calls records, in order, where the call was sent and the boxes marked as unreachable.
+	calls []string
+	// quotaCalls records the calls of Take; quotaErr is its result.
 	quotaCalls []string
 	quotaErr   error
 }
@@ -49,69 +50,69 @@
 	err   error
 }
 
-func (w *fakeBox) Known() access.ConfigSnapshot {
-	return access.ConfigSnapshot{Config: w.conf, ConfirmedAt: time.Now()}
+func (f *fakeBox) Known() access.ConfigSnapshot {
+	return access.ConfigSnapshot{Config: f.conf, ConfirmedAt: time.Now()}
 }
-func (w *fakeBox) Take(_ context.Context, space work.Workspace, begins bool) (quota.Permit, error) {
-	w.quotaCalls = append(w.quotaCalls, fmt.Sprintf("%s %v", space.Name, begins))
-	return quota.Permit{}, w.quotaErr
+func (f *fakeBox) Take(_ context.Context, space work.Workspace, begins bool) (quota.Permit, error) {
+	f.quotaCalls = append(f.quotaCalls, fmt.Sprintf("%s %v", space.Name, begins))
+	return quota.Permit{}, f.quotaErr
 }
-func (w *fakeBox) Owner(string) (work.Box, bool) { return w.owner, w.owner.Name != "" }
-func (w *fakeBox) Owners(_ string, n int) []work.Box {
-	if w.owner.Name == "" {
+func (f *fakeBox) Owner(string) (work.Box, bool) { return f.owner, f.owner.Name != "" }
+func (f *fakeBox) Owners(_ string, n int) []work.Box {
+	if f.owner.Name == "" {
 		return nil
 	}
-	all := append([]work.Box{w.owner}, w.nextOwners...)
+	all := append([]work.Box{f.owner}, f.nextOwners...)
 	return all[:min(n, len(all))]
 }
-func (w *fakeBox) MarkUnreachable(work.Box)          { w.calls = append(w.calls, "unreached") }
-func (w *fakeBox) RecentlyUnreachable(work.Box) bool { return w.recentlyUnreached }
-func (w *fakeBox) TakeoverIn(work.Box) time.Duration { return w.takeoverDelay }
-func (w *fakeBox) CutOff() bool                      { return w.cutOff }
-func (w *fakeBox) RetryDelay() time.Duration         { return 100 * time.Millisecond }
-func (w *fakeBox) Holds(int) bool                    { return w.holds }
-func (w *fakeBox) All() []*shard.Slot                { return nil }
-func (w *fakeBox) Count(string, int64)               {}
-func (w *fakeBox) Get(context.Context, int) (*shard.Slot, error) {
-	w.calls = append(w.calls, "here")
-	if w.holds {
+func (f *fakeBox) MarkUnreachable(work.Box)          { f.calls = append(f.calls, "unreached") }
+func (f *fakeBox) RecentlyUnreachable(work.Box) bool { return f.recentlyUnreached }
+func (f *fakeBox) TakeoverIn(work.Box) time.Duration { return f.takeoverDelay }
+func (f *fakeBox) CutOff() bool                      { return f.cutOff }
+func (f *fakeBox) RetryDelay() time.Duration         { return 100 * time.Millisecond }
+func (f *fakeBox) Holds(int) bool                    { return f.holds }
+func (f *fakeBox) All() []*shard.Slot                { return nil }
+func (f *fakeBox) Count(string, int64)               {}
+func (f *fakeBox) Get(context.Context, int) (*shard.Slot, error) {
+	f.calls = append(f.calls, "here")
+	if f.holds {
 		return nil, nil
 	}
 	return nil, fault.Refuse(fault.NotOwner, "no")
 }
 
-func (w *fakeBox) Run(context.Context, *shard.Slot, *work.Call, *work.Route, work.Answer) error {
-	return w.next()
+func (f *fakeBox) Run(context.Context, *shard.Slot, *work.Call, *work.Route, work.Answer) error {
+	return f.next()
 }
 
-func (w *fakeBox) Turn(_ context.Context, box work.Box, _ int, _ *work.Call, _ *work.Route, _ work.Answer) error {
-	w.calls = append(w.calls, "to "+box.Name)
-	return w.next()
+func (f *fakeBox) Turn(_ context.Context, box work.Box, _ int, _ *work.Call, _ *work.Route, _ work.Answer) error {
+	f.calls = append(f.calls, "to "+box.Name)
+	return f.next()
 }
 
-func (w *fakeBox) next() error {
-	err := w.turnResults[0]
-	if len(w.turnResults) > 1 {
-		w.turnResults = w.turnResults[1:]
+func (f *fakeBox) next() error {
+	err := f.turnResults[0]
+	if len(f.turnResults) > 1 {
+		f.turnResults = f.turnResults[1:]
 	}
 	return err
 }
 
-func (w *fakeBox) Find(_ context.Context, box work.Box, _ string, _ int) ([]byte, []int, error) {
-	w.mu.Lock()
-	w.searched = append(w.searched, box.Name)
-	w.mu.Unlock()
-	got := w.findReplies[box.Name]
+func (f *fakeBox) Find(_ context.Context, box work.Box, _ string, _ int) ([]byte, []int, error) {
+	f.mu.Lock()
+	f.searched = append(f.searched, box.Name)
+	f.mu.Unlock()
+	got := f.findReplies[box.Name]
 	return got.text, got.slots, got.err
 }
 
-func (w *fakeBox) Forward(context.Context, *work.Call, *work.Route, work.Answer) error {
-	w.calls = append(w.calls, "carried")
+func (f *fakeBox) Forward(context.Context, *work.Call, *work.Route, work.Answer) error {
+	f.calls = append(f.calls, "carried")
 	return nil
 }
 
-func (w *fakeBox) handle(call *work.Call) error {
-	e := New(work.Box{Name: "a", Zone: "a"}, shard.NewLayout(2), work.Regions{"a": "north", "b": "south"}, w, access.New(access.Bounds{Apply: time.Second}), w, w, w, w, w, w, w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func (f *fakeBox) handle(call *work.Call) error {
+	e := New(work.Box{Name: "a", Zone: "a"}, shard.NewLayout(2), work.Regions{"a": "north", "b": "south"}, f, access.New(access.Bounds{Apply: time.Second}), f, f, f, f, f, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return e.Handle(context.Background(), call, time.Minute, nil)
 }
 
@@ -141,49 +142,49 @@
 	notOwner := fault.Refuse(fault.NotOwner, "not mine")
 	cases := []struct {
 		name  string
-		set   func(w *fakeBox)
+		set   func(f *fakeBox)
 		kind  fault.Kind
 		after time.Duration
 		calls []string
 	}{
 		{"to the owner", func(*fakeBox) {}, "", 0, []string{"to b"}},
-		{"this box holds the slot, another should own it", func(w *fakeBox) { w.holds = true }, "", 0, []string{"here"}},
-		{"to the holder while the owner joins", func(w *fakeBox) { w.nextOwners, w.turnResults = boxes("c"), []error{notOwner, nil} }, "", 0, []string{"to b", "to c"}},
-		{"the owner's fault is returned if no box holds the slot", func(w *fakeBox) {
-			w.nextOwners, w.turnResults, w.takeoverDelay = boxes("c"), []error{gone, notOwner}, 300*time.Millisecond
+		{"this box holds the slot, another should own it", func(f *fakeBox) { f.holds = true }, "", 0, []string{"here"}},
+		{"to the holder while the owner joins", func(f *fakeBox) { f.nextOwners, f.turnResults = boxes("c"), []error{notOwner, nil} }, "", 0, []string{"to b", "to c"}},
+		{"the owner's fault is returned if no box holds the slot", func(f *fakeBox) {
+			f.nextOwners, f.turnResults, f.takeoverDelay = boxes("c"), []error{gone, notOwner}, 300*time.Millisecond
 		}, fault.TurnNotKnownYet, 300 * time.Millisecond, []string{"to b", "unreached", "to c", "to b", "to c"}},
-		{"at most ownerCandidates boxes are asked", func(w *fakeBox) {
-			w.nextOwners, w.turnResults = boxes("c", "d", "e", "f", "g"), []error{notOwner, notOwner, notOwner, notOwner, nil}
+		{"at most ownerCandidates boxes are asked", func(f *fakeBox) {
+			f.nextOwners, f.turnResults = boxes("c", "d", "e", "f", "g"), []error{notOwner, notOwner, notOwner, notOwner, nil}
 		}, "", 0, []string{"to b", "to c", "to d", "to e", "to b"}},
-		{"no other box is tried once one may have run the turn", func(w *fakeBox) {
-			w.nextOwners, w.turnResults = boxes("c", "d"), []error{notOwner, fault.Fail(fault.PeerUnreachable, "broke off")}
+		{"no other box is tried once one may have run the turn", func(f *fakeBox) {
+			f.nextOwners, f.turnResults = boxes("c", "d"), []error{notOwner, fault.Fail(fault.PeerUnreachable, "broke off")}
 		}, fault.PeerUnreachable, 0, []string{"to b", "to c", "unreached"}},
-		{"retried after a handover", func(w *fakeBox) { w.turnResults = []error{notOwner, nil} }, "", 0, []string{"to b", "to b"}},
-		{"owner not reached", func(w *fakeBox) { w.turnResults, w.takeoverDelay = []error{gone}, 400*time.Millisecond }, fault.TurnNotKnownYet, 400 * time.Millisecond, []string{"to b", "unreached", "to b", "unreached"}},
-		{"no free connection to the owner", func(w *fakeBox) {
-			w.turnResults = []error{fault.Refuse(fault.OwnerUnavailable, "full").WithRetryAfter(200 * time.Millisecond)}
+		{"retried after a handover", func(f *fakeBox) { f.turnResults = []error{notOwner, nil} }, "", 0, []string{"to b", "to b"}},
+		{"owner not reached", func(f *fakeBox) { f.turnResults, f.takeoverDelay = []error{gone}, 400*time.Millisecond }, fault.TurnNotKnownYet, 400 * time.Millisecond, []string{"to b", "unreached", "to b", "unreached"}},
+		{"no free connection to the owner", func(f *fakeBox) {
+			f.turnResults = []error{fault.Refuse(fault.OwnerUnavailable, "full").WithRetryAfter(200 * time.Millisecond)}
 		}, fault.TurnNotKnownYet, 0, []string{"to b", "to b"}},
-		{"owner recently unreachable", func(w *fakeBox) { w.recentlyUnreached = true }, fault.TurnNotKnownYet, 0, nil},
-		{"cut off", func(w *fakeBox) { w.cutOff = true }, fault.OwnerUnavailable, 100 * time.Millisecond, nil},
-		{"no box", func(w *fakeBox) { w.owner = work.Box{} }, fault.TurnNotKnownYet, retryOwnerUnknown, nil},
-		{"may have run", func(w *fakeBox) { w.turnResults = []error{fault.Fail(fault.PeerUnreachable, "broke off")} }, fault.PeerUnreachable, 0, []string{"to b", "unreached"}},
-		{"budget spent", func(w *fakeBox) { w.turnResults = []error{fault.Refuse(fault.BudgetSpent, "spent")} }, fault.BudgetSpent, 0, []string{"to b"}},
-		{"the owner lies outside of the route's regions", func(w *fakeBox) {
-			w.conf.Routes[0].Regions, w.owner.Zone = []string{"north"}, "b"
+		{"owner recently unreachable", func(f *fakeBox) { f.recentlyUnreached = true }, fault.TurnNotKnownYet, 0, nil},
+		{"cut off", func(f *fakeBox) { f.cutOff = true }, fault.OwnerUnavailable, 100 * time.Millisecond, nil},
+		{"no box", func(f *fakeBox) { f.owner = work.Box{} }, fault.TurnNotKnownYet, retryOwnerUnknown, nil},
+		{"may have run", func(f *fakeBox) { f.turnResults = []error{fault.Fail(fault.PeerUnreachable, "broke off")} }, fault.PeerUnreachable, 0, []string{"to b", "unreached"}},
+		{"budget spent", func(f *fakeBox) { f.turnResults = []error{fault.Refuse(fault.BudgetSpent, "spent")} }, fault.BudgetSpent, 0, []string{"to b"}},
+		{"the owner lies outside of the route's regions", func(f *fakeBox) {
+			f.conf.Routes[0].Regions, f.owner.Zone = []string{"north"}, "b"
 		}, fault.NoTarget, 0, nil},
-		{"the owner lies in the caller's region", func(w *fakeBox) { w.conf.Routes[0].Regions, w.owner.Zone = []string{"east"}, "a" }, "", 0, []string{"to b"}},
-		{"no configuration", func(w *fakeBox) { w.conf = nil }, fault.NoConfig, retryOwnerUnknown, nil},
+		{"the owner lies in the caller's region", func(f *fakeBox) { f.conf.Routes[0].Regions, f.owner.Zone = []string{"east"}, "a" }, "", 0, []string{"to b"}},
+		{"no configuration", func(f *fakeBox) { f.conf = nil }, fault.NoConfig, retryOwnerUnknown, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFakeBox()
-				c.set(w)
-				err := w.handle(turnCall(""))
+				f := newFakeBox()
+				c.set(f)
+				err := f.handle(turnCall(""))
 				if (err == nil) != (c.kind == "") || (err != nil && (!fault.Is(err, c.kind) || fault.From(err).RetryAfter != c.after)) {
 					t.Errorf("fault %v after %v", err, fault.From(err).RetryAfter)
 				}
-				if diff := cmp.Diff(c.calls, w.calls); diff != "" {
+				if diff := cmp.Diff(c.calls, f.calls); diff != "" {
 					t.Errorf("calls (-want +got):\n%s", diff)
 				}
 			})
@@ -207,12 +208,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFakeBox()
-				w.turnResults = []error{none, nil}
-				w.findReplies = map[string]findReply{"b": c.b, "c": c.c}
-				w.nextOwners = boxes("c")
+				f := newFakeBox()
+				f.turnResults = []error{none, nil}
+				f.findReplies = map[string]findReply{"b": c.b, "c": c.c}
+				f.nextOwners = boxes("c")
 				call := turnCall("before")
-				err := w.handle(call)
+				err := f.handle(call)
 				if (err == nil) != (c.kind == "") || (err != nil && !fault.Is(err, c.kind)) {
 					t.Errorf("fault %v", err)
 				}
@@ -224,25 +225,25 @@
 	}
 }
 
-// TestTurnSearchAsksOwnersOnly checks that a search asks only the owners if these hold all slots, and never
-// more than the candidate owners.
+// TestTurnSearchAsksOwnersOnly checks that a search asks only the expected owners if these hold all slots,
+// and at most ownerCandidates boxes for each slot otherwise.
 func TestTurnSearchAsksOwnersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakeBox()
-		w.turnResults = []error{fault.Refuse(fault.NoTurn, "not kept")}
-		w.nextOwners = boxes("c", "d", "e", "f", "g")
-		w.findReplies = map[string]findReply{"b": {slots: []int{0, 1}}}
-		if err := w.handle(turnCall("before")); !fault.Is(err, fault.NoTurn) {
+		f := newFakeBox()
+		f.turnResults = []error{fault.Refuse(fault.NoTurn, "not kept")}
+		f.nextOwners = boxes("c", "d", "e", "f", "g")
+		f.findReplies = map[string]findReply{"b": {slots: []int{0, 1}}}
+		if err := f.handle(turnCall("before")); !fault.Is(err, fault.NoTurn) {
 			t.Errorf("fault %v", err)
 		}
-		if diff := cmp.Diff([]string{"b"}, w.searched); diff != "" {
+		if diff := cmp.Diff([]string{"b"}, f.searched); diff != "" {
 			t.Errorf("asked (-want +got):\n%s", diff)
 		}
-		w.findReplies, w.searched = map[string]findReply{}, nil
-		if err := w.handle(turnCall("before")); !fault.Is(err, fault.TurnNotKnownYet) {
+		f.findReplies, f.searched = map[string]findReply{}, nil
+		if err := f.handle(turnCall("before")); !fault.Is(err, fault.TurnNotKnownYet) {
 			t.Errorf("fault %v", err)
 		}
-		if got := len(w.searched); got != ownerCandidates {
+		if got := len(f.searched); got != ownerCandidates {
 			t.Errorf("%d boxes asked for slots that nobody holds", got)
 		}
 	})
@@ -250,15 +251,15 @@
 
 // TestRoutes checks routing and the deadline of a call, and that a first turn is less urgent than later ones.
 func TestRoutes(t *testing.T) {
-	w := newFakeBox()
-	if err := w.handle(&work.Call{ID: "i", Host: "h", Target: "/none/x", Arrived: time.Now()}); !fault.Is(err, fault.NoRoute) {
+	f := newFakeBox()
+	if err := f.handle(&work.Call{ID: "i", Host: "h", Target: "/none/x", Arrived: time.Now()}); !fault.Is(err, fault.NoRoute) {
 		t.Errorf("fault %v", err)
 	}
 	call := &work.Call{ID: "i", Host: "h", Target: "/look/x", Arrived: time.Now()}
-	if err := w.handle(call); err != nil || call.Deadline.Sub(call.Arrived) != time.Second {
+	if err := f.handle(call); err != nil || call.Deadline.Sub(call.Arrived) != time.Second {
 		t.Errorf("%v, deadline after %v", err, call.Deadline.Sub(call.Arrived))
 	}
-	if first, later := replicaPriority(turnCall(""), work.Workspace{}, &w.conf.Routes[0]), replicaPriority(turnCall("x"), work.Workspace{}, &w.conf.Routes[0]); first <= later {
+	if first, later := replicaPriority(turnCall(""), work.Workspace{}, &f.conf.Routes[0]), replicaPriority(turnCall("x"), work.Workspace{}, &f.conf.Routes[0]); first <= later {
 		t.Errorf("a first turn is as urgent (%d) as a later one (%d)", first, later)
 	}
 }
@@ -267,32 +268,32 @@
 // that the priorities of the workspace and the route add up.
 func TestWorkspaces(t *testing.T) {
 	key := ident.KeyDigest("secret")
-	w := newFakeBox()
-	w.conf.Callers = work.NewCallers([]work.Workspace{{Name: "north", KeyDigests: []string{key}, Priority: 1, Rate: 10}})
+	f := newFakeBox()
+	f.conf.Callers = work.NewCallers([]work.Workspace{{Name: "north", KeyDigests: []string{key}, Priority: 1, Rate: 10}})
 	call := turnCall("")
 	call.KeyDigest = key
-	if err := w.handle(call); err != nil {
+	if err := f.handle(call); err != nil {
 		t.Fatal(err)
 	}
 	next := turnCall("before")
 	next.KeyDigest = key
-	if err := w.handle(next); err != nil {
+	if err := f.handle(next); err != nil {
 		t.Fatal(err)
 	}
-	if call.Workspace != "north" || call.Priority != workspaceStep+routeStep+firstTurnPenalty || next.Priority != workspaceStep+routeStep {
+	if call.Workspace != "north" || call.Priority != workspaceWeight+routeWeight+firstTurnPenalty || next.Priority != workspaceWeight+routeWeight {
 		t.Errorf("workspace %q, priorities %d and %d", call.Workspace, call.Priority, next.Priority)
 	}
-	if diff := cmp.Diff([]string{"north true", "north false"}, w.quotaCalls); diff != "" {
+	if diff := cmp.Diff([]string{"north true", "north false"}, f.quotaCalls); diff != "" {
 		t.Errorf("counted (-want +got):\n%s", diff)
 	}
-	w.quotaErr = fault.Refuse(fault.QuotaReached, "spent")
-	if err := w.handle(next); !fault.Is(err, fault.QuotaReached) {
+	f.quotaErr = fault.Refuse(fault.QuotaReached, "spent")
+	if err := f.handle(next); !fault.Is(err, fault.QuotaReached) {
 		t.Errorf("beyond the quota: %v", err)
 	}
-	before := len(w.calls)
+	before := len(f.calls)
 	unknown := turnCall("")
 	unknown.KeyDigest = ident.KeyDigest("other")
-	if err := w.handle(unknown); !fault.Is(err, fault.Unauthorized) || len(w.calls) != before {
-		t.Errorf("a call with an unknown key: %v, then %v", err, w.calls[before:])
+	if err := f.handle(unknown); !fault.Is(err, fault.Unauthorized) || len(f.calls) != before {
+		t.Errorf("a call with an unknown key: %v, then %v", err, f.calls[before:])
 	}
 }
--- a/gate/entry/find.go
+++ b/gate/entry/find.go
@@ -16,8 +16,8 @@
 	err   error
 }
 
-// findPrevious asks the owners of all slots for the turn that a call continues from: it may belong to another
-// program, or the program's owner may not have it. It returns a NoTurn fault only if the owners of all slots
+// findPrevious asks the owners of all slots for the turn that the call continues, which may belong to another
+// program. home is the slot of the call's program. It returns a NoTurn fault only if the owners of all slots
 // have confirmed that they do not keep the turn.
 func (e *Entry) findPrevious(ctx context.Context, call *work.Call, home int) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, findTimeout)
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// nextBoxes returns the boxes to ask next and marks them as asked. Boxes that are no candidate owner of a slot
-// are left out.
+// nextBoxes returns the boxes to ask next and marks them as asked: the first ranks candidate owners of each
+// slot that is not ruled out, without those asked before.
 func (s *turnSearch) nextBoxes(ranks int) []work.Box {
 	var boxes []work.Box
 	for slot := range s.layout.Slots() {
@@ -100,9 +100,9 @@
 	return got
 }
 
-// Find returns the text of the chain that ends with the turn if a slot of this box keeps it, and otherwise the
-// slots that are known not to. This box confirms with the log that it still owns the program's home slot, and
-// also any other slot that another box may have claimed.
+// Find returns the text of the chain that ends with the turn if a slot of this box keeps it, and otherwise
+// the slots that are known not to keep it. home is the slot of the program that looks for the turn. This box
+// must confirm with the log that it still owns home, and any other slot that another box may have claimed.
 func (e *Entry) Find(ctx context.Context, turn string, home int) (text []byte, ruledOut []int) {
 	for _, slot := range e.slots.All() {
 		slot.Update(func(state *chain.State) { text, _ = state.ChainText(turn) })
