--- a/gate/quota/counter.go
+++ b/gate/quota/counter.go
@@ -10,24 +10,25 @@
 	"mulleingate.dev/gate/work"
 )
 
-// GrantRequest is a request to the counter of a part of a workspace's quota.
+// GrantRequest asks the counter of a part of a workspace's quota for calls.
 type GrantRequest struct {
 	Workspace string `json:"workspace"`
 	// Want is the number of calls requested, at least 1.
 	Want int `json:"want"`
-	// MayStartProgram says that a program may begin with the first of these calls.
+	// MayStartProgram reports that a program may begin with the first of these calls.
 	MayStartProgram bool `json:"begins,omitempty"`
-	// CancelProgram cancels the plan for a program that has not begun. Nothing is granted then.
+	// CancelProgram frees the calls that were planned for a program that did not begin. Such a request is
+	// granted no calls.
 	CancelProgram bool `json:"back,omitempty"`
 }
 
 // GrantReply is a counter's answer to a request.
 type GrantReply struct {
-	// IsCounter says that the box is a counter of the workspace.
+	// IsCounter reports that the box is a counter of the workspace.
 	IsCounter bool `json:"counts"`
 	// Granted is the number of calls that may be made.
 	Granted int `json:"granted,omitempty"`
-	// AfterMillis is the delay in milliseconds after which to ask again if nothing is granted.
+	// AfterMillis is the delay in milliseconds after which to ask again if no calls are granted.
 	AfterMillis int64 `json:"after_ms,omitempty"`
 }
 
@@ -48,11 +49,11 @@
 	done   sync.WaitGroup
 
 	mu sync.Mutex
-	// lastActive is when the process last ran as usual, to detect freezes; zero before the start.
+	// lastActive is the time of the latest check for a freeze of the process; zero before Start.
 	lastActive time.Time
 	conf       *work.Config
 	parts      map[string]*part
-	// countingSince tells since when this box counts a workspace. It is the zero time for a workspace that
+	// countingSince holds the time from which this box counts each workspace. It is zero for a workspace that
 	// was not in the previous configuration, for which no other box can have granted calls.
 	countingSince map[string]time.Time
 }
@@ -63,16 +64,17 @@
 }
 
 const (
-	// activityInterval is the time between two checks for a freeze, and freezeThreshold the gap that counts as
-	// one. It is shorter than the silence after which other boxes replace this one as a counter.
+	// activityInterval is the time between two checks for a freeze of the process, and freezeThreshold the
+	// gap between checks that counts as a freeze. freezeThreshold is shorter than the silence after which
+	// other boxes replace this one as a counter.
 	activityInterval = 250 * time.Millisecond
 	freezeThreshold  = 600 * time.Millisecond
-	// handoverOverlap is how long the previous counter may continue after another took over: one heartbeat,
-	// in which all boxes learn of the change.
+	// handoverOverlap is how long the previous counter may continue after another box has taken over: one
+	// heartbeat, within which all boxes learn of the change.
 	handoverOverlap = 300 * time.Millisecond
 )
 
-// Start implements a service.
+// Start starts the periodic check for freezes of the process.
 func (c *Counter) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -81,14 +83,15 @@
 	return nil
 }
 
-// Stop implements a service.
+// Stop ends the periodic check.
 func (c *Counter) Stop(context.Context) error {
 	c.cancel()
 	c.done.Wait()
 	return nil
 }
 
-// recordActivity runs the check for a freeze at regular intervals. Its first call starts the detection.
+// recordActivity checks for a freeze and is called at regular intervals. The first call only starts the
+// detection.
 func (c *Counter) recordActivity(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +101,8 @@
 	c.resetAfterFreeze(now)
 }
 
-// resetAfterFreeze makes all parts start empty after a freeze, since another box may have counted in the
-// meantime and may still do so. c.mu must be held.
+// resetAfterFreeze empties all parts if the process was frozen, since another box may have counted them in
+// the meantime and may still do so. c.mu must be held.
 func (c *Counter) resetAfterFreeze(now time.Time) {
 	if c.lastActive.IsZero() {
 		return
@@ -113,8 +116,7 @@
 	c.lastActive = now
 }
 
-// Update applies a configuration and determines which workspaces this box counts, given the boxes that are
-// alive.
+// Update applies a configuration and determines, by the locator, which workspaces this box counts.
 func (c *Counter) Update(now time.Time, conf *work.Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -12,7 +12,7 @@
 // singleBox implements CounterLocator for a fleet of one box.
 type singleBox struct{ box work.Box }
 
-func (c singleBox) Counter(string, string) (work.Box, bool) { return c.box, true }
+func (s singleBox) Counter(string, string) (work.Box, bool) { return s.box, true }
 
 // newFullCounter returns a started counter whose part is full.
 func newFullCounter(t *testing.T) *Counter {
--- a/gate/quota/even_test.go
+++ b/gate/quota/even_test.go
@@ -6,7 +6,7 @@
 	"mulleingate.dev/gate/work"
 )
 
-// evenSplit gives each box the same part of a quota. Counters are compared with it.
+// evenSplit gives each box an equal part of a quota. The test compares counters with it.
 type evenSplit struct {
 	bounds Bounds
 	boxes  int
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -31,47 +31,47 @@
 
 	mu sync.Mutex
 	// dead boxes do not answer, and removed ones are not in the boxes' views; the entry "far" removes all
-	// boxes on the other side of a partition. Boxes with different values of side do not reach each other.
+	// boxes on the other side of a partition. side is the side of a partition that a box is on.
 	dead, removed map[string]bool
 	side          map[string]int
 }
 
 const askDelay = time.Millisecond
 
-// boxView is a box of the fleet, as Peers, CounterLocator and Counts of that box.
+// boxView implements Peers, CounterLocator and Counts for one box of the fleet.
 type boxView struct {
 	*fleet
 	self work.Box
 }
 
 // Quota implements Peers.
-func (f boxView) Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error) {
-	f.mu.Lock()
-	cut := f.dead[box.Name] || f.side[box.Name] != f.side[f.self.Name]
-	f.mu.Unlock()
+func (v boxView) Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error) {
+	v.mu.Lock()
+	cut := v.dead[box.Name] || v.side[box.Name] != v.side[v.self.Name]
+	v.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 		return GrantReply{}, fault.Fail(fault.PeerUnreachable, "silent")
 	}
 	time.Sleep(askDelay)
-	for i, other := range f.boxes {
+	for i, other := range v.boxes {
 		if other.Name == box.Name {
-			return f.counters[i].Grant(time.Now(), ask), nil
+			return v.counters[i].Grant(time.Now(), ask), nil
 		}
 	}
 	return GrantReply{}, nil
 }
 
-func (f boxView) Count(string, int64) {}
+func (v boxView) Count(string, int64) {}
 
-// Counter implements CounterLocator by the view of the box.
-func (f boxView) Counter(workspace, zone string) (work.Box, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// Counter returns the box that this box considers the counter.
+func (v boxView) Counter(workspace, zone string) (work.Box, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	var candidates []work.Box
-	for _, box := range f.boxes {
-		seen := f.side[box.Name] == f.side[f.self.Name] || !f.removed["far"]
-		if box.Zone == zone && !f.removed[box.Name] && seen {
+	for _, box := range v.boxes {
+		seen := v.side[box.Name] == v.side[v.self.Name] || !v.removed["far"]
+		if box.Zone == zone && !v.removed[box.Name] && seen {
 			candidates = append(candidates, box)
 		}
 	}
@@ -81,7 +81,7 @@
 	return candidates[ident.RendezvousTop(workspace, len(candidates), func(i int) string { return candidates[i].Name }, 1)[0]], true
 }
 
-// newFleet returns a fleet of n boxes in turn in all zones.
+// newFleet returns a fleet of n boxes, spread evenly over the zones.
 func newFleet(n int, spaces []work.Workspace, oneCounter bool) *fleet {
 	f := &fleet{spaces: map[string]work.Workspace{}, oneCounter: oneCounter, dead: map[string]bool{}, removed: map[string]bool{}, side: map[string]int{}}
 	for i := range n {
@@ -92,9 +92,9 @@
 		counterZones = zones[:1]
 	}
 	for i, box := range f.boxes {
-		at := boxView{f, box}
-		f.counters = append(f.counters, NewCounter(box, counterZones, bounds, at))
-		f.quotas = append(f.quotas, New(box, counterZones, bounds, at, f.counters[i], at, at))
+		view := boxView{f, box}
+		f.counters = append(f.counters, NewCounter(box, counterZones, bounds, view))
+		f.quotas = append(f.quotas, New(box, counterZones, bounds, view, f.counters[i], view, view))
 	}
 	for _, space := range spaces {
 		f.spaces[space.Name] = space
@@ -151,7 +151,7 @@
 	return max(1, int(14*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// generateLoad begins programs of a workspace's clients at random times, until ctx ends. calls returns the
+// generateLoad begins programs of a workspace's clients at random times until ctx ends. calls returns the
 // mean number of calls per second at a time since the start.
 func (f *fleet) generateLoad(ctx context.Context, space work.Workspace, calls func(at time.Duration) float64, seed uint64, into *tally, take func(box int, begins bool) error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -228,7 +228,7 @@
 	return spaces
 }
 
-// usualLoad is the part of its quota that a workspace calls without overload.
+// usualLoad is the part of its quota that a workspace uses without overload.
 const usualLoad = 0.62
 
 // result sums up the tallies of the workspaces of one size.
@@ -239,7 +239,7 @@
 	mean, longest time.Duration
 }
 
-// endedShare returns the part of all programs that ended.
+// endedShare returns the fraction of all programs that ended.
 func (r result) endedShare() float64 {
 	return float64(r.ended) / float64(max(1, r.ended+r.interrupted+r.rejected))
 }
@@ -300,17 +300,17 @@
 		all.Wait()
 	})
 	for i, space := range spaces {
-		of := &small
+		sum := &small
 		if space.Rate > 20 {
-			of = &large
+			sum = &large
 		}
-		of.ended += tallies[i].ended
-		of.interrupted += tallies[i].interrupted
-		of.rejected += tallies[i].rejected
-		of.calls += len(tallies[i].ran)
-		of.peak = max(of.peak, float64(tallies[i].maxInWindow())/float64(allowed(space)))
-		of.longest = max(of.longest, tallies[i].longest)
-		of.mean += tallies[i].waits / time.Duration(len(spaces)*max(1, len(tallies[i].ran)))
+		sum.ended += tallies[i].ended
+		sum.interrupted += tallies[i].interrupted
+		sum.rejected += tallies[i].rejected
+		sum.calls += len(tallies[i].ran)
+		sum.peak = max(sum.peak, float64(tallies[i].maxInWindow())/float64(allowed(space)))
+		sum.longest = max(sum.longest, tallies[i].longest)
+		sum.mean += tallies[i].waits / time.Duration(len(spaces)*max(1, len(tallies[i].ran)))
 	}
 	return large, small
 }
@@ -356,7 +356,7 @@
 		name     string
 		overload map[string]float64
 		disrupt  func(f *fleet)
-		// minEnded is the least part of the small workspaces' programs that must end.
+		// minEnded is the smallest fraction of the small workspaces' programs that must end.
 		minEnded float64
 	}{
 		{"usual", nil, nil, 0.92},
@@ -389,9 +389,9 @@
 }
 
 // setRemoved removes a box from the views, or adds it again, and updates the counters.
-func (f *fleet) setRemoved(what string, removed bool) {
+func (f *fleet) setRemoved(name string, removed bool) {
 	f.mu.Lock()
-	f.removed[what] = removed
+	f.removed[name] = removed
 	f.mu.Unlock()
 	f.update()
 }
--- a/gate/quota/part.go
+++ b/gate/quota/part.go
@@ -25,21 +25,21 @@
 	minPartCalls = 20
 	// planBurst is the part of a window's calls that may be planned at once for programs that begin together.
 	planBurst = 0.07
-	// planShare is the part of a quota that is planned for programs. The rest is for programs that need more
-	// calls than planned.
+	// planShare is the part of a quota that may be planned for the expected calls of programs. The rest is
+	// for programs that make more calls than expected.
 	planShare = 0.9
-	// planOverdraft is the part of a program's calls that may be missing from the plan when it begins, since a
-	// small quota may never hold the calls of a whole program.
+	// planOverdraft is the part of a program's expected calls by which the plan may be overdrawn, since the
+	// plan of a small quota may never cover a whole program.
 	planOverdraft = 0.5
-	// initialProgramCalls is the assumed number of calls of a program before any was observed, and
-	// initialWeight is the number of observed programs that this assumption counts for.
+	// initialProgramCalls is the assumed number of calls of a program before any program was observed, and
+	// initialWeight the number of observed programs that this assumption counts for.
 	initialProgramCalls = 12
 	initialWeight       = 4
-	// programDecay is the weight kept by earlier observations at each new program: about the last hundred
-	// count.
+	// programDecay is the factor by which each new program reduces the weight of earlier ones: about the last
+	// hundred programs count.
 	programDecay = 0.99
 	// steadyBurst is the part of a quota's burst that is granted evenly over the window, on top of its rate,
-	// so that a workspace that is always at its limit also gets it. The rest may be used at once.
+	// so that a workspace that is always at its limit gets it too. The rest may be used at once.
 	steadyBurst = 0.5
 )
 
@@ -82,8 +82,8 @@
 	return time.Duration((tokens - b.tokens) / perSecond * float64(time.Second))
 }
 
-// partLimits is what one part of a quota may grant: rate calls per second and burst calls beyond that, which
-// is windowLimit calls in any window.
+// partLimits limits one part of a quota: rate calls per second and burst calls at once, which together allow
+// windowLimit calls in any window.
 type partLimits struct {
 	rate, burst, windowLimit float64
 }
@@ -98,15 +98,15 @@
 
 // part is the counter's state of a part of a workspace's quota.
 type part struct {
-	// calls holds the calls that may still be granted, plan those that are not yet planned for running
-	// programs.
+	// calls holds the calls that may still be granted. plan holds the calls that are not yet set aside for
+	// the expected needs of programs that have begun.
 	calls, plan tokenBucket
 	// recentCalls and recentPrograms are decaying counts of granted calls and of programs that began.
 	recentCalls, recentPrograms float64
 }
 
-// newPart returns a part that has been counted since the given time. It starts empty at that time, so that no
-// window exceeds its limit whatever another counter granted before.
+// newPart returns a part that is counted from the given time. It is empty at that time, so that no window
+// exceeds its limit whatever another counter granted before.
 func newPart(since time.Time) *part {
 	return &part{calls: tokenBucket{at: since}, plan: tokenBucket{at: since}}
 }
@@ -117,8 +117,8 @@
 }
 
 // grant grants up to want calls, or none and the delay after which to ask again. A program may begin only if
-// the plan has room for it beside the running programs, so that their calls are not refused because of a new
-// program.
+// the plan covers it besides the running programs, so that a new program does not cause the refusal of their
+// calls.
 func (p *part) grant(now time.Time, limits partLimits, want int, begins bool) (granted int, after time.Duration) {
 	p.calls.refill(now, limits.rate, limits.burst)
 	p.plan.refill(now, planShare*limits.rate, planBurst*limits.windowLimit)
@@ -138,12 +138,13 @@
 	return granted, 0
 }
 
-// callDecay returns the decay of recentCalls for a number of calls, at the same pace as that of programs.
+// callDecay returns the factor by which granting calls reduces recentCalls, so that it decays as fast as
+// recentPrograms.
 func callDecay(calls int) float64 {
 	return max(0, 1-(1-programDecay)*float64(calls)/initialProgramCalls)
 }
 
-// cancelProgram removes the plan for a program that has not begun.
+// cancelProgram frees the calls that were planned for a program that did not begin.
 func (p *part) cancelProgram() {
 	p.plan.tokens += p.callsPerProgram()
 }
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// askTimeout bounds a request to a counter, for which a call waits. It allows for some round trips between
-	// availability zones on a busy box.
+	// askTimeout bounds a request to a counter, during which a call waits. It allows for some round trips
+	// between availability zones on a busy box.
 	askTimeout = 120 * time.Millisecond
 	// lostPause is how long a counter that did not answer is not asked again.
 	lostPause = 400 * time.Millisecond
@@ -21,12 +21,13 @@
 	// is lost.
 	prefetchLifetime = time.Second
 	prefetchShare    = 0.25
-	// retryCountersLost is the Retry-After delay while counters are lost, about the time to choose others.
+	// retryCountersLost is the Retry-After delay while counters are lost: about the time until other boxes
+	// replace them.
 	retryCountersLost = 600 * time.Millisecond
 	// minRetryDelay is the least Retry-After delay of a call beyond the quota.
 	minRetryDelay = 50 * time.Millisecond
 	// maxQuotaWait is how long a call that begins no program may wait for quota instead of being refused: a
-	// retry would come no sooner, and callers retry only a few times.
+	// retry would not arrive sooner, and callers retry only a few times.
 	maxQuotaWait = 200 * time.Millisecond
 )
 
@@ -57,7 +58,7 @@
 	lostUntil map[string]time.Time
 }
 
-// workspaceState is what a box holds of one workspace's quota.
+// workspaceState is the state of one workspace's quota at this box.
 type workspaceState struct {
 	// prefetched is the number of calls granted in advance, valid until prefetchExpiry.
 	prefetched     int
@@ -65,17 +66,19 @@
 	// recent counts the calls in the second that began at recentStart, previous those in the second before it.
 	recent, previous int
 	recentStart      time.Time
-	// exhaustedUntil tells until when the counter of a zone has nothing left for a kind of call.
+	// exhaustedUntil holds the time until which the counter of a zone has no calls left for a kind of
+	// request.
 	exhaustedUntil map[grantKind]time.Time
 }
 
-// grantKind is a zone's counter and a kind of call: one with which a program may begin, or another.
+// grantKind identifies a kind of request: the zone of the counter, and whether a program may begin with the
+// call.
 type grantKind struct {
 	zone   string
 	begins bool
 }
 
-// New returns the Quotas of the box self, which ask the counters of all zones.
+// New returns the Quotas of the box self; zones are all availability zones.
 func New(self work.Box, zones []string, bounds Bounds, locator CounterLocator, counter *Counter, peers Peers, counts Counts) *Quotas {
 	return &Quotas{
 		self: self, zones: zones, bounds: bounds, locator: locator, counter: counter, peers: peers, counts: counts,
@@ -87,34 +90,35 @@
 type Permit struct {
 	quotas *Quotas
 	space  work.Workspace
-	// plannedBy is the counter that has planned a program's calls with this one; empty if none has.
+	// plannedBy is the counter that has planned the calls of the program that begins with this call; empty if
+	// no program begins.
 	plannedBy work.Box
 }
 
-// Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its fault
-// says that the call has not run and when to retry. A call that begins no program may wait briefly instead of
+// Take counts a call against the workspace's quota; begins is set if a program may begin with it. Its faults
+// have NotRun set and carry a Retry-After delay. A call that begins no program may wait briefly instead of
 // being refused.
 func (q *Quotas) Take(ctx context.Context, space work.Workspace, begins bool) (Permit, error) {
 	if space.Rate <= 0 {
 		return Permit{}, nil
 	}
-	pass, err := q.tryTake(ctx, space, begins)
+	permit, err := q.tryTake(ctx, space, begins)
 	if begins || !fault.Is(err, fault.QuotaReached) || fault.From(err).RetryAfter > maxQuotaWait {
-		return pass, err
+		return permit, err
 	}
 	select {
 	case <-time.After(fault.From(err).RetryAfter):
 		return q.tryTake(ctx, space, begins)
 	case <-ctx.Done():
-		return pass, err
+		return permit, err
 	}
 }
 
 // tryTake counts a call if a grant is available now.
 func (q *Quotas) tryTake(ctx context.Context, space work.Workspace, begins bool) (Permit, error) {
-	pass := Permit{quotas: q, space: space}
+	permit := Permit{quotas: q, space: space}
 	if !begins && q.usePrefetched(space.Name) {
-		return pass, nil
+		return permit, nil
 	}
 	after, unknown := time.Duration(0), false
 	for _, zone := range q.zoneOrder(space) {
@@ -125,9 +129,9 @@
 		case answer.Granted > 0:
 			q.addPrefetched(space.Name, answer.Granted-1)
 			if begins {
-				pass.plannedBy = box
+				permit.plannedBy = box
 			}
-			return pass, nil
+			return permit, nil
 		default:
 			wait := time.Duration(answer.AfterMillis) * time.Millisecond
 			if after == 0 || wait < after {
@@ -136,12 +140,12 @@
 		}
 	}
 	if unknown && after == 0 {
-		return pass, fault.Refuse(fault.OwnerUnavailable, "the workspace's quota counters cannot be reached now").WithRetryAfter(retryCountersLost)
+		return permit, fault.Refuse(fault.OwnerUnavailable, "the workspace's quota counters cannot be reached now").WithRetryAfter(retryCountersLost)
 	}
-	return pass, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").WithRetryAfter(max(after, minRetryDelay))
+	return permit, fault.Refuse(fault.QuotaReached, "the workspace has reached its quota").WithRetryAfter(max(after, minRetryDelay))
 }
 
-// Refund gives back the quota of a call that has not run.
+// Refund returns the quota of a call that has not run.
 func (p Permit) Refund() {
 	if p.quotas == nil || p.space.Rate <= 0 {
 		return
@@ -152,8 +156,7 @@
 	}
 }
 
-// cancelProgram tells a counter that a program has not begun. If the request fails, the counter keeps the
-// plan for one program too many.
+// cancelProgram tells a counter that a program did not begin. If the request fails, its calls stay planned.
 func (q *Quotas) cancelProgram(box work.Box, workspace string) {
 	ctx, stop := context.WithTimeout(context.Background(), askTimeout)
 	defer stop()
@@ -175,13 +178,13 @@
 func (q *Quotas) usePrefetched(workspace string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.stateOf(workspace)
-	p.countCall(time.Now())
-	if p.prefetched == 0 || !time.Now().Before(p.prefetchExpiry) {
-		p.prefetched = 0
+	state := q.stateOf(workspace)
+	state.countCall(time.Now())
+	if state.prefetched == 0 || !time.Now().Before(state.prefetchExpiry) {
+		state.prefetched = 0
 		return false
 	}
-	p.prefetched--
+	state.prefetched--
 	return true
 }
 
@@ -192,43 +195,43 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.stateOf(workspace)
-	if !time.Now().Before(p.prefetchExpiry) {
-		p.prefetched = 0
+	state := q.stateOf(workspace)
+	if !time.Now().Before(state.prefetchExpiry) {
+		state.prefetched = 0
 	}
-	p.prefetched += calls
-	p.prefetchExpiry = time.Now().Add(prefetchLifetime)
+	state.prefetched += calls
+	state.prefetchExpiry = time.Now().Add(prefetchLifetime)
 }
 
-// stateOf returns the workspace's state, which it creates if need be. q.mu must be held.
+// stateOf returns the state of the workspace and creates it if necessary. q.mu must be held.
 func (q *Quotas) stateOf(workspace string) *workspaceState {
-	p, ok := q.workspaces[workspace]
+	state, ok := q.workspaces[workspace]
 	if !ok {
-		p = &workspaceState{exhaustedUntil: map[grantKind]time.Time{}}
-		q.workspaces[workspace] = p
+		state = &workspaceState{exhaustedUntil: map[grantKind]time.Time{}}
+		q.workspaces[workspace] = state
 	}
-	return p
+	return state
 }
 
-// countCall counts a call for the size of the next prefetch.
-func (p *workspaceState) countCall(now time.Time) {
-	if elapsed := now.Sub(p.recentStart); elapsed >= time.Second {
-		p.previous = p.recent
+// countCall counts a call, which determines the size of the next prefetch.
+func (s *workspaceState) countCall(now time.Time) {
+	if elapsed := now.Sub(s.recentStart); elapsed >= time.Second {
+		s.previous = s.recent
 		if elapsed >= 2*time.Second {
-			p.previous = 0
+			s.previous = 0
 		}
-		p.recent, p.recentStart = 0, now
+		s.recent, s.recentStart = 0, now
 	}
-	p.recent++
+	s.recent++
 }
 
 // prefetchCount returns how many calls to ask for in addition to the waiting one.
-func (p *workspaceState) prefetchCount() int {
-	return int(prefetchShare * float64(max(p.previous, p.recent)))
+func (s *workspaceState) prefetchCount() int {
+	return int(prefetchShare * float64(max(s.previous, s.recent)))
 }
 
-// askZone asks the counter of a zone, unless it is known to be exhausted or lost. asked is false if there is
-// no answer.
+// askZone asks the counter of a zone for calls. asked is false if there is no counter, it did not answer, or
+// it is known to be lost. If it is known to be exhausted, the answer says so without a request.
 func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer GrantReply, box work.Box, asked bool) {
 	box, ok := q.locator.Counter(space.Name, zone)
 	if !ok {
@@ -237,9 +240,9 @@
 	now := time.Now()
 	kind := grantKind{zone: zone, begins: begins}
 	q.mu.Lock()
-	p := q.stateOf(space.Name)
-	wait, lost := p.exhaustedUntil[kind].Sub(now), now.Before(q.lostUntil[box.Name])
-	msg := GrantRequest{Workspace: space.Name, Want: 1 + p.prefetchCount(), MayStartProgram: begins}
+	state := q.stateOf(space.Name)
+	wait, lost := state.exhaustedUntil[kind].Sub(now), now.Before(q.lostUntil[box.Name])
+	msg := GrantRequest{Workspace: space.Name, Want: 1 + state.prefetchCount(), MayStartProgram: begins}
 	q.mu.Unlock()
 	if wait > 0 {
 		return GrantReply{IsCounter: true, AfterMillis: 1 + wait.Milliseconds()}, box, true
