--- a/gate/access/access.go
+++ b/gate/access/access.go
@@ -20,8 +20,8 @@
 type ConfigSnapshot struct {
 	// Config is nil until the box has a configuration.
 	Config *work.Config
-	// ConfirmedAt is the send time of the latest request whose answer confirmed Config as the newest; zero before
-	// the first. It is a reading of the monotonic clock.
+	// ConfirmedAt is the send time of the latest request whose answer confirmed Config as the newest; zero
+	// before the first. It is a reading of the monotonic clock.
 	ConfirmedAt time.Time
 }
 
@@ -37,11 +37,11 @@
 
 const (
 	// retryUnconfirmed is the Retry-After delay of a box without a configuration, or with one that was never
-	// confirmed. A short outage of the store is over by then.
+	// confirmed. It exceeds a short outage of the store.
 	retryUnconfirmed = 1200 * time.Millisecond
 	// maxStaleRetry bounds the Retry-After delay of a box whose configuration may be out of date. The delay
-	// is the time since the last confirmation, since callers that retry earlier may use up their tries in one
-	// outage.
+	// equals the time since the last confirmation, so that it grows with the length of an outage and callers
+	// do not use up their attempts.
 	maxStaleRetry = 3 * time.Second
 )
 
@@ -57,9 +57,9 @@
 	return nil, r.finalRefusal(known, call, fault.Refuse(fault.NoRoute, "no route for the host and path"))
 }
 
-// Caller returns the workspace that a call belongs to, without a name if anyone may call the route. If
-// Bounds.Revocation is set, every box refuses a revoked key within that time: it accepts keys only by a
-// configuration that was confirmed as the newest within that time before the call arrived.
+// Caller returns the workspace that a call belongs to; its name is empty if the call needs no key. If
+// Bounds.Revocation is set, keys are accepted only if the configuration was confirmed as the newest within
+// that time before the call arrived, so that every box refuses a revoked key in time.
 func (r Rules) Caller(known ConfigSnapshot, call *work.Call, route *work.Route) (work.Workspace, error) {
 	if known.Config.Callers == nil || route.Public {
 		return work.Workspace{}, nil
@@ -74,8 +74,8 @@
 	return space, nil
 }
 
-// finalRefusal returns the refusal if the configuration is recent enough, and otherwise a fault to retry
-// after. A newer configuration may allow the call, and callers do not retry after a final refusal.
+// finalRefusal returns the refusal if the configuration is recent enough, and otherwise a StaleConfig fault:
+// a newer configuration may allow the call, and callers do not retry after a final refusal.
 func (r Rules) finalRefusal(known ConfigSnapshot, call *work.Call, refusal *fault.Fault) error {
 	if r.older(known, call, r.bounds.Apply) {
 		return staleConfig(known, call)
@@ -83,8 +83,8 @@
 	return refusal
 }
 
-// older reports whether the configuration was not confirmed as the newest within bound before the call
-// arrived.
+// older reports whether the configuration was last confirmed as the newest more than bound before the call
+// arrived, or never.
 func (Rules) older(known ConfigSnapshot, call *work.Call, bound time.Duration) bool {
 	return known.ConfirmedAt.IsZero() || call.Arrived.Sub(known.ConfirmedAt) > bound
 }
