--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -17,18 +17,19 @@
 const (
 	// maxSends bounds how many replicas one call is sent to, whether they run it or not.
 	maxSends = 5
-	// attemptDivisor sets how long a repeatable call may take on one replica before another is tried: its
-	// remaining time divided by this, or the route's objective if that is longer.
+	// attemptDivisor sets the timeout of an attempt at a repeatable call, after which another replica is
+	// tried: the remaining time divided by attemptDivisor, or the route's objective if that is longer.
 	attemptDivisor = 5
-	// minAttemptTimeout is the least such time: a network round trip and a full queue.
+	// minAttemptTimeout is the shortest timeout of such an attempt. It allows for a network round trip and
+	// the wait in a full queue.
 	minAttemptTimeout = 250 * time.Millisecond
 	// minRetryTime is the least time before the deadline at which another replica is still tried.
 	minRetryTime = 30 * time.Millisecond
-	// retryAfter is the Retry-After delay of a refused call, about the time until a replica of a full
+	// retryAfter is the Retry-After delay of a refused call: about the time until a replica of a fully loaded
 	// service has capacity again.
 	retryAfter = 150 * time.Millisecond
-	// silenceThreshold is the time without an answer after which the failure counts against the replica even
-	// though the caller has left.
+	// silenceThreshold is how long a replica may leave a call unanswered before the failure counts against
+	// the replica although the caller has left.
 	silenceThreshold = 1500 * time.Millisecond
 	// maxBuffered is the size, in bytes, below which an answer is read completely before it is forwarded.
 	maxBuffered = 64 << 10
@@ -84,7 +85,7 @@
 	// body is the complete body, or its beginning if rest is set.
 	body []byte
 	rest io.Reader
-	// end releases the connection and the lease after rest was read; nil if that is done.
+	// end releases the connection and the lease once rest was read; nil if they are already released.
 	end func(out target.Outcome)
 }
 
@@ -157,11 +158,11 @@
 	a.sent++
 	a.avoid = append(a.avoid, lease.Replica.ID)
 	limit := time.Until(a.call.Deadline)
-	replicaCtx, stopGuard := lease.CancelOnRestart(ctx)
+	replicaCtx, stopReplicaCtx := lease.CancelOnRestart(ctx)
 	tryCtx, cancel := context.WithTimeout(replicaCtx, a.attemptTimeout(limit))
 	stop := func() {
 		cancel()
-		stopGuard()
+		stopReplicaCtx()
 	}
 	start := time.Now()
 	reply, err := a.sender.Send(tryCtx, lease, a.call, limit)
@@ -208,8 +209,8 @@
 	return err
 }
 
-// read reads a short answer to its end, so that an incomplete one is never forwarded, and the beginning of a
-// long one.
+// read reads a short answer completely, so that an incomplete one is never forwarded, and only the beginning
+// of a long one.
 func (a *attempts) read(ctx context.Context, lease *target.Lease, reply work.Reply, stop func(), start time.Time) (answer, error) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBuffered))
 	end := func(out target.Outcome) {
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// close calls end if the answer has one.
+// close calls end if it is not nil.
 func (a answer) close(out target.Outcome) {
 	if a.end != nil {
 		a.end(out)
