--- a/gate/shard/claim.go
+++ b/gate/shard/claim.go
@@ -14,7 +14,7 @@
 // ownerKey is the key of the record that names the owner of a slot.
 const ownerKey = "owner"
 
-// ownerRecord is the value of that record.
+// ownerRecord is the value of the record with ownerKey.
 type ownerRecord struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
@@ -28,37 +28,38 @@
 	maxFenceAttempts = 12
 )
 
-func (s *Manager) newEpoch(count int64) int64 {
-	claimant := int64(xxhash.Sum64String(s.self.Name+s.self.Incarnation) & (1<<claimantBits - 1))
+// newEpoch returns the epoch of this box with the given count.
+func (m *Manager) newEpoch(count int64) int64 {
+	claimant := int64(xxhash.Sum64String(m.self.Name+m.self.Incarnation) & (1<<claimantBits - 1))
 	return count<<claimantBits | claimant
 }
 
 // acquire makes this box the owner of a slot. It asks the previous owner to release the slot, fences it
 // off, and only then reads the records that the previous owner wrote last.
-func (s *Manager) acquire(number int) (*Slot, error) {
+func (m *Manager) acquire(number int) (*Slot, error) {
 	shard := work.Shard{Topic: work.Turns, Number: number}
-	loader := &slotLoader{state: chain.New(), shards: s}
-	// Only single reads have a timeout: with a limit on the whole load, a slot too large to load in
-	// time could never be claimed.
-	next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)
+	loader := &slotLoader{state: chain.New(), manager: m}
+	// Only single reads have a timeout. With a limit on the whole load, a slot too large to load in time
+	// could never be claimed.
+	next, err := work.AllNewest(m.ctx, m.log, shard, callTimeout, loader.apply)
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(s.ctx, callTimeout+handoverTimeout)
+	ctx, stop := context.WithTimeout(m.ctx, callTimeout+handoverTimeout)
 	defer stop()
-	if s.requestHandover(ctx, number, loader.owner) {
+	if m.requestHandover(ctx, number, loader.owner) {
 		// The previous owner may have written many records after the load; catchUp reads them.
-		s.logger.Info("shard: slot handed over", "slot", number, "from", loader.owner.Box)
+		m.logger.Info("shard: slot handed over", "slot", number, "from", loader.owner.Box)
 	}
-	epoch, err := s.fence(ctx, shard, loader.owner.Epoch>>claimantBits)
+	epoch, err := m.fence(ctx, shard, loader.owner.Epoch>>claimantBits)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.catchUp(ctx, shard, next, loader); err != nil {
+	if err := m.catchUp(ctx, shard, next, loader); err != nil {
 		return nil, err
 	}
-	slot := newSlot(s, number, epoch, loader.state)
-	raw, err := json.Marshal(ownerRecord{Box: s.self.Name, Incarnation: s.self.Incarnation, Epoch: epoch})
+	slot := newSlot(m, number, epoch, loader.state)
+	raw, err := json.Marshal(ownerRecord{Box: m.self.Name, Incarnation: m.self.Incarnation, Epoch: epoch})
 	if err != nil {
 		return nil, fault.Refuse(fault.Internal, "cannot encode the owner record").WithCause(err)
 	}
@@ -67,29 +68,29 @@
 
 // requestHandover asks the previous owner to release the slot, if it is alive. The claim continues
 // without an answer, since the fence prevents further writes by the previous owner.
-func (s *Manager) requestHandover(ctx context.Context, number int, previous ownerRecord) bool {
-	box, ok := s.boxes.Find(previous.Box, previous.Incarnation)
-	if !ok || box.Name == s.self.Name {
+func (m *Manager) requestHandover(ctx context.Context, number int, previous ownerRecord) bool {
+	box, ok := m.boxes.Find(previous.Box, previous.Incarnation)
+	if !ok || box.Name == m.self.Name {
 		return false
 	}
 	ctx, stop := context.WithTimeout(ctx, handoverTimeout)
 	defer stop()
-	if err := s.peers.Handover(ctx, box, number); err != nil {
-		s.logger.Warn("shard: slot not handed over", "slot", number, "from", box.Name, "cause", err)
+	if err := m.peers.Handover(ctx, box, number); err != nil {
+		m.logger.Warn("shard: slot not handed over", "slot", number, "from", box.Name, "cause", err)
 		return false
 	}
 	return true
 }
 
-// fence opens an epoch above count in the log and returns it. While the log holds a newer epoch, it
-// retries with larger counts, maxFenceAttempts times at most.
-func (s *Manager) fence(ctx context.Context, shard work.Shard, count int64) (int64, error) {
+// fence opens an epoch above count in the log and returns it. If the log holds a newer epoch, it retries with
+// larger counts, in at most maxFenceAttempts attempts.
+func (m *Manager) fence(ctx context.Context, shard work.Shard, count int64) (int64, error) {
 	var err error
 	step := int64(1)
 	for range maxFenceAttempts {
 		count += step
-		epoch := s.newEpoch(count)
-		err = s.log.Append(ctx, shard, work.Writer{Epoch: epoch}, nil)
+		epoch := m.newEpoch(count)
+		err = m.log.Append(ctx, shard, work.Writer{Epoch: epoch}, nil)
 		if err == nil {
 			return epoch, nil
 		}
@@ -103,12 +104,12 @@
 
 // catchUp applies the records written since offset next. If the log no longer keeps them, it loads the
 // slot anew.
-func (s *Manager) catchUp(ctx context.Context, shard work.Shard, next int64, loader *slotLoader) error {
+func (m *Manager) catchUp(ctx context.Context, shard work.Shard, next int64, loader *slotLoader) error {
 	for {
-		page, err := s.log.Read(ctx, shard, next, 0)
+		page, err := m.log.Read(ctx, shard, next, 0)
 		if fault.Is(err, fault.HistoryGone) {
-			*loader = slotLoader{state: chain.New(), shards: s}
-			_, err = work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)
+			*loader = slotLoader{state: chain.New(), manager: m}
+			_, err = work.AllNewest(m.ctx, m.log, shard, callTimeout, loader.apply)
 			return err
 		}
 		if err != nil {
@@ -126,19 +127,19 @@
 
 // slotLoader rebuilds the state of a slot from its records.
 type slotLoader struct {
-	state  *chain.State
-	owner  ownerRecord
-	shards *Manager
+	state   *chain.State
+	owner   ownerRecord
+	manager *Manager
 }
 
 func (l *slotLoader) apply(rec work.Record) {
 	if rec.Key == ownerKey {
 		if err := json.Unmarshal(rec.Value, &l.owner); err != nil {
-			l.shards.logger.Error("shard: malformed owner record in the log", "cause", err)
+			l.manager.logger.Error("shard: malformed owner record in the log", "cause", err)
 		}
 		return
 	}
 	if err := l.state.Apply(rec); err != nil {
-		l.shards.logger.Error("shard: malformed record in the log", "key", rec.Key, "cause", err)
+		l.manager.logger.Error("shard: malformed record in the log", "key", rec.Key, "cause", err)
 	}
 }
--- a/gate/shard/claim_test.go
+++ b/gate/shard/claim_test.go
@@ -23,7 +23,7 @@
 		last := ""
 		for n := range 20 {
 			id := strconv.Itoa(n)
-			if err := runTurn(ctx, f.shards["a"], newTurn(id, last), 1000, time.Millisecond, ignoreTokens); err != nil {
+			if err := runTurn(ctx, f.managers["a"], newTurn(id, last), 1000, time.Millisecond, ignoreTokens); err != nil {
 				t.Fatal(err)
 			}
 			last = id
@@ -31,7 +31,7 @@
 		log.pageNewest(1, callTimeout/2)
 		f.hang("a", true)
 		f.setOwner("b", "b")
-		b := f.shards["b"]
+		b := f.managers["b"]
 		b.startClaim(0)
 		time.Sleep(time.Minute)
 		slot, err := b.Get(ctx, 0)
--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -40,7 +40,7 @@
 	mu     sync.Mutex
 	mode   failureMode
 	shards map[int]*fakeShard
-	// unfenced turns fencing off, to verify that the tests depend on it.
+	// unfenced disables fencing, to verify that the tests depend on it.
 	unfenced bool
 	// appendDelay is added to each append; appends counts the calls of Append.
 	appendDelay time.Duration
@@ -184,9 +184,9 @@
 	mu sync.Mutex
 	// ownerByBox is the box that each box considers the owner of all slots.
 	ownerByBox map[string]string
-	shards     map[string]*Manager
-	// unreachable holds boxes that can't be contacted and can't contact others, hung those that never
-	// answer a delivery.
+	managers   map[string]*Manager
+	// unreachable holds the boxes that cannot contact others or be contacted, hung those that never answer a
+	// delivery.
 	unreachable, hung map[string]bool
 }
 
@@ -208,47 +208,47 @@
 	f.ownerByBox[box] = owner
 }
 
-// boxView is what one box sees of the fleet, and its connection to the other boxes.
+// boxView implements Boxes and Peers for one box of the fleet.
 type boxView struct {
 	fleet *fleet
 	self  string
 }
 
-func (e boxView) Owner(string) (work.Box, bool) {
-	return work.Box{Name: e.fleet.ownerSeenBy(e.self)}, true
+func (v boxView) Owner(string) (work.Box, bool) {
+	return work.Box{Name: v.fleet.ownerSeenBy(v.self)}, true
 }
 
 // Owners returns the box that this one considers the owner, then the others.
-func (e boxView) Owners(_ string, n int) []work.Box {
-	first := e.fleet.ownerSeenBy(e.self)
+func (v boxView) Owners(_ string, n int) []work.Box {
+	first := v.fleet.ownerSeenBy(v.self)
 	boxes := []work.Box{{Name: first}}
-	for _, name := range slices.Sorted(maps.Keys(e.fleet.shards)) {
+	for _, name := range slices.Sorted(maps.Keys(v.fleet.managers)) {
 		if name != first && len(boxes) < n {
 			boxes = append(boxes, work.Box{Name: name})
 		}
 	}
 	return boxes
 }
-func (e boxView) Find(name, _ string) (work.Box, bool) { return work.Box{Name: name}, true }
-func (e boxView) Settled() bool                        { return true }
-func (e boxView) Fresh() bool                          { return true }
+func (v boxView) Find(name, _ string) (work.Box, bool) { return work.Box{Name: name}, true }
+func (v boxView) Settled() bool                        { return true }
+func (v boxView) Fresh() bool                          { return true }
 
-func (e boxView) Handover(ctx context.Context, box work.Box, slot int) error {
-	to, err := e.connect(box)
+func (v boxView) Handover(ctx context.Context, box work.Box, slot int) error {
+	to, err := v.connect(box)
 	if err != nil {
 		return err
 	}
 	return to.Handover(ctx, slot)
 }
 
-func (e boxView) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
-	to, err := e.connect(box)
+func (v boxView) Deliver(ctx context.Context, box work.Box, slot int, recs []work.Record) error {
+	to, err := v.connect(box)
 	if err != nil {
 		return err
 	}
-	e.fleet.mu.Lock()
-	hung := e.fleet.hung[box.Name]
-	e.fleet.mu.Unlock()
+	v.fleet.mu.Lock()
+	hung := v.fleet.hung[box.Name]
+	v.fleet.mu.Unlock()
 	if hung {
 		<-ctx.Done()
 		return fault.Fail(fault.PeerUnreachable, "no answer")
@@ -256,14 +256,14 @@
 	return to.Deliver(ctx, slot, recs)
 }
 
-func (e boxView) connect(box work.Box) (*Manager, error) {
+func (v boxView) connect(box work.Box) (*Manager, error) {
 	time.Sleep(time.Millisecond)
-	e.fleet.mu.Lock()
-	defer e.fleet.mu.Unlock()
-	if e.fleet.unreachable[box.Name] || e.fleet.unreachable[e.self] || e.fleet.shards[box.Name] == nil {
+	v.fleet.mu.Lock()
+	defer v.fleet.mu.Unlock()
+	if v.fleet.unreachable[box.Name] || v.fleet.unreachable[v.self] || v.fleet.managers[box.Name] == nil {
 		return nil, fault.Refuse(fault.PeerUnreachable, "cut")
 	}
-	return e.fleet.shards[box.Name], nil
+	return v.fleet.managers[box.Name], nil
 }
 
 type noCounts struct{}
@@ -272,20 +272,20 @@
 func (noCounts) Time(string, time.Duration) {}
 
 func newFleet(log Log, names ...string) *fleet {
-	f := &fleet{ownerByBox: map[string]string{}, shards: map[string]*Manager{}, unreachable: map[string]bool{}, hung: map[string]bool{}}
+	f := &fleet{ownerByBox: map[string]string{}, managers: map[string]*Manager{}, unreachable: map[string]bool{}, hung: map[string]bool{}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, name := range names {
 		f.ownerByBox[name] = names[0]
 		view := boxView{fleet: f, self: name}
 		self := work.Box{Name: name, Incarnation: name + "-1"}
-		f.shards[name] = New(self, NewLayout(1), log, view, view, noCounts{}, quiet)
+		f.managers[name] = New(self, NewLayout(1), log, view, view, noCounts{}, quiet)
 	}
 	return f
 }
 
 func (f *fleet) stop() {
-	for _, s := range f.shards {
-		s.cancel()
-		s.background.Wait()
+	for _, m := range f.managers {
+		m.cancel()
+		m.background.Wait()
 	}
 }
--- a/gate/shard/forward.go
+++ b/gate/shard/forward.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// hedgeDelay is how long one box may take to write the records before the next candidate is asked
-	// as well. It covers a claim in progress and a call to the log. A box that hangs must not delay
-	// delivery to the actual owner, and a slow write is left to run: a repeat would queue behind it.
+	// hedgeDelay is how long one box may take to write the records before the next candidate is asked as
+	// well, so that a box that hangs does not delay delivery to the actual owner. It allows for a claim in
+	// progress and a call to the log. A slow write is not repeated: a repeat would queue behind it.
 	hedgeDelay = 700 * time.Millisecond
 	// deliverTimeout bounds one delivery: a claim in progress and the longest call to the log.
 	deliverTimeout = claimTimeout + callTimeout
@@ -23,19 +23,19 @@
 )
 
 // forward delivers records to the current owner of the slot, retrying until ctx ends.
-func (s *Manager) forward(ctx context.Context, number int, recs []work.Record) error {
+func (m *Manager) forward(ctx context.Context, number int, recs []work.Record) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	f := &forwarder{shards: s, number: number, recs: recs, results: make(chan deliverResult), pending: map[string]bool{}}
+	f := &forwarder{manager: m, number: number, recs: recs, results: make(chan deliverResult), pending: map[string]bool{}}
 	for {
 		if f.tryCandidates(ctx) {
-			s.counts.Count("shard.forwarded", 1)
+			m.counts.Count("shard.forwarded", 1)
 			return nil
 		}
 		if ctx.Err() != nil {
 			return fault.Fail(fault.LogUnavailable, "no owner accepted the records").WithCause(f.lastErr)
 		}
-		s.logger.Info("shard: failed to forward records to the slot's owner", "slot", number, "cause", f.lastErr)
+		m.logger.Info("shard: failed to forward records to the slot's owner", "slot", number, "cause", f.lastErr)
 	}
 }
 
@@ -47,10 +47,10 @@
 
 // forwarder delivers the records of one turn to the owner of a slot.
 type forwarder struct {
-	shards *Manager
-	number int
-	recs   []work.Record
-	// results receives the outcomes; a delivery gives up sending its outcome once its context ends.
+	manager *Manager
+	number  int
+	recs    []work.Record
+	// results receives the outcomes. A delivery whose context has ended drops its outcome.
 	results chan deliverResult
 	// pending holds the names of the boxes that have not answered yet.
 	pending map[string]bool
@@ -60,7 +60,7 @@
 // tryCandidates asks the boxes that may hold the slot, the most likely first, and reports whether one
 // has written the records. A failed attempt ends with a delay of forwardRetryDelay.
 func (f *forwarder) tryCandidates(ctx context.Context) bool {
-	boxes := f.shards.boxes.Owners(f.shards.layout.Name(f.number), maxCandidates)
+	boxes := f.manager.boxes.Owners(f.manager.layout.Name(f.number), maxCandidates)
 	if len(boxes) == 0 {
 		f.lastErr = fault.Refuse(fault.OwnerUnavailable, "no box owns the slot")
 	}
@@ -103,18 +103,18 @@
 
 // deliver sends the records to one box and reports the outcome.
 func (f *forwarder) deliver(ctx context.Context, box work.Box) {
-	got := deliverResult{box: box.Name, err: f.shards.deliverTo(ctx, box, f.number, f.recs)}
+	got := deliverResult{box: box.Name, err: f.manager.deliverTo(ctx, box, f.number, f.recs)}
 	select {
 	case f.results <- got:
 	case <-ctx.Done():
 	}
 }
 
-func (s *Manager) deliverTo(ctx context.Context, box work.Box, number int, recs []work.Record) error {
+func (m *Manager) deliverTo(ctx context.Context, box work.Box, number int, recs []work.Record) error {
 	ctx, stop := context.WithTimeout(ctx, deliverTimeout)
 	defer stop()
-	if box.Name == s.self.Name {
-		return s.Deliver(ctx, number, recs)
+	if box.Name == m.self.Name {
+		return m.Deliver(ctx, number, recs)
 	}
-	return s.peers.Deliver(ctx, box, number, recs)
+	return m.peers.Deliver(ctx, box, number, recs)
 }
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -29,7 +29,7 @@
 	// of records that one search drops from a slot.
 	expireInterval = 5 * time.Second
 	expireLimit    = 500
-	// retryAfter is the Retry-After hint while a slot has no owner: about the duration of a claim.
+	// retryAfter is the Retry-After delay while a slot has no owner: about the duration of a claim.
 	retryAfter = 400 * time.Millisecond
 )
 
@@ -41,18 +41,22 @@
 	Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error
 	// Newest returns the newest record of each key that sorts after the given key.
 	Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error)
+	// Read returns the records from the given offset on. HistoryGone means that they are no longer stored.
 	Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error)
 }
 
 // Boxes is this box's view of the live boxes.
 type Boxes interface {
+	// Owner returns the box that should own the slot.
 	Owner(slot string) (work.Box, bool)
 	// Owners returns at most n boxes: the one that should own the slot, then those that would own it if
 	// the preceding ones were gone.
 	Owners(slot string, n int) []work.Box
+	// Find returns the live box with the name and incarnation.
 	Find(name, incarnation string) (work.Box, bool)
+	// Settled reports whether the view is complete enough to claim slots by it.
 	Settled() bool
-	// Fresh reports that no other box can consider this one dead.
+	// Fresh reports whether the view is so recent that no other box can consider this one dead.
 	Fresh() bool
 }
 
@@ -87,9 +91,9 @@
 	slots []*Slot
 	// claiming holds a channel for each claim in progress, which is closed when the claim ends.
 	claiming map[int]chan struct{}
-	// yieldedAt holds the time at which each slot was handed over to a box that asked for it.
-	yieldedAt map[int]time.Time
-	stopping  bool
+	// handedOverAt holds the time at which each slot was handed over to a box that asked for it.
+	handedOverAt map[int]time.Time
+	stopping     bool
 }
 
 // New returns a Manager that owns no slots.
@@ -97,43 +101,43 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
 		self: self, layout: layout, log: log, boxes: boxes, peers: peers, counts: counts, logger: logger,
-		ctx: ctx, cancel: cancel, slots: make([]*Slot, layout.Slots()), claiming: map[int]chan struct{}{}, yieldedAt: map[int]time.Time{},
+		ctx: ctx, cancel: cancel, slots: make([]*Slot, layout.Slots()), claiming: map[int]chan struct{}{}, handedOverAt: map[int]time.Time{},
 	}
 }
 
 // Start starts the periodic removal of expired programs.
-func (s *Manager) Start(context.Context) error {
-	s.background.Go(func() { kernel.Every(s.ctx, expireInterval, s.expire) })
+func (m *Manager) Start(context.Context) error {
+	m.background.Go(func() { kernel.Every(m.ctx, expireInterval, m.expire) })
 	return nil
 }
 
 // Stop releases all slots and waits for the background work to end.
-func (s *Manager) Stop(ctx context.Context) error {
-	s.mu.Lock()
-	s.stopping = true
-	s.mu.Unlock()
+func (m *Manager) Stop(ctx context.Context) error {
+	m.mu.Lock()
+	m.stopping = true
+	m.mu.Unlock()
 	var wg sync.WaitGroup
-	for number := range s.slots {
-		wg.Go(func() { s.Release(ctx, number) })
+	for number := range m.slots {
+		wg.Go(func() { m.Release(ctx, number) })
 	}
 	wg.Wait()
-	s.cancel()
-	s.background.Wait()
+	m.cancel()
+	m.background.Wait()
 	return nil
 }
 
 // Holds reports whether this box holds the slot now.
-func (s *Manager) Holds(number int) bool {
-	slot, _ := s.lookup(number)
+func (m *Manager) Holds(number int) bool {
+	slot, _ := m.lookup(number)
 	return slot != nil
 }
 
 // All returns the slots that this box holds.
-func (s *Manager) All() []*Slot {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (m *Manager) All() []*Slot {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var held []*Slot
-	for _, slot := range s.slots {
+	for _, slot := range m.slots {
 		if slot != nil {
 			held = append(held, slot)
 		}
@@ -142,47 +146,46 @@
 }
 
 // HeldCount returns the number of slots that this box holds.
-func (s *Manager) HeldCount() int {
-	return len(s.All())
+func (m *Manager) HeldCount() int {
+	return len(m.All())
 }
 
 // Rebalance claims the slots that this box should own and does not hold. It is called when the set of
 // live boxes changes. Slots that another box should own are released when that box asks.
-func (s *Manager) Rebalance() {
-	if !s.boxes.Settled() {
+func (m *Manager) Rebalance() {
+	if !m.boxes.Settled() {
 		return
 	}
-	for number := range s.slots {
-		if s.shouldOwn(number) {
-			s.startClaim(number)
+	for number := range m.slots {
+		if m.shouldOwn(number) {
+			m.startClaim(number)
 		}
 	}
 }
 
 // shouldOwn reports whether this box should own the slot.
-func (s *Manager) shouldOwn(number int) bool {
-	box, ok := s.boxes.Owner(s.layout.Name(number))
-	return ok && box.Name == s.self.Name
+func (m *Manager) shouldOwn(number int) bool {
+	box, ok := m.boxes.Owner(m.layout.Name(number))
+	return ok && box.Name == m.self.Name
 }
 
 // Get returns the slot if this box holds it, waiting up to claimTimeout for a claim in progress.
-func (s *Manager) Get(ctx context.Context, number int) (*Slot, error) {
-	if number < 0 || number >= len(s.slots) {
+func (m *Manager) Get(ctx context.Context, number int) (*Slot, error) {
+	if number < 0 || number >= len(m.slots) {
 		return nil, fault.Refuse(fault.BadRequest, "no such slot")
 	}
-	slot, wait := s.lookup(number)
-	if slot == nil && wait == nil && s.shouldOwn(number) && s.boxes.Settled() {
-		wait = s.startClaim(number)
+	slot, wait := m.lookup(number)
+	if slot == nil && wait == nil && m.shouldOwn(number) && m.boxes.Settled() {
+		wait = m.startClaim(number)
 	}
-	// While the view is not settled a claim is unlikely to end soon, so the caller should try another
-	// box.
-	if slot == nil && wait != nil && s.boxes.Settled() {
+	// While the view is not settled, a claim is unlikely to end soon, and the caller should try another box.
+	if slot == nil && wait != nil && m.boxes.Settled() {
 		select {
 		case <-wait:
 		case <-time.After(claimTimeout):
 		case <-ctx.Done():
 		}
-		slot, _ = s.lookup(number)
+		slot, _ = m.lookup(number)
 	}
 	if slot == nil {
 		return nil, fault.Refuse(fault.NotOwner, "this box does not own the slot").WithRetryAfter(retryAfter)
@@ -190,73 +193,73 @@
 	return slot, nil
 }
 
-func (s *Manager) lookup(number int) (*Slot, chan struct{}) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.slots[number], s.claiming[number]
+func (m *Manager) lookup(number int) (*Slot, chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.slots[number], m.claiming[number]
 }
 
 // startClaim starts a claim unless one is in progress. It returns a channel that is closed when the
 // claim ends, or nil if the slot is held or must not be claimed now.
-func (s *Manager) startClaim(number int) chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.slots[number] != nil || s.stopping || s.ctx.Err() != nil || time.Since(s.yieldedAt[number]) < reclaimDelay {
+func (m *Manager) startClaim(number int) chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.slots[number] != nil || m.stopping || m.ctx.Err() != nil || time.Since(m.handedOverAt[number]) < reclaimDelay {
 		return nil
 	}
-	if wait := s.claiming[number]; wait != nil {
+	if wait := m.claiming[number]; wait != nil {
 		return wait
 	}
 	done := make(chan struct{})
-	s.claiming[number] = done
-	s.background.Go(func() { s.claimUntilHeld(number, done) })
+	m.claiming[number] = done
+	m.background.Go(func() { m.claimUntilHeld(number, done) })
 	return done
 }
 
 // claimUntilHeld retries the claim until it succeeds, another box should own the slot, or the service
 // stops.
-func (s *Manager) claimUntilHeld(number int, done chan struct{}) {
+func (m *Manager) claimUntilHeld(number int, done chan struct{}) {
 	start := time.Now()
 	var slot *Slot
-	for s.ctx.Err() == nil && s.shouldOwn(number) {
-		got, err := s.acquire(number)
+	for m.ctx.Err() == nil && m.shouldOwn(number) {
+		got, err := m.acquire(number)
 		if err == nil {
 			slot = got
 			break
 		}
-		s.logger.Info("shard: claim failed", "slot", number, "cause", err)
+		m.logger.Info("shard: claim failed", "slot", number, "cause", err)
 		select {
 		case <-time.After(claimRetryDelay):
-		case <-s.ctx.Done():
+		case <-m.ctx.Done():
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.claiming, number)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.claiming, number)
 	close(done)
-	if slot == nil || s.stopping {
+	if slot == nil || m.stopping {
 		return
 	}
-	s.slots[number] = slot
-	s.counts.Time("shard.claim_time", time.Since(start))
-	s.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.ProgramCount(), "took", time.Since(start))
+	m.slots[number] = slot
+	m.counts.Time("shard.claim_time", time.Since(start))
+	m.logger.Info("shard: claimed slot", "slot", number, "epoch", slot.epoch, "programs", slot.state.ProgramCount(), "took", time.Since(start))
 }
 
 // Handover releases the slot to a box that asks for it.
-func (s *Manager) Handover(ctx context.Context, number int) error {
-	if number < 0 || number >= len(s.slots) {
+func (m *Manager) Handover(ctx context.Context, number int) error {
+	if number < 0 || number >= len(m.slots) {
 		return fault.Refuse(fault.BadRequest, "no such slot")
 	}
-	s.mu.Lock()
-	s.yieldedAt[number] = time.Now()
-	s.mu.Unlock()
-	s.Release(ctx, number)
+	m.mu.Lock()
+	m.handedOverAt[number] = time.Now()
+	m.mu.Unlock()
+	m.Release(ctx, number)
 	return nil
 }
 
 // Deliver writes the records of a turn that began at a previous owner, if this box owns the slot.
-func (s *Manager) Deliver(ctx context.Context, number int, recs []work.Record) error {
-	slot, err := s.Get(ctx, number)
+func (m *Manager) Deliver(ctx context.Context, number int, recs []work.Record) error {
+	slot, err := m.Get(ctx, number)
 	if err != nil {
 		return err
 	}
@@ -264,33 +267,33 @@
 }
 
 // Release releases the slot once its queued records are written, or after drainTimeout.
-func (s *Manager) Release(ctx context.Context, number int) {
-	s.mu.Lock()
-	slot := s.slots[number]
-	s.mu.Unlock()
+func (m *Manager) Release(ctx context.Context, number int) {
+	m.mu.Lock()
+	slot := m.slots[number]
+	m.mu.Unlock()
 	if slot == nil {
 		return
 	}
 	start := time.Now()
 	drained := slot.drain(ctx)
-	s.remove(slot)
-	s.logger.Info("shard: released slot", "slot", number, "whole", drained, "took", time.Since(start))
+	m.remove(slot)
+	m.logger.Info("shard: released slot", "slot", number, "whole", drained, "took", time.Since(start))
 }
 
 // remove closes the slot and removes it from the held slots, unless it has been claimed anew since.
-func (s *Manager) remove(slot *Slot) {
+func (m *Manager) remove(slot *Slot) {
 	slot.close()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.slots[slot.number] == slot {
-		s.slots[slot.number] = nil
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.slots[slot.number] == slot {
+		m.slots[slot.number] = nil
 	}
 }
 
 // expire drops programs that have outlived their retention.
-func (s *Manager) expire() {
-	for number := range s.slots {
-		if slot, _ := s.lookup(number); slot != nil {
+func (m *Manager) expire() {
+	for number := range m.slots {
+		if slot, _ := m.lookup(number); slot != nil {
 			slot.expire(time.Now())
 		}
 	}
--- a/gate/shard/shard_test.go
+++ b/gate/shard/shard_test.go
@@ -21,10 +21,10 @@
 	os.Exit(fixed.Main(m, "1500"))
 }
 
-// runTurn runs one stateful turn on the slot and returns nil once the log holds it. It calls onTokens
-// when the caller receives tokens.
-func runTurn(ctx context.Context, s *Manager, o chain.OpenTurn, budget int, takes time.Duration, onTokens func(int)) error {
-	slot, err := s.Get(ctx, 0)
+// runTurn runs one stateful turn on the slot and returns nil once the log holds it. It calls onTokens when
+// the caller receives tokens.
+func runTurn(ctx context.Context, m *Manager, o chain.OpenTurn, budget int, takes time.Duration, onTokens func(int)) error {
+	slot, err := m.Get(ctx, 0)
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 
 // runStatelessTurn runs one turn whose answer is not stored; its caller receives the given number of
 // tokens.
-func runStatelessTurn(ctx context.Context, s *Manager, o chain.OpenTurn, budget int, takes time.Duration, tokens int, onTokens func(int)) error {
-	slot, err := s.Get(ctx, 0)
+func runStatelessTurn(ctx context.Context, m *Manager, o chain.OpenTurn, budget int, takes time.Duration, tokens int, onTokens func(int)) error {
+	slot, err := m.Get(ctx, 0)
 	if err != nil {
 		return err
 	}
@@ -127,16 +127,16 @@
 		defer f.stop()
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		ended := make(chan error)
-		go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("two", "one"), -1, 3*time.Second, ignoreTokens) }()
+		go func() { ended <- runTurn(ctx, f.managers["a"], newTurn("two", "one"), -1, 3*time.Second, ignoreTokens) }()
 		time.Sleep(100 * time.Millisecond)
 		f.setOwner("a", "b")
 		f.setOwner("b", "b")
 		start := time.Now()
-		if err := runTurn(ctx, f.shards["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 200*time.Millisecond {
@@ -145,14 +145,14 @@
 		if err := <-ended; err != nil {
 			t.Fatal(err)
 		}
-		if err := runTurn(ctx, f.shards["b"], newTurn("four", "two"), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["b"], newTurn("four", "two"), -1, 0, ignoreTokens); err != nil {
 			t.Errorf("a turn that continues the one begun at the previous owner: %v", err)
 		}
 	})
 }
 
-// TestTurnCompletesAtActualOwner checks that a turn in progress at a handover completes at the box that
-// holds the slot, even while its own box takes another, which does not hold the slot, for the owner.
+// TestTurnCompletesAtActualOwner checks that a turn in progress at a handover completes at the box that holds
+// the slot, even while its own box considers a third box the owner.
 func TestTurnCompletesAtActualOwner(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprintf("the other hangs: %v", hangs), func(t *testing.T) {
@@ -162,12 +162,12 @@
 				ctx, stop := context.WithTimeout(context.Background(), 6*time.Second)
 				defer stop()
 				ended := make(chan error)
-				go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
+				go func() { ended <- runTurn(ctx, f.managers["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
 				time.Sleep(100 * time.Millisecond)
 				for _, box := range []string{"a", "b", "c"} {
 					f.setOwner(box, "b")
 				}
-				if err := runTurn(ctx, f.shards["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
+				if err := runTurn(ctx, f.managers["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
 					t.Fatal(err)
 				}
 				f.setOwner("a", "c")
@@ -175,7 +175,7 @@
 				if err := <-ended; err != nil {
 					t.Fatal(err)
 				}
-				if err := runTurn(ctx, f.shards["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
+				if err := runTurn(ctx, f.managers["b"], newTurn("three", "one"), -1, 0, ignoreTokens); err != nil {
 					t.Errorf("a turn that continues the one begun at the previous owner: %v", err)
 				}
 			})
@@ -193,11 +193,11 @@
 		ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 		defer stop()
 		ended := make(chan error)
-		go func() { ended <- runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
+		go func() { ended <- runTurn(ctx, f.managers["a"], newTurn("one", ""), -1, 2*time.Second, ignoreTokens) }()
 		time.Sleep(100 * time.Millisecond)
 		f.setOwner("a", "b")
 		f.setOwner("b", "b")
-		if err := runTurn(ctx, f.shards["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["b"], newTurn("two", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		log.delayAppends(1200 * time.Millisecond)
@@ -225,10 +225,10 @@
 		defer f.stop()
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
-		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["a"], newTurn("one", ""), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
-		slot, err := f.shards["a"].Get(ctx, 0)
+		slot, err := f.managers["a"].Get(ctx, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -237,7 +237,7 @@
 		}
 		f.unreachable["a"] = true
 		f.setOwner("b", "b")
-		if err := runTurn(ctx, f.shards["b"], newTurn("two", "one"), -1, 0, ignoreTokens); err != nil {
+		if err := runTurn(ctx, f.managers["b"], newTurn("two", "one"), -1, 0, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		if err := slot.ConfirmOwnership(ctx); !fault.Is(err, fault.NotOwner) {
@@ -246,8 +246,8 @@
 	})
 }
 
-// TestFencedOwnerSpendsOnlyItsReservation checks that a fenced-off owner that can't notice it hands out
-// only what it had reserved, which the next owner counts as spent.
+// TestFencedOwnerSpendsOnlyItsReservation checks that a fenced-off owner that is not aware of it delivers
+// only the tokens that it had reserved, which the next owner counts as spent.
 func TestFencedOwnerSpendsOnlyItsReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
@@ -258,18 +258,18 @@
 		const budget = 30
 		var delivered atomic.Int64
 		addTokens := func(n int) { delivered.Add(int64(n)) }
-		if err := runTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, addTokens); err != nil {
+		if err := runTurn(ctx, f.managers["a"], newTurn("one", ""), budget, 0, addTokens); err != nil {
 			t.Fatal(err)
 		}
 		f.unreachable["a"] = true
 		f.setOwner("b", "b")
-		if err := runTurn(ctx, f.shards["b"], newTurn("two", "one"), budget, 0, addTokens); err != nil {
+		if err := runTurn(ctx, f.managers["b"], newTurn("two", "one"), budget, 0, addTokens); err != nil {
 			t.Fatal(err)
 		}
 		log.setMode(modeUnavailable)
 		var wg sync.WaitGroup
 		for _, id := range []string{"three", "four", "five"} {
-			wg.Go(func() { _ = runTurn(ctx, f.shards["a"], newTurn(id, "one"), budget, 0, addTokens) })
+			wg.Go(func() { _ = runTurn(ctx, f.managers["a"], newTurn(id, "one"), budget, 0, addTokens) })
 			time.Sleep(100 * time.Millisecond)
 		}
 		wg.Wait()
@@ -281,8 +281,8 @@
 	})
 }
 
-// TestFencedOwnerSpendsOnlyItsGrant checks that a fenced-off owner that can't notice it hands out at
-// most the grant in the log, which the next owner counts as spent.
+// TestFencedOwnerSpendsOnlyItsGrant checks that a fenced-off owner that is not aware of it delivers at most
+// the tokens of the grant in the log, which the next owner counts as spent.
 func TestFencedOwnerSpendsOnlyItsGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newLog()
@@ -293,14 +293,14 @@
 		const budget = 60
 		var delivered atomic.Int64
 		addTokens := func(n int) { delivered.Add(int64(n)) }
-		if err := runStatelessTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, 5, addTokens); err != nil {
+		if err := runStatelessTurn(ctx, f.managers["a"], newTurn("one", ""), budget, 0, 5, addTokens); err != nil {
 			t.Fatal(err)
 		}
 		f.unreachable["a"] = true
 		f.setOwner("b", "b")
 		for n := range 9 {
-			_ = runStatelessTurn(ctx, f.shards["b"], newTurn(fmt.Sprintf("b-%d", n), ""), budget, 0, 10, addTokens)
-			_ = runStatelessTurn(ctx, f.shards["a"], newTurn(fmt.Sprintf("a-%d", n), ""), budget, 0, 10, addTokens)
+			_ = runStatelessTurn(ctx, f.managers["b"], newTurn(fmt.Sprintf("b-%d", n), ""), budget, 0, 10, addTokens)
+			_ = runStatelessTurn(ctx, f.managers["a"], newTurn(fmt.Sprintf("a-%d", n), ""), budget, 0, 10, addTokens)
 		}
 		if got := delivered.Load(); got > budget || got < budget/2 {
 			t.Errorf("%d of %d tokens handed out", got, budget)
@@ -317,29 +317,29 @@
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
 		const budget = 30
-		if err := runStatelessTurn(ctx, f.shards["a"], newTurn("one", ""), budget, 0, 5, ignoreTokens); err != nil {
+		if err := runStatelessTurn(ctx, f.managers["a"], newTurn("one", ""), budget, 0, 5, ignoreTokens); err != nil {
 			t.Fatal(err)
 		}
 		var running sync.WaitGroup
 		running.Go(func() {
-			_ = runStatelessTurn(ctx, f.shards["a"], newTurn("two", ""), budget, 4*time.Second, 5, ignoreTokens)
+			_ = runStatelessTurn(ctx, f.managers["a"], newTurn("two", ""), budget, 4*time.Second, 5, ignoreTokens)
 		})
 		time.Sleep(100 * time.Millisecond)
-		for name := range f.shards {
+		for name := range f.managers {
 			f.setOwner(name, "b")
 		}
 		time.Sleep(3 * time.Second)
-		if err := runStatelessTurn(ctx, f.shards["b"], newTurn("three", ""), budget, 0, 5, ignoreTokens); err != nil {
+		if err := runStatelessTurn(ctx, f.managers["b"], newTurn("three", ""), budget, 0, 5, ignoreTokens); err != nil {
 			t.Errorf("with a turn in progress at the previous owner: %v", err)
 		}
 		running.Wait()
 		time.Sleep(time.Second)
 		for _, id := range []string{"four", "five"} {
-			if err := runStatelessTurn(ctx, f.shards["b"], newTurn(id, ""), budget, 0, 5, ignoreTokens); err != nil {
+			if err := runStatelessTurn(ctx, f.managers["b"], newTurn(id, ""), budget, 0, 5, ignoreTokens); err != nil {
 				t.Errorf("turn %s: %v", id, err)
 			}
 		}
-		if err := runStatelessTurn(ctx, f.shards["b"], newTurn("six", ""), budget, 0, 5, ignoreTokens); !fault.Is(err, fault.BudgetSpent) {
+		if err := runStatelessTurn(ctx, f.managers["b"], newTurn("six", ""), budget, 0, 5, ignoreTokens); !fault.Is(err, fault.BudgetSpent) {
 			t.Errorf("a turn beyond the budget: %v", err)
 		}
 	})
@@ -353,7 +353,7 @@
 		log := newLog()
 		f := newFleet(log, "a", "b")
 		defer f.stop()
-		b := f.shards["b"]
+		b := f.managers["b"]
 		f.setOwner("b", "b")
 		b.startClaim(0)
 		time.Sleep(newestDelay + 14*time.Millisecond) // fenced and read; the owner record is being written
@@ -373,9 +373,9 @@
 func TestEpochsAreUniquePerBox(t *testing.T) {
 	f := newFleet(newLog(), "a", "b", "c")
 	seen := map[int64]string{}
-	for name, s := range f.shards {
+	for name, m := range f.managers {
 		for count := range int64(50) {
-			epoch := s.newEpoch(count)
+			epoch := m.newEpoch(count)
 			if other, ok := seen[epoch]; ok {
 				t.Fatalf("%s and %s share epoch %d", name, other, epoch)
 			}
@@ -464,7 +464,7 @@
 				if s.kind == stepPartialStatelessTurn {
 					tokens /= 5
 				}
-				_ = runStatelessTurn(ctx, f.shards[s.box], o, planBudget, s.takes, tokens, addTokens) // only delivered tokens count
+				_ = runStatelessTurn(ctx, f.managers[s.box], o, planBudget, s.takes, tokens, addTokens) // only delivered tokens count
 			})
 		case stepSetOwner:
 			f.setOwner(s.box, s.other)
@@ -482,7 +482,7 @@
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 				defer stop()
 				id := fmt.Sprintf("turn-%d", n)
-				err := runTurn(ctx, f.shards[s.box], newTurn(id, previous), planBudget, s.takes, addTokens)
+				err := runTurn(ctx, f.managers[s.box], newTurn(id, previous), planBudget, s.takes, addTokens)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -504,10 +504,10 @@
 	return append(violations, verify(f, confirmed[1:], int(delivered.Load()))...)
 }
 
-// verify has a box load the slot from the log and compares it with the confirmed turns and the tokens
-// handed out.
+// verify has a box load the slot from the log and compares it with the confirmed turns and the delivered
+// tokens.
 func verify(f *fleet, confirmed []string, delivered int) []string {
-	for name := range f.shards {
+	for name := range f.managers {
 		f.setOwner(name, "c")
 		f.mu.Lock()
 		f.unreachable[name] = false
@@ -515,11 +515,11 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := f.shards["c"].Handover(ctx, 0); err != nil {
+	if err := f.managers["c"].Handover(ctx, 0); err != nil {
 		return []string{err.Error()}
 	}
 	time.Sleep(2 * reclaimDelay)
-	slot, err := f.shards["c"].Get(ctx, 0)
+	slot, err := f.managers["c"].Get(ctx, 0)
 	if err != nil {
 		return []string{"no owner at the end: " + err.Error()}
 	}
--- a/gate/shard/slot.go
+++ b/gate/shard/slot.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxAppendBytes is the size in bytes from which an append takes no further batches: half of the
-	// smallest store's limit for one call.
+	// maxAppendBytes is the size in bytes at which an append takes no further batches: half of the smallest
+	// limit that a store sets for one call.
 	maxAppendBytes = 1 << 20
 	// minRetryDelay and maxRetryDelay bound the delay before an append is retried.
 	minRetryDelay = 25 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// logRetryAfter is the Retry-After hint while the log is unavailable, short enough for several
-	// retries within a caller's deadline.
+	// logRetryAfter is the Retry-After delay while the log is unavailable, short enough for several retries
+	// within a caller's deadline.
 	logRetryAfter = 900 * time.Millisecond
 	// confirmTimeout bounds the append by which ConfirmOwnership verifies ownership.
 	confirmTimeout = 400 * time.Millisecond
@@ -33,15 +33,15 @@
 
 // Slot is a slot that this box owns or has owned.
 type Slot struct {
-	shards *Manager
-	number int
-	epoch  int64
+	manager *Manager
+	number  int
+	epoch   int64
 
 	mu    sync.Mutex
 	state *chain.State
 	// closing is set once the slot is being released: it accepts no new turns.
 	closing bool
-	// lost is set once this box can't write any more, since it has released the slot or another box has
+	// lost is set once this box can no longer write, since it has released the slot or another box has
 	// claimed it.
 	lost bool
 	// queue holds the batches to append, in order. writing reports whether the writer goroutine runs.
@@ -53,8 +53,8 @@
 	appendStarted time.Time
 }
 
-func newSlot(s *Manager, number int, epoch int64, state *chain.State) *Slot {
-	return &Slot{shards: s, number: number, epoch: epoch, state: state}
+func newSlot(m *Manager, number int, epoch int64, state *chain.State) *Slot {
+	return &Slot{manager: m, number: number, epoch: epoch, state: state}
 }
 
 // Number returns the number of the slot.
@@ -80,11 +80,11 @@
 // OwnershipFresh reports whether this box's view of the other boxes is current, so that none of them can have
 // claimed the slot.
 func (s *Slot) OwnershipFresh() bool {
-	return s.shards.boxes.Fresh() && s.shards.boxes.Settled()
+	return s.manager.boxes.Fresh() && s.manager.boxes.Settled()
 }
 
-// ConfirmOwnership returns nil once an append has shown that this box still owns the slot. An owner that was
-// partitioned may have missed that another box claimed the slot and wrote to it.
+// ConfirmOwnership returns nil once an append has shown that this box still owns the slot. An owner behind a
+// partition may have missed that another box claimed the slot and wrote to it.
 func (s *Slot) ConfirmOwnership(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, confirmTimeout)
 	defer stop()
@@ -162,7 +162,7 @@
 	if !fault.Is(err, fault.NotOwner) {
 		return err
 	}
-	return s.shards.forward(ctx, s.number, p.batch.recs)
+	return s.manager.forward(ctx, s.number, p.batch.recs)
 }
 
 // applyAndWrite applies and writes the records of a turn that began at a previous owner.
@@ -237,9 +237,8 @@
 	return batches
 }
 
-// append retries one append until it succeeds, another box turns out to own the slot, or the
-// service stops. The log answers a repeated append number as it did the first time, so retries add
-// nothing twice.
+// append retries one append until it succeeds, another box turns out to own the slot, or the manager stops.
+// The log answers a repeated append number as it did the first time, so retries add no record twice.
 func (s *Slot) append(recs []work.Record) error {
 	if len(recs) == 0 {
 		return nil
@@ -249,30 +248,30 @@
 	pause := minRetryDelay
 	for {
 		start := time.Now()
-		ctx, stop := context.WithTimeout(s.shards.ctx, callTimeout)
-		err := s.shards.log.Append(ctx, shard, writer, recs)
+		ctx, stop := context.WithTimeout(s.manager.ctx, callTimeout)
+		err := s.manager.log.Append(ctx, shard, writer, recs)
 		stop()
 		if err == nil {
-			s.shards.counts.Time("shard.append_time", time.Since(start))
+			s.manager.counts.Time("shard.append_time", time.Since(start))
 			return nil
 		}
-		if fault.Is(err, fault.NotOwner) || s.shards.ctx.Err() != nil {
+		if fault.Is(err, fault.NotOwner) || s.manager.ctx.Err() != nil {
 			return err
 		}
-		s.shards.counts.Count("shard.append_failed", 1)
-		s.shards.logger.Warn("shard: append failed", "slot", s.number, "cause", err, "took", time.Since(start))
+		s.manager.counts.Count("shard.append_failed", 1)
+		s.manager.logger.Warn("shard: append failed", "slot", s.number, "cause", err, "took", time.Since(start))
 		select {
 		case <-time.After(pause):
-		case <-s.shards.ctx.Done():
+		case <-s.manager.ctx.Done():
 		}
 		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// markLost drops the slot after an append that can't succeed, and fails all queued batches.
+// markLost gives up the slot after an append that cannot succeed, and fails all queued batches.
 func (s *Slot) markLost(err error) {
-	s.shards.logger.Warn("shard: lost slot", "slot", s.number, "epoch", s.epoch, "cause", err)
-	s.shards.counts.Count("shard.lost", 1)
+	s.manager.logger.Warn("shard: lost slot", "slot", s.number, "epoch", s.epoch, "cause", err)
+	s.manager.counts.Count("shard.lost", 1)
 	s.mu.Lock()
 	s.lost = true
 	queue := s.queue
@@ -282,7 +281,7 @@
 		b.err = slotLostFault()
 		close(b.done)
 	}
-	s.shards.remove(s)
+	s.manager.remove(s)
 }
 
 func slotLostFault() *fault.Fault {
@@ -298,9 +297,9 @@
 	s.lost = true
 }
 
-// drain rejects new turns and waits until the records queued so far are written, for drainTimeout at
-// most. It reports whether they were. Turns in progress continue: records that they queue after the
-// release go to the next owner.
+// drain rejects new turns and waits at most drainTimeout until the records queued so far are written. It
+// reports whether they were. Turns in progress continue: records that they queue after the release go to the
+// next owner.
 func (s *Slot) drain(ctx context.Context) bool {
 	ctx, stop := context.WithTimeout(ctx, drainTimeout)
 	defer stop()
