--- a/gate/chain/chain.go
+++ b/gate/chain/chain.go
@@ -15,20 +15,20 @@
 // Turn is an answered turn.
 type Turn struct {
 	id, program string
-	// previous is the id of the turn that this one continues; empty for a first turn.
+	// previous is the ID of the turn that this one continues; empty for a first turn.
 	previous string
 	expires  time.Time
 	tokens   int
 	// copied marks a copy of a turn of another program.
 	copied bool
-	// Text is the part of the prompt of later turns that this turn adds: its input, then the data of
-	// each event of its answer, each followed by a line feed.
+	// Text is the part of the prompt of later turns that this turn adds: its input, then the data of each
+	// event of its answer, each followed by a line feed.
 	Text []byte
 
-	// RanOn identifies the run of the replica that answered the turn (see work.Replica.RunID); empty if
-	// another owner saw it.
+	// RanOn identifies the run of the replica that answered the turn (see work.Replica.RunID); empty if the
+	// turn ended at another owner.
 	RanOn string
-	// CachedTokens is the number of tokens of the chain that the replica held after the turn.
+	// CachedTokens is the number of tokens of the chain that the replica held in its cache after the turn.
 	CachedTokens int
 }
 
@@ -44,11 +44,10 @@
 const (
 	// phaseInUse means that a turn without a complete answer may have spent the reservation.
 	phaseInUse phase = iota
-	// phaseFinished means that the turn's own tokens are counted, but the log may not hold the turn
-	// yet.
+	// phaseFinished means that the turn's own tokens are counted, but the log may not hold the turn yet.
 	phaseFinished
-	// phaseFree means that another turn may use the reservation: the log holds the turn that used it, or
-	// that turn was not run.
+	// phaseFree means that another turn may use the reservation: the log holds the turn that used it, or that
+	// turn was not run.
 	phaseFree
 )
 
@@ -57,9 +56,9 @@
 	turns map[string]*Turn
 	// spent is the number of tokens of the answered turns.
 	spent int
-	// reservations holds the reservations by the id of the turn that created them. The log holds all of
-	// them or is about to. Another owner counts them as spent, since it can't know whether a turn has
-	// begun on them.
+	// reservations holds the reservations by the ID of the turn that created them. The log holds all of them,
+	// or their records are queued. Another owner counts them as spent, since it cannot know whether a turn
+	// has begun to use them.
 	reservations map[string]*reservation
 	// reservationOf maps each turn that has begun to the turn whose reservation it uses, until that
 	// reservation is free or dropped.
@@ -68,8 +67,7 @@
 	grant grant
 	// running counts the turns in progress at this owner.
 	running int
-	// failures counts the consecutive failed attempts of a turn, by the id of the turn that it
-	// continues.
+	// failures counts the consecutive failed attempts of a turn, by the ID of the turn that it continues.
 	failures map[string]int
 	expires  time.Time
 }
@@ -179,8 +177,8 @@
 	prog.expires = latest(prog.expires, t.expires)
 }
 
-// dropTurn and dropStart search all programs, since the records don't name the program. Such records
-// are only read while a slot is loaded or records are forwarded to it.
+// dropTurn and dropStart search all programs, since the records do not name the program. Such records are
+// only read while a slot is loaded or records are forwarded to it.
 func (s *State) dropTurn(id string) {
 	for name, prog := range s.programs {
 		if t, ok := prog.turns[id]; ok && !t.copied {
@@ -281,8 +279,8 @@
 	return prog.failures[o.Previous]
 }
 
-// SpentTokens returns the tokens that the program has spent, including what turns in progress, and turns lost
-// with a previous owner, may have spent.
+// SpentTokens returns the tokens that the program has spent, including those that turns in progress, and
+// turns lost with a previous owner, may have spent.
 func (s *State) SpentTokens(name string) int {
 	prog, ok := s.programs[name]
 	if !ok {
@@ -291,8 +289,8 @@
 	return prog.committedTokens()
 }
 
-// History returns the turns that lead to the given one, oldest first, including it. An empty id yields
-// none.
+// History returns the turns that lead to the given one, oldest first, including it. It returns none for an
+// empty ID.
 func (s *State) History(name, id string) ([]*Turn, error) {
 	if id == "" {
 		return nil, nil
@@ -314,18 +312,18 @@
 	return turns, nil
 }
 
-// ChainText returns the text of the chain that ends with the turn, in whichever program has it.
+// ChainText returns the text of the chain that ends with the turn, whichever program the turn belongs to.
 func (s *State) ChainText(id string) ([]byte, bool) {
 	for name, prog := range s.programs {
 		if prog.turns[id] == nil {
 			continue
 		}
-		line, err := s.History(name, id)
+		turns, err := s.History(name, id)
 		if err != nil {
 			continue
 		}
 		var text []byte
-		for _, t := range line {
+		for _, t := range turns {
 			text = append(text, t.Text...)
 		}
 		return text, true
@@ -353,9 +351,9 @@
 	GrantedTokens int
 }
 
-// BeginStateful begins a turn and reserves its tokens. It returns the record of the reservation, which must be
-// in the log before any output is delivered, or none if the turn reuses a reservation that is in the
-// log. A negative budget means no limit.
+// BeginStateful begins a turn and reserves its tokens. It returns the record of the reservation, which must
+// be in the log before any output is delivered, or none if the turn reuses a reservation that is in the log.
+// A negative budget means no limit.
 func (s *State) BeginStateful(now time.Time, o OpenTurn, budget int) ([]work.Record, error) {
 	prog := s.ensureProgram(o.Program)
 	if budget >= 0 && prog.committedTokens()+o.MaxTokens > budget {
@@ -399,8 +397,8 @@
 	}
 }
 
-// Finish ends a turn with a complete answer and returns the records to write. The reservation is kept
-// for a later turn unless another of its size or more is free; FreeReservation makes it available.
+// Finish ends a turn with a complete answer and returns the records to write. The reservation is kept for a
+// later turn, unless a free one of at least its size exists; FreeReservation makes it available.
 func (s *State) Finish(now time.Time, o OpenTurn, tokens int, text []byte) (*Turn, []work.Record) {
 	t := &Turn{
 		id: o.ID, program: o.Program, previous: o.Previous,
@@ -423,8 +421,8 @@
 	return t, recs
 }
 
-// FreeReservation makes the reservation of a finished turn available to the program's next turn. It must only be
-// called once this owner has written the turn's end to the log: until then another owner may count the
+// FreeReservation makes the reservation of a finished turn available to the program's next turn. It must only
+// be called once this owner has written the turn's end to the log: until then another owner may count the
 // reservation instead of the tokens that the turn has spent.
 func (s *State) FreeReservation(o OpenTurn) {
 	prog, ok := s.programs[o.Program]
@@ -441,8 +439,9 @@
 	}
 }
 
-// ReleaseUnused releases all reservations and grants that no turn uses and returns the records to write, for
-// an owner that releases the slot: the next owner would count them as spent.
+// ReleaseUnused drops all reservations that no turn uses, reduces the grants to the tokens in use, and
+// returns the records to write. It is for an owner that releases the slot: the next owner would count the
+// rest as spent.
 func (s *State) ReleaseUnused() []work.Record {
 	var drops []work.Record
 	for name, prog := range s.programs {
@@ -457,8 +456,8 @@
 	return drops
 }
 
-// Expire removes expired programs and returns the records that drop them, about limit at most: a
-// program is dropped as a whole, and grants do not count.
+// Expire removes expired programs and returns the records that drop them. limit bounds the number of records
+// approximately: a program is dropped as a whole, and grants do not count.
 func (s *State) Expire(now time.Time, limit int) []work.Record {
 	var drops []work.Record
 	for name, prog := range s.programs {
--- a/gate/chain/chain_test.go
+++ b/gate/chain/chain_test.go
@@ -14,8 +14,8 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-func open(id, previous string, most int) OpenTurn {
-	return OpenTurn{ID: id, Program: "p", Previous: previous, MaxTokens: most, Retention: time.Minute}
+func open(id, previous string, maxTokens int) OpenTurn {
+	return OpenTurn{ID: id, Program: "p", Previous: previous, MaxTokens: maxTokens, Retention: time.Minute}
 }
 
 func joinText(turns []*Turn) string {
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestSettleDropsFreeReservations checks that a planned handover costs a program none of its budget.
+// TestSettleDropsFreeReservations checks that ReleaseUnused drops free reservations, so that a planned
+// handover costs a program none of its budget.
 func TestSettleDropsFreeReservations(t *testing.T) {
 	s, nextOwner := New(), New()
 	recs := answerTurn(t, s, open("a", "", 60), "one")
@@ -119,8 +120,8 @@
 	s := New()
 	recs := answerTurn(t, s, open("a", "", 9), "one ")
 	recs = append(recs, answerTurn(t, s, open("b", "a", 9), "two ")...)
-	text1, _ := s.ChainText("a")
-	recs = append(recs, s.ImportCopy(start, "q", "a", text1, time.Minute))
+	text, _ := s.ChainText("a")
+	recs = append(recs, s.ImportCopy(start, "q", "a", text, time.Minute))
 	nextOwner := rebuild(t, recs)
 	for _, c := range []struct{ program, id, want string }{{"p", "b", "one two "}, {"q", "a", "one "}} {
 		turns, err := nextOwner.History(c.program, c.id)
@@ -188,7 +189,7 @@
 	}
 }
 
-// TestRebuildCountsUnfinishedTurns checks that a new owner counts turns without an end.
+// TestRebuildCountsUnfinishedTurns checks that a new owner counts a turn without an end at its maximum.
 func TestRebuildCountsUnfinishedTurns(t *testing.T) {
 	s, nextOwner := New(), New()
 	recs := answerTurn(t, s, open("a", "", 60), "one")
--- a/gate/chain/codec.go
+++ b/gate/chain/codec.go
@@ -105,7 +105,8 @@
 	return program, expires, maxTokens, nil
 }
 
-// grantRecord encodes the total that a program's turns without stored answers may have delivered.
+// grantRecord encodes the total number of tokens that the program's turns without stored answers may have
+// delivered.
 func grantRecord(program string, tokens int, expires time.Time) work.Record {
 	raw := binary.AppendUvarint(nil, uint64(expires.UnixMilli()))
 	raw = binary.AppendUvarint(raw, uint64(tokens))
--- a/gate/chain/grant.go
+++ b/gate/chain/grant.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// turnsPerGrant is the number of turns at their maximum length that one grant covers, if the budget
-	// allows. A larger grant needs fewer log writes and outlasts longer outages of the log, but wastes
-	// more of the budget when an owner is lost.
+	// turnsPerGrant is the number of turns of maximum length that one grant covers, if the budget allows. A
+	// larger grant needs fewer log writes and outlasts longer outages of the log, but wastes more of the
+	// budget when an owner is lost.
 	turnsPerGrant = 4
 	// grantRetentions is the lifetime of a grant in the log, in multiples of the retention, so that
 	// later turns rarely have to renew it.
 	grantRetentions = 2
 )
 
-// grant is the part of a program's budget for turns whose answers are not stored. Such turns name no
-// previous turn, so the grant is the only record that the program has run.
+// grant is the part of a program's budget for turns whose answers are not stored. The log holds no record of
+// a single such turn unless the slot is released, so the grant shows that the program has run.
 type grant struct {
-	// logged is the total that such turns may have delivered since the program began, as the log holds
-	// it or is about to. Another owner counts it as spent.
+	// logged is the total number of tokens that such turns may have delivered since the program began,
+	// according to the log and to queued records. Another owner counts it as spent.
 	logged int
 	// confirmed is the part of logged that the log has confirmed to this owner.
 	confirmed int
-	// spent is the number of tokens that ended turns have delivered or, if this owner can't know, may
-	// have delivered. It is never more than logged.
+	// spent is the number of tokens that ended turns have delivered or, if this owner does not know, may have
+	// delivered. It is never more than logged.
 	spent int
 	// active maps each turn in progress to its maximum number of tokens.
 	active map[string]int
 	// released is set once the slot is being released: each turn that ends from then on is recorded
 	// separately.
 	released bool
-	// expires is when the log may drop the grant.
+	// expires is the time from which the log may drop the grant.
 	expires time.Time
 }
 
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// BeginStateless begins a turn whose answer is not stored. It returns the record that must be in the log before
-// any output is delivered, or none if the confirmed grant covers the turn. A negative budget means no
+// BeginStateless begins a turn whose answer is not stored. It returns the record that must be in the log
+// before any output is delivered, or none if the confirmed grant covers the turn. A negative budget means no
 // limit.
 func (s *State) BeginStateless(now time.Time, o OpenTurn, budget int) ([]work.Record, error) {
 	prog := s.ensureProgram(o.Program)
@@ -108,15 +108,15 @@
 	return 0
 }
 
-// ConfirmGrant notes that the log holds a grant of the given size, written by this owner.
+// ConfirmGrant records that the log holds a grant of the given size, written by this owner.
 func (s *State) ConfirmGrant(name string, tokens int) {
 	if prog, ok := s.programs[name]; ok {
 		prog.grant.confirmed = max(prog.grant.confirmed, min(tokens, prog.grant.logged))
 	}
 }
 
-// EndStateless ends a turn that began with BeginStateless and delivered the given number of tokens. It returns a record
-// only if the slot is being released, for the next owner.
+// EndStateless ends a turn that began with BeginStateless and delivered the given number of tokens. It
+// returns a record, for the next owner, only if the slot is being released.
 func (s *State) EndStateless(o OpenTurn, tokens int) []work.Record {
 	prog, ok := s.programs[o.Program]
 	if !ok {
--- a/gate/chain/grant_test.go
+++ b/gate/chain/grant_test.go
@@ -92,10 +92,10 @@
 	beginStatelessTurn(t, s, b, 1000)
 	crashed := rebuild(t, recs)
 	recs = append(recs, s.ReleaseUnused()...)
-	settled := rebuild(t, recs)
+	released := rebuild(t, recs)
 	recs = append(recs, s.EndStateless(b, 9)...)
 	ended := rebuild(t, recs)
-	got := []int{s.SpentTokens("p"), crashed.SpentTokens("p"), settled.SpentTokens("p"), ended.SpentTokens("p")}
+	got := []int{s.SpentTokens("p"), crashed.SpentTokens("p"), released.SpentTokens("p"), ended.SpentTokens("p")}
 	if diff := cmp.Diff([]int{7, 4 * 60, 7 + 60, 7 + 9}, got); diff != "" {
 		t.Errorf("tokens counted by the owner, after a crash, after a handover, after the last turn (-want +got):\n%s", diff)
 	}
