--- a/gate/work/call.go
+++ b/gate/work/call.go
@@ -56,11 +56,11 @@
 	Workspace string `json:",omitempty"`
 	// Deadline is the earlier of the caller's deadline and the end of the route's timeout.
 	Deadline time.Time `json:"-"`
-	// Arrived is the time at which the box had read the call.
+	// Arrived is the time at which the box that received the call from the caller had read it.
 	Arrived time.Time `json:"-"`
 	// Regions lists the regions in which the call may be served and stored; an empty list allows all.
 	Regions []string `json:",omitempty"`
-	// Priority is the route's priority, passed to replicas that order calls by it.
+	// Priority is the call's priority at replicas that order calls by it; 0 is the most urgent.
 	Priority int
 	// Prompt describes the prompt of a model call; nil for other calls.
 	Prompt *Prompt
--- a/gate/work/config.go
+++ b/gate/work/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind is how often a route's calls may run and how they are answered.
+// Kind specifies how often a route's calls may run and how they are answered.
 type Kind string
 
 // The kinds of routes.
@@ -37,7 +37,7 @@
 	Timeout time.Duration
 	// Objective is the target time to the first byte of an answer.
 	Objective time.Duration
-	// Priority is 0 for the most urgent calls.
+	// Priority ranks the calls of the route; 0 is the most urgent.
 	Priority int
 	// Splits holds at least one service.
 	Splits []Split
@@ -45,7 +45,7 @@
 	Public bool
 	// Regions lists the regions in which calls may be served and stored; an empty list allows all.
 	Regions []string
-	// Attempts is the maximum number of replicas that one call may be sent to; at least 1.
+	// Attempts is the maximum number of replicas that may run one call; at least 1.
 	Attempts int
 	// Stateful reports whether the system stores the turns of programs on this route.
 	Stateful bool
@@ -66,8 +66,8 @@
 	Name string
 	// Connections bounds the connections to one replica from all boxes together.
 	Connections int
-	// WarmupTime is the warm-up time of a replica after its start, and WarmupRate the calls a second that
-	// all boxes together may send to it during that time; 0 means no limit.
+	// WarmupTime is the warm-up time of a replica after its start, and WarmupRate the number of calls per
+	// second that all boxes together may send to it during that time; 0 means no limit.
 	WarmupTime time.Duration
 	WarmupRate float64
 	// Engine is nil for a plain service.
--- a/gate/work/log.go
+++ b/gate/work/log.go
@@ -41,9 +41,9 @@
 	Newest(ctx context.Context, shard Shard, after string) (Batch, error)
 }
 
-// AllNewest calls each with the newest record of every key and returns an offset from which Read
-// returns all records added meanwhile. Each call to the log may take wait; the total is not bounded,
-// since it depends on the size of the shard.
+// AllNewest calls each with the newest record of every key and returns an offset from which Read returns all
+// records added since AllNewest was called. wait is the timeout of each call to the log; the total time is
+// not bounded, since it depends on the size of the shard.
 func AllNewest(ctx context.Context, log NewestReader, shard Shard, wait time.Duration, each func(Record)) (next int64, err error) {
 	next, after := int64(-1), ""
 	for {
--- a/gate/work/record.go
+++ b/gate/work/record.go
@@ -51,7 +51,7 @@
 // Snapshot is a snapshot of a topic: the newest record of each key that a box has.
 type Snapshot struct {
 	Records []Record
-	// Next is an offset from which Read returns all records added meanwhile.
+	// Next is an offset from which Read returns all records added since the snapshot was taken.
 	Next int64
 	// Age is the staleness of the records at the time of the request.
 	Age time.Duration
@@ -71,7 +71,7 @@
 	Zone string `json:"zone"`
 	// Peer is the address for calls from other boxes.
 	Peer netip.AddrPort `json:"peer"`
-	// Incarnation is different after every start.
+	// Incarnation differs after every start of the box.
 	Incarnation string `json:"incarnation"`
 	// Cores is the processor time that the box may use, in cores, and Link the bandwidth of its network
 	// link, in Mbit/s; 0 if not known.
@@ -88,7 +88,7 @@
 	return strconv.FormatFloat(n, 'g', -1, 64)
 }
 
-// ParseMember decodes the form that Member writes.
+// ParseMember decodes a name that Member has encoded.
 func ParseMember(text string) (Box, error) {
 	fields := strings.Split(text, "|")
 	if len(fields) != 6 {
--- a/gate/work/space.go
+++ b/gate/work/space.go
@@ -9,11 +9,11 @@
 	KeyDigests []string
 	// Regions lists the regions in which its calls may be served and stored; an empty list allows all.
 	Regions []string
-	// Priority ranks its calls before those of other workspaces, 0 first; within a workspace the
-	// route's priority decides.
+	// Priority is added, with a weight, to the route's priority to order the workspace's calls at replicas; 0
+	// is the most urgent.
 	Priority int
-	// Rate is the calls a second that its callers may make at all boxes together, and Burst how many
-	// more they may make at once. A Rate of zero means no limit.
+	// Rate is the number of calls per second that its callers may make at all boxes together, and Burst the
+	// number of calls that they may make at once beyond that. A Rate of zero means no limit.
 	Rate, Burst float64
 }
 
