--- a/gate/entry/find.go
+++ b/gate/entry/find.go
@@ -17,8 +17,8 @@
 }
 
 // findPrevious asks the owners of all slots for the turn that the call continues, which may belong to another
-// program. home is the slot of the call's program. It returns a NoTurn fault only if the owners of all slots
-// have confirmed that they do not keep the turn.
+// program; home is the slot of the call's program. findPrevious returns a NoTurn fault only if the owners of
+// all slots have confirmed that they do not keep the turn.
 func (e *Entry) findPrevious(ctx context.Context, call *work.Call, home int) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, findTimeout)
 	defer stop()
