--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -157,15 +157,15 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Now()
 	clients := 1 + int(space.Rate/10)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(rng.ExpFloat64() / (calls(time.Since(start)) / 14) * float64(time.Second)))
 		box := int(ident.Weight(space.Name, fmt.Sprint(rng.IntN(clients))) % uint64(len(f.boxes)))
 		n := programCalls(rng)
-		other := rng.Uint64()
-		all.Go(func() { runProgram(n, box, len(f.boxes), rand.New(rand.NewPCG(other, 1)), into, take) })
+		programSeed := rng.Uint64()
+		wg.Go(func() { runProgram(n, box, len(f.boxes), rand.New(rand.NewPCG(programSeed, 1)), into, take) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // runProgram makes the calls of a program one after another, some through another box. A refused call is
@@ -175,11 +175,11 @@
 		if i > 0 {
 			time.Sleep(time.Duration((0.5 + rng.Float64()) * 200 * float64(time.Millisecond)))
 		}
-		at := box
+		entryBox := box
 		if rng.IntN(4) == 0 {
-			at = rng.IntN(boxes)
+			entryBox = rng.IntN(boxes)
 		}
-		if into.call(at, i == 0, take) {
+		if into.call(entryBox, i == 0, take) {
 			continue
 		}
 		into.mu.Lock()
@@ -265,7 +265,7 @@
 		var mu sync.Mutex
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i, space := range spaces {
 			tallies[i] = &tally{}
 			take := func(box int, begins bool) error {
@@ -287,17 +287,17 @@
 			}
 			calls := func(at time.Duration) float64 {
 				load := usualLoad * space.Rate
-				if x := overload[space.Name]; x > 0 && at > 5*time.Second && at < 13*time.Second {
-					load *= x
+				if factor := overload[space.Name]; factor > 0 && at > 5*time.Second && at < 13*time.Second {
+					load *= factor
 				}
 				return load
 			}
-			all.Go(func() { f.generateLoad(ctx, space, calls, seed+uint64(i), tallies[i], take) })
+			wg.Go(func() { f.generateLoad(ctx, space, calls, seed+uint64(i), tallies[i], take) })
 		}
 		if disrupt != nil {
-			all.Go(func() { disrupt(f) })
+			wg.Go(func() { disrupt(f) })
 		}
-		all.Wait()
+		wg.Wait()
 	})
 	for i, space := range spaces {
 		sum := &small
