--- a/gate/shard/fakes_test.go
+++ b/gate/shard/fakes_test.go
@@ -26,10 +26,13 @@
 	modeLateAppends
 )
 
+// fakeShard is one shard of a memLog.
 type fakeShard struct {
-	recs              []work.Record
+	recs []work.Record
+	// fence is the newest epoch and lastNumber the number of its newest append.
 	fence, lastNumber int64
-	first             int64
+	// first is the oldest offset that is still stored.
+	first int64
 }
 
 // newestDelay is the time that Newest takes after its snapshot, while other calls may append.
--- a/gate/shard/shard.go
+++ b/gate/shard/shard.go
@@ -193,6 +193,7 @@
 	return slot, nil
 }
 
+// lookup returns the slot if this box holds it, and the channel of a claim in progress; nil otherwise.
 func (m *Manager) lookup(number int) (*Slot, chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
