--- a/gate/work/call.go
+++ b/gate/work/call.go
@@ -10,7 +10,7 @@
 
 // Replica is a running instance of a service.
 type Replica struct {
-	// ID may have been used by an earlier instance; see StartedAt.
+	// ID identifies the replica. An earlier instance may have had the same ID; see StartedAt.
 	ID      string
 	Service string
 	Addr    netip.AddrPort
