--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -31,47 +31,47 @@
 
 	mu sync.Mutex
 	// dead boxes do not answer, and removed ones are not in the boxes' views; the entry "far" removes all
-	// boxes on the other side of a partition. Boxes with different values of side do not reach each other.
+	// boxes on the other side of a partition. side is the side of a partition that a box is on.
 	dead, removed map[string]bool
 	side          map[string]int
 }
 
 const askDelay = time.Millisecond
 
-// boxView is a box of the fleet, as Peers, CounterLocator and Counts of that box.
+// boxView implements Peers, CounterLocator and Counts for one box of the fleet.
 type boxView struct {
 	*fleet
 	self work.Box
 }
 
 // Quota implements Peers.
-func (f boxView) Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error) {
-	f.mu.Lock()
-	cut := f.dead[box.Name] || f.side[box.Name] != f.side[f.self.Name]
-	f.mu.Unlock()
+func (v boxView) Quota(ctx context.Context, box work.Box, ask GrantRequest) (GrantReply, error) {
+	v.mu.Lock()
+	cut := v.dead[box.Name] || v.side[box.Name] != v.side[v.self.Name]
+	v.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 		return GrantReply{}, fault.Fail(fault.PeerUnreachable, "silent")
 	}
 	time.Sleep(askDelay)
-	for i, other := range f.boxes {
+	for i, other := range v.boxes {
 		if other.Name == box.Name {
-			return f.counters[i].Grant(time.Now(), ask), nil
+			return v.counters[i].Grant(time.Now(), ask), nil
 		}
 	}
 	return GrantReply{}, nil
 }
 
-func (f boxView) Count(string, int64) {}
+func (v boxView) Count(string, int64) {}
 
-// Counter implements CounterLocator by the view of the box.
-func (f boxView) Counter(workspace, zone string) (work.Box, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// Counter returns the box that this box considers the counter.
+func (v boxView) Counter(workspace, zone string) (work.Box, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	var candidates []work.Box
-	for _, box := range f.boxes {
-		seen := f.side[box.Name] == f.side[f.self.Name] || !f.removed["far"]
-		if box.Zone == zone && !f.removed[box.Name] && seen {
+	for _, box := range v.boxes {
+		seen := v.side[box.Name] == v.side[v.self.Name] || !v.removed["far"]
+		if box.Zone == zone && !v.removed[box.Name] && seen {
 			candidates = append(candidates, box)
 		}
 	}
@@ -81,7 +81,7 @@
 	return candidates[ident.RendezvousTop(workspace, len(candidates), func(i int) string { return candidates[i].Name }, 1)[0]], true
 }
 
-// newFleet returns a fleet of n boxes in turn in all zones.
+// newFleet returns a fleet of n boxes, spread evenly over the zones.
 func newFleet(n int, spaces []work.Workspace, oneCounter bool) *fleet {
 	f := &fleet{spaces: map[string]work.Workspace{}, oneCounter: oneCounter, dead: map[string]bool{}, removed: map[string]bool{}, side: map[string]int{}}
 	for i := range n {
@@ -92,9 +92,9 @@
 		counterZones = zones[:1]
 	}
 	for i, box := range f.boxes {
-		at := boxView{f, box}
-		f.counters = append(f.counters, NewCounter(box, counterZones, bounds, at))
-		f.quotas = append(f.quotas, New(box, counterZones, bounds, at, f.counters[i], at, at))
+		view := boxView{f, box}
+		f.counters = append(f.counters, NewCounter(box, counterZones, bounds, view))
+		f.quotas = append(f.quotas, New(box, counterZones, bounds, view, f.counters[i], view, view))
 	}
 	for _, space := range spaces {
 		f.spaces[space.Name] = space
@@ -151,21 +151,21 @@
 	return max(1, int(14*math.Exp(0.5*rng.NormFloat64()-0.125)))
 }
 
-// generateLoad begins programs of a workspace's clients at random times, until ctx ends. calls returns the
+// generateLoad begins programs of a workspace's clients at random times until ctx ends. calls returns the
 // mean number of calls per second at a time since the start.
 func (f *fleet) generateLoad(ctx context.Context, space work.Workspace, calls func(at time.Duration) float64, seed uint64, into *tally, take func(box int, begins bool) error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Now()
 	clients := 1 + int(space.Rate/10)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(rng.ExpFloat64() / (calls(time.Since(start)) / 14) * float64(time.Second)))
 		box := int(ident.Weight(space.Name, fmt.Sprint(rng.IntN(clients))) % uint64(len(f.boxes)))
 		n := programCalls(rng)
-		other := rng.Uint64()
-		all.Go(func() { runProgram(n, box, len(f.boxes), rand.New(rand.NewPCG(other, 1)), into, take) })
+		programSeed := rng.Uint64()
+		wg.Go(func() { runProgram(n, box, len(f.boxes), rand.New(rand.NewPCG(programSeed, 1)), into, take) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // runProgram makes the calls of a program one after another, some through another box. A refused call is
@@ -175,11 +175,11 @@
 		if i > 0 {
 			time.Sleep(time.Duration((0.5 + rng.Float64()) * 200 * float64(time.Millisecond)))
 		}
-		at := box
+		entryBox := box
 		if rng.IntN(4) == 0 {
-			at = rng.IntN(boxes)
+			entryBox = rng.IntN(boxes)
 		}
-		if into.call(at, i == 0, take) {
+		if into.call(entryBox, i == 0, take) {
 			continue
 		}
 		into.mu.Lock()
@@ -228,7 +228,7 @@
 	return spaces
 }
 
-// usualLoad is the part of its quota that a workspace calls without overload.
+// usualLoad is the part of its quota that a workspace uses without overload.
 const usualLoad = 0.62
 
 // result sums up the tallies of the workspaces of one size.
@@ -239,7 +239,7 @@
 	mean, longest time.Duration
 }
 
-// endedShare returns the part of all programs that ended.
+// endedShare returns the fraction of all programs that ended.
 func (r result) endedShare() float64 {
 	return float64(r.ended) / float64(max(1, r.ended+r.interrupted+r.rejected))
 }
@@ -265,7 +265,7 @@
 		var mu sync.Mutex
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i, space := range spaces {
 			tallies[i] = &tally{}
 			take := func(box int, begins bool) error {
@@ -287,30 +287,30 @@
 			}
 			calls := func(at time.Duration) float64 {
 				load := usualLoad * space.Rate
-				if x := overload[space.Name]; x > 0 && at > 5*time.Second && at < 13*time.Second {
-					load *= x
+				if factor := overload[space.Name]; factor > 0 && at > 5*time.Second && at < 13*time.Second {
+					load *= factor
 				}
 				return load
 			}
-			all.Go(func() { f.generateLoad(ctx, space, calls, seed+uint64(i), tallies[i], take) })
+			wg.Go(func() { f.generateLoad(ctx, space, calls, seed+uint64(i), tallies[i], take) })
 		}
 		if disrupt != nil {
-			all.Go(func() { disrupt(f) })
+			wg.Go(func() { disrupt(f) })
 		}
-		all.Wait()
+		wg.Wait()
 	})
 	for i, space := range spaces {
-		of := &small
+		sum := &small
 		if space.Rate > 20 {
-			of = &large
+			sum = &large
 		}
-		of.ended += tallies[i].ended
-		of.interrupted += tallies[i].interrupted
-		of.rejected += tallies[i].rejected
-		of.calls += len(tallies[i].ran)
-		of.peak = max(of.peak, float64(tallies[i].maxInWindow())/float64(allowed(space)))
-		of.longest = max(of.longest, tallies[i].longest)
-		of.mean += tallies[i].waits / time.Duration(len(spaces)*max(1, len(tallies[i].ran)))
+		sum.ended += tallies[i].ended
+		sum.interrupted += tallies[i].interrupted
+		sum.rejected += tallies[i].rejected
+		sum.calls += len(tallies[i].ran)
+		sum.peak = max(sum.peak, float64(tallies[i].maxInWindow())/float64(allowed(space)))
+		sum.longest = max(sum.longest, tallies[i].longest)
+		sum.mean += tallies[i].waits / time.Duration(len(spaces)*max(1, len(tallies[i].ran)))
 	}
 	return large, small
 }
@@ -356,7 +356,7 @@
 		name     string
 		overload map[string]float64
 		disrupt  func(f *fleet)
-		// minEnded is the least part of the small workspaces' programs that must end.
+		// minEnded is the smallest fraction of the small workspaces' programs that must end.
 		minEnded float64
 	}{
 		{"usual", nil, nil, 0.92},
@@ -389,9 +389,9 @@
 }
 
 // setRemoved removes a box from the views, or adds it again, and updates the counters.
-func (f *fleet) setRemoved(what string, removed bool) {
+func (f *fleet) setRemoved(name string, removed bool) {
 	f.mu.Lock()
-	f.removed[what] = removed
+	f.removed[name] = removed
 	f.mu.Unlock()
 	f.update()
 }
