--- a/gate/view/owners.go
+++ b/gate/view/owners.go
@@ -11,7 +11,8 @@
 	live []work.Box
 	// owners holds the first cachedOwners boxes of each slot's rendezvous ranking, best first, by slot name.
 	owners map[string][]work.Box
-	// counters holds the box that counts a workspace's quota in a zone. Its name is empty if the zone has no box.
+	// counters holds the box that counts a workspace's quota in a zone. Its name is empty if the zone has no
+	// box.
 	counters map[workspaceZone]work.Box
 }
 
--- a/gate/view/reached.go
+++ b/gate/view/reached.go
@@ -22,8 +22,8 @@
 	v.failures[box.Name] = streak
 }
 
-// RecentlyUnreachable reports whether a call failed to reach the box within unreachableBackoff. Callers then skip
-// the box in place of waiting for another failure.
+// RecentlyUnreachable reports whether a call failed to reach the box within unreachableBackoff. Callers then
+// skip the box instead of waiting for another failure.
 func (v *View) RecentlyUnreachable(box work.Box) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/gate/view/timing.go
+++ b/gate/view/timing.go
@@ -6,8 +6,8 @@
 type Timing struct {
 	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
-	// MemberTTL is how long a membership lasts after a heartbeat; it spans several heartbeats. A multiple of the
-	// log's last latency is added to it, up to MaxMemberTTL.
+	// MemberTTL is how long a membership lasts after a heartbeat; it spans several heartbeats. A multiple of
+	// the log's last latency is added to it, up to MaxMemberTTL.
 	MemberTTL, MaxMemberTTL time.Duration
 	// OutageGrace is how long boxes that the log no longer lists stay in the view after an outage of the log:
 	// their memberships may have expired only because they couldn't renew them.
@@ -15,8 +15,8 @@
 	// SettlePeriod is how long the log must have answered without a gap before the view counts as complete.
 	// It exceeds CallTimeout, because after an outage other boxes may still wait for a call to time out.
 	SettlePeriod time.Duration
-	// StartSettlePeriod replaces SettlePeriod for a box that reached the log as soon as it started. It spans two heartbeats,
-	// in which boxes that start together have all joined.
+	// StartSettlePeriod replaces SettlePeriod for a box that reached the log as soon as it started. It spans
+	// two heartbeats, in which boxes that start together have all joined.
 	StartSettlePeriod time.Duration
 	// DepartedTTL is how long a box that left can still be asked for its slots.
 	DepartedTTL time.Duration
@@ -26,7 +26,8 @@
 	CallTimeout time.Duration
 }
 
-// DefaultTiming returns the default timing. With it a dead box leaves the view about one heartbeat after MemberTTL.
+// DefaultTiming returns the default timing. With it a dead box leaves the view about one heartbeat after
+// MemberTTL.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: 300 * time.Millisecond, MemberTTL: 1100 * time.Millisecond, MaxMemberTTL: 4 * time.Second, OutageGrace: 2 * time.Second,
@@ -37,10 +38,10 @@
 const (
 	// ttlLatencies is how many times the log's last latency is added to MemberTTL.
 	ttlLatencies = 4
-	// rereadsAfterChange is how many times the members are read again after a change of the fleet, once
-	// every rereadBeats heartbeats.
-	rereadsAfterChange = 3
-	rereadBeats        = 1
+	// rereadsAfterChange is how many times the members are read again after a change of the fleet, once every
+	// heartbeatsPerReread heartbeats.
+	rereadsAfterChange  = 3
+	heartbeatsPerReread = 1
 	// unreachableBackoff is how long a box that could not be reached is not called again.
 	unreachableBackoff = 300 * time.Millisecond
 	// failureWindow is the time without a failed call after which the failures of a box are forgotten.
--- a/gate/view/view.go
+++ b/gate/view/view.go
@@ -41,7 +41,7 @@
 	done   sync.WaitGroup
 
 	// joinSem is a semaphore of one, held during a heartbeat, so that none reaches the log after this box
-	// has left; cancelJoin cancels the heartbeat under way.
+	// has left; cancelJoin cancels the heartbeat in flight.
 	joinSem chan struct{}
 
 	mu         sync.Mutex
@@ -71,10 +71,10 @@
 	answeringSince time.Time
 	// settled reports whether that period is long enough and the members have been read.
 	settled bool
-	// trusted is set once the view has settled for the first time.
-	trusted bool
-	// heartbeatSentAt is when the newest heartbeat that the log confirmed was sent; heartbeatConfirmedAt is when
-	// the confirmation arrived.
+	// hasSettled is set once the view has settled for the first time.
+	hasSettled bool
+	// heartbeatSentAt is when the newest heartbeat that the log confirmed was sent; heartbeatConfirmedAt is
+	// when the confirmation arrived.
 	heartbeatSentAt, heartbeatConfirmedAt time.Time
 	// live is sorted by name and includes this box unless it is leaving. It is never modified in place.
 	live []work.Box
@@ -102,7 +102,7 @@
 	v.onChange = append(v.onChange, callback)
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (v *View) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (v *View) Stop(context.Context) error {
 	v.cancel()
 	v.done.Wait()
@@ -130,7 +130,7 @@
 func (v *View) HasSettled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.trusted
+	return v.hasSettled
 }
 
 // Fresh reports whether this box's last confirmed heartbeat is so recent that its membership can't have
@@ -352,7 +352,7 @@
 		v.rereadsLeft = rereadsAfterChange + 1
 	}
 	v.rereadsLeft--
-	v.rereadAt = now.Add(rereadBeats*v.timing.HeartbeatInterval - v.timing.HeartbeatInterval/2)
+	v.rereadAt = now.Add(heartbeatsPerReread*v.timing.HeartbeatInterval - v.timing.HeartbeatInterval/2)
 	if v.rereadsLeft <= 0 {
 		v.rereadAt = now.Add(v.timing.RereadInterval)
 	}
@@ -396,7 +396,7 @@
 		v.live = live // an unchanged list keeps its slice, which keeps the cached owners valid
 	}
 	v.settled, v.liveChanged = settled, false
-	v.trusted = v.trusted || settled
+	v.hasSettled = v.hasSettled || settled
 	v.mu.Unlock()
 	if unchanged {
 		return
--- a/gate/view/view_test.go
+++ b/gate/view/view_test.go
@@ -44,7 +44,7 @@
 	box  string
 }
 
-// call takes the latency of a call and fails if the box is cut off.
+// call waits for the latency of a call and fails if the box is cut off.
 func (l boxLog) call() error {
 	l.fake.mu.Lock()
 	latency := l.fake.latency
@@ -136,7 +136,7 @@
 	log.cutOff[box] = cutOff
 }
 
-// cutOffAfterJoin cuts the box off from the log between its first heartbeat and the list of members.
+// cutOffAfterJoin sets whether the box is cut off from the log when it reads the members after a heartbeat.
 func (log *fakeLog) cutOffAfterJoin(box string, cutOff bool) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -173,7 +173,8 @@
 	return list
 }
 
-// TestBoxesFindEachOther checks that the views of boxes that start together settle on the same boxes and owners.
+// TestBoxesFindEachOther checks that the views of boxes that start together settle on the same boxes and
+// owners.
 func TestBoxesFindEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -381,7 +382,7 @@
 			}
 		}
 		if !views["a"].RecentlyUnreachable(work.Box{Name: "b"}) {
-			t.Error("JustUnreached = false right after a failed call")
+			t.Error("RecentlyUnreachable = false right after a failed call")
 		}
 	})
 }
@@ -442,8 +443,8 @@
 	})
 }
 
-// TestLeaveDuringHeartbeat guards against a heartbeat that is under way adding a box again after it has left:
-// others would take it for the owner of slots that it never claims.
+// TestLeaveDuringHeartbeat guards against a heartbeat in flight that adds a box again after it has left: other
+// boxes would take it for the owner of slots that it never claims.
 func TestLeaveDuringHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
