--- a/gate/mirror/copy.go
+++ b/gate/mirror/copy.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// historyLength is how many of the log's newest answers that brought records a source keeps.
+	// historyLength is how many of the log's newest answers with records a source keeps.
 	historyLength = 64
-	// stableAfter is how long the size of a group must be unchanged before parts that have become too small are
-	// drawn anew, so that boxes don't read their parts again when replicas lapse and soon return. Parts that are
-	// too large are drawn anew at once; otherwise a growing list would be sent whole to every box.
+	// stableAfter is how long the size of a group must be unchanged before parts that have become too small
+	// are drawn anew, so that boxes don't read their parts again when replicas disappear from the list and
+	// soon return. Parts that are too large are drawn anew at once; otherwise a growing list would be sent
+	// whole to every box.
 	stableAfter = 1500 * time.Millisecond
-	// maxCopyAge is the age above which a copy is not served. It covers a read that waits for records in vain, a
-	// pause and a slow answer.
+	// maxCopyAge is the age above which a copy is not served. It allows for a read that waits
+	// without getting records, the pause after it and a slow answer.
 	maxCopyAge = 2500 * time.Millisecond
 )
 
@@ -54,9 +55,9 @@
 	changed chan struct{}
 }
 
-func newCopy(groupOf func(work.Record) string, whole work.Snapshot, asked time.Time) *topicCopy {
+func newCopy(groupOf func(work.Record) string, whole work.Snapshot, sentAt time.Time) *topicCopy {
 	c := &topicCopy{
-		groupOf: groupOf, newest: map[string]groupedRecord{}, groupSizes: map[string]int{}, sizeChangedAt: map[string]time.Time{}, first: whole.Next, next: whole.Next, verifiedAt: asked,
+		groupOf: groupOf, newest: map[string]groupedRecord{}, groupSizes: map[string]int{}, sizeChangedAt: map[string]time.Time{}, first: whole.Next, next: whole.Next, verifiedAt: sentAt,
 		changed: make(chan struct{}),
 	}
 	for _, rec := range whole.Records {
@@ -65,7 +66,8 @@
 	return c
 }
 
-// put stores a record and returns it with its group. A record that drops its key gets the key's former group.
+// put stores a record and returns it with its group. A record without a value deletes its key and gets the
+// key's former group.
 func (c *topicCopy) put(rec work.Record) groupedRecord {
 	previous := c.newest[rec.Key]
 	if len(rec.Value) == 0 {
@@ -103,8 +105,9 @@
 	return c.next == offset
 }
 
-// Add appends an answer of the log, which must continue where the copy ends, to a request that was sent at asked.
-func (c *topicCopy) Add(page work.Page, asked time.Time) {
+// Add appends an answer of the log, which must continue where the copy ends. sentAt is when the request was
+// sent.
+func (c *topicCopy) Add(page work.Page, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(page.Records) > 0 {
@@ -119,12 +122,12 @@
 		c.history = slices.Delete(c.history, 0, 1)
 	}
 	c.next = page.Next
-	c.verifiedAt = asked
+	c.verifiedAt = sentAt
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// levels returns the levels at which parts are drawn now for a zone with this many boxes.
+// levels returns the levels (see subset.Level) at which parts are drawn now for a zone with this many boxes.
 func (c *topicCopy) levels(boxes int) subset.Levels {
 	levels := subset.Levels{}
 	for group, n := range c.groupSizes {
@@ -185,9 +188,9 @@
 	return whole, levels, nil
 }
 
-// Since returns the records of the box's part from the offset on, and a channel that is closed when the copy next
-// changes. If the offset lies within one of the log's answers, that answer is included whole; the box may get
-// some records again, but in order.
+// Since returns the records of the box's part from the offset on, and a channel that is closed when the copy
+// next changes. If the offset lies within one of the log's answers, that answer is included whole; the box
+// may get some records again, but in order.
 func (c *topicCopy) Since(from int64, box string, boxes int, levels subset.Levels) (work.Page, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gate/mirror/hosts.go
+++ b/gate/mirror/hosts.go
@@ -10,8 +10,8 @@
 	"mulleingate.dev/gate/work"
 )
 
-// sourceDirectory keeps the sources of this box's zone that are announced in the log, so that a starting box finds
-// them without the list of members. Each availability zone has its own shard, with a record per source.
+// sourceDirectory keeps the sources of this box's zone that are announced in the log, so that a starting box
+// finds them without the list of members. Each availability zone has its own shard, with a record per source.
 type sourceDirectory struct {
 	self   work.Box
 	shard  work.Shard
@@ -19,7 +19,7 @@
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// known are the sources that the last ReadAnnounced found.
+	// known holds the sources that the last ReadAnnounced found.
 	known []work.Box
 	// announced reports whether this box is announced in the log. It stays a source until servesUntil, whatever
 	// its rank.
@@ -33,73 +33,73 @@
 }
 
 // Known returns the sources that the last ReadAnnounced found.
-func (h *sourceDirectory) Known() []work.Box {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.known
+func (d *sourceDirectory) Known() []work.Box {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.known
 }
 
 // Serving reports whether this box is a source whatever its rank.
-func (h *sourceDirectory) Serving() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return time.Now().Before(h.servesUntil)
+func (d *sourceDirectory) Serving() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return time.Now().Before(d.servesUntil)
 }
 
 // ReadAnnounced reads the announced sources from the log; none if the log can't be read.
-func (h *sourceDirectory) ReadAnnounced(ctx context.Context) []work.Box {
+func (d *sourceDirectory) ReadAnnounced(ctx context.Context) []work.Box {
 	var known []work.Box
-	_, err := work.AllNewest(ctx, h.log, h.shard, logCallTimeout, func(rec work.Record) {
-		if box, err := work.ParseMember(string(rec.Value)); err == nil && box.Zone == h.self.Zone {
+	_, err := work.AllNewest(ctx, d.log, d.shard, logCallTimeout, func(rec work.Record) {
+		if box, err := work.ParseMember(string(rec.Value)); err == nil && box.Zone == d.self.Zone {
 			known = append(known, box)
 		}
 	})
 	if err != nil {
-		h.logger.Debug("mirror: announced sources not read", "cause", err)
+		d.logger.Debug("mirror: announced sources not read", "cause", err)
 		return nil
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.known = known
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.known = known
 	return known
 }
 
-// Announce adds this box to the announced sources. It is a source for the time serves, whatever its rank.
-func (h *sourceDirectory) Announce(ctx context.Context, serves time.Duration) {
-	if err := h.append(ctx, []work.Record{{Key: h.self.Name, Value: []byte(h.self.Member())}}); err != nil {
-		h.logger.Info("mirror: could not announce this box as a source", "cause", err)
+// Announce adds this box to the announced sources. It then stays a source for period, whatever its rank.
+func (d *sourceDirectory) Announce(ctx context.Context, period time.Duration) {
+	if err := d.append(ctx, []work.Record{{Key: d.self.Name, Value: []byte(d.self.Member())}}); err != nil {
+		d.logger.Info("mirror: could not announce this box as a source", "cause", err)
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.announced = true
-	h.servesUntil = time.Now().Add(serves)
-	h.logger.Info("mirror: announced this box as a source", "serves", serves)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.announced = true
+	d.servesUntil = time.Now().Add(period)
+	d.logger.Info("mirror: announced this box as a source", "serves", period)
 }
 
-func (h *sourceDirectory) append(ctx context.Context, recs []work.Record) error {
-	return h.log.Append(ctx, h.shard, work.Writer{}, recs)
+func (d *sourceDirectory) append(ctx context.Context, recs []work.Record) error {
+	return d.log.Append(ctx, d.shard, work.Writer{}, recs)
 }
 
-// UpdateAnnouncement announces this box if it ranks as a source and withdraws it if it no longer does. A box that becomes a
-// source also withdraws the sources that are dead.
-func (h *sourceDirectory) UpdateAnnouncement(ctx context.Context, isRanked bool, live []work.Box) {
-	h.mu.Lock()
-	wasAnnounced, serves := h.announced, time.Now().Before(h.servesUntil)
-	h.mu.Unlock()
+// UpdateAnnouncement announces this box if it ranks as a source and withdraws it if it no longer does. A box
+// that becomes a source also withdraws the sources that are dead.
+func (d *sourceDirectory) UpdateAnnouncement(ctx context.Context, isRanked bool, live []work.Box) {
+	d.mu.Lock()
+	wasAnnounced, serves := d.announced, time.Now().Before(d.servesUntil)
+	d.mu.Unlock()
 	switch {
 	case isRanked && !wasAnnounced:
-		h.Announce(ctx, 0)
-		h.withdraw(ctx, h.deadSources(ctx, live))
+		d.Announce(ctx, 0)
+		d.withdraw(ctx, d.deadSources(ctx, live))
 	case wasAnnounced && !isRanked && !serves:
-		h.withdraw(ctx, []string{h.self.Name})
+		d.withdraw(ctx, []string{d.self.Name})
 	}
 }
 
 // deadSources returns the names of the announced sources that are not live.
-func (h *sourceDirectory) deadSources(ctx context.Context, live []work.Box) []string {
+func (d *sourceDirectory) deadSources(ctx context.Context, live []work.Box) []string {
 	var dead []string
-	for _, box := range h.ReadAnnounced(ctx) {
+	for _, box := range d.ReadAnnounced(ctx) {
 		if !contains(live, box.Name) {
 			dead = append(dead, box.Name)
 		}
@@ -108,7 +108,7 @@
 }
 
 // withdraw removes the announcements of the boxes from the log.
-func (h *sourceDirectory) withdraw(ctx context.Context, names []string) {
+func (d *sourceDirectory) withdraw(ctx context.Context, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -116,11 +116,11 @@
 	for _, name := range names {
 		recs = append(recs, work.Record{Key: name})
 	}
-	if err := h.append(ctx, recs); err != nil {
-		h.logger.Info("mirror: could not withdraw announced sources", "cause", err)
+	if err := d.append(ctx, recs); err != nil {
+		d.logger.Info("mirror: could not withdraw announced sources", "cause", err)
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.announced = h.announced && !slices.Contains(names, h.self.Name)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.announced = d.announced && !slices.Contains(names, d.self.Name)
 }
--- a/gate/mirror/members.go
+++ b/gate/mirror/members.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// membersMinWait is how long a box at least waits for its sources to return the members before it reads
-	// them from the log. From then on it does so with a chance of one in membersLogOdds at each attempt, and after
-	// membersMaxWait at every attempt, so that not all boxes read from the log at once.
+	// membersMinWait is the least time that a box waits for its sources to return the members before it reads
+	// them from the log. From then on it does so with a chance of one in membersLogOdds at each attempt, and
+	// after membersMaxWait at every attempt, so that not all boxes read from the log at once.
 	membersMinWait = 800 * time.Millisecond
 	membersMaxWait = 2500 * time.Millisecond
 	membersLogOdds = 3
-	// attemptsBeforeLog is the attempt from which on a starting box reads the members from the log although other
-	// boxes are announced as sources.
+	// attemptsBeforeLog is the first attempt at which a starting box reads the members from the log although
+	// other boxes are announced as sources.
 	attemptsBeforeLog = 4
-	// maxAnnouncedAsked limits how many announced sources are asked per attempt; some may be dead and not answer.
+	// maxAnnouncedAsked limits how many announced sources are asked per attempt; some may be dead and not
+	// answer.
 	maxAnnouncedAsked = 2
-	// A starting box that finds no source waits for others to announce themselves: a fast box for fastDelay plus
-	// up to fastJitter at random, a slow one for slowDelay plus up to slowJitter. Fast boxes thus announce
-	// themselves first, and all are done before a view may settle.
+	// A starting box that finds no source waits for others to announce themselves: a fast box for fastDelay
+	// plus up to fastJitter at random, a slow one for slowDelay plus up to slowJitter. Fast boxes thus
+	// announce themselves first, and all are done before a view may settle.
 	fastDelay, fastJitter = 150 * time.Millisecond, 250 * time.Millisecond
 	slowDelay, slowJitter = 450 * time.Millisecond, 100 * time.Millisecond
 )
@@ -37,18 +38,18 @@
 	if !m.hasMembers() {
 		return m.firstMembers(ctx, generation)
 	}
-	others := m.sourcesToAsk()
-	members, ok := m.askMembers(ctx, others, generation)
+	sources := m.sourcesToAsk()
+	members, ok := m.askMembers(ctx, sources, generation)
 	if ok {
 		return members, nil
 	}
-	if len(others) > 0 && !m.mayReadMembers() {
+	if len(sources) > 0 && !m.mayReadMembers() {
 		return nil, fault.Refuse(fault.OwnerUnavailable, "no source of the zone returned the members")
 	}
 	return m.log.Members(ctx)
 }
 
-// mayReadMembers decides whether a box whose sources do not return the members reads them from the log.
+// mayReadMembers reports whether this box, whose sources do not return the members, may read them from the log.
 func (m *Mirror) mayReadMembers() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,15 +60,15 @@
 	return waited >= membersMaxWait || (waited >= membersMinWait && rand.IntN(membersLogOdds) == 0)
 }
 
-// recordMembers passes on the members and records that they were read; after an error it returns only that.
+// recordMembers records that the members were read and returns them, or returns only the error if there is one.
 func (m *Mirror) recordMembers(members []string, err error) ([]string, error) {
 	if err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.found {
-		m.found = true
+	if !m.membersRead {
+		m.membersRead = true
 		close(m.membersReady)
 	}
 	return members, nil
@@ -77,13 +78,13 @@
 func (m *Mirror) hasMembers() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.found
+	return m.membersRead
 }
 
-// firstMembers returns the members to a box that has just started, from the announced sources. If there are none
+// firstMembers returns the members after this box has started, from the announced sources. If there are none
 // yet, it waits a little and asks again, then reads the members from the log. If the zone is large enough for
-// sources, the box then announces itself, but a slow box only after several attempts. Others thus need not read
-// the log.
+// sources, the box then announces itself, but a slow box only after several attempts. Other boxes then need
+// not read the log.
 func (m *Mirror) firstMembers(ctx context.Context, generation int64) ([]string, error) {
 	m.mu.Lock()
 	m.memberAttempts++
@@ -104,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if m.zoneHasSources(members) && (fast(m.self) || attempts >= attemptsBeforeLog) {
+	if m.zoneHasSources(members) && (isFast(m.self) || attempts >= attemptsBeforeLog) {
 		m.directory.Announce(ctx, startupServePeriod)
 	}
 	return members, nil
@@ -121,7 +122,7 @@
 // staggerStart waits for a random time, longer on slow boxes, so that boxes that start together do not all look
 // for sources at once.
 func (m *Mirror) staggerStart(ctx context.Context) {
-	if fast(m.self) {
+	if isFast(m.self) {
 		sleep(ctx, fastDelay+rand.N(fastJitter))
 		return
 	}
@@ -139,8 +140,8 @@
 	return zoneSize >= minZoneSize
 }
 
-// readMembers reads the members as a source: from the zone's first-ranked source, or from the log if this box is
-// the first or the first fails.
+// readMembers reads the members as a source: from the zone's first-ranked source, or from the log if that is
+// this box, if it fails or if the view has not settled yet.
 func (m *Mirror) readMembers(ctx context.Context, generation int64) ([]string, error) {
 	sources, _ := m.sources()
 	if m.boxes.HasSettled() && len(sources) > 0 && sources[0].Name != m.self.Name {
@@ -198,9 +199,9 @@
 }
 
 // Roster answers another box's request for the members, as a source.
-func (m *Mirror) Roster(ctx context.Context, ask RosterRequest) (RosterResponse, error) {
+func (m *Mirror) Roster(ctx context.Context, req RosterRequest) (RosterResponse, error) {
 	if !m.IsSource() {
 		return RosterResponse{}, errNotSource()
 	}
-	return m.roster.Answer(ctx, ask)
+	return m.roster.Answer(ctx, req)
 }
--- a/gate/mirror/mirror.go
+++ b/gate/mirror/mirror.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// answerTimeout is the timeout of a request for the members. For a request that a source may hold open, it is
-	// added to the time that it may do so.
+	// answerTimeout is the timeout of a request for the members. For a request that a source may hold open,
+	// it is added to the time that it may do so.
 	answerTimeout = 400 * time.Millisecond
 	// announceInterval is the interval at which this box checks whether it must be announced as a source.
 	announceInterval = time.Second
@@ -33,8 +33,8 @@
 
 // Peers sends requests to sources.
 type Peers interface {
-	Copy(ctx context.Context, box work.Box, ask CopyRequest) (CopyResponse, error)
-	Roster(ctx context.Context, box work.Box, ask RosterRequest) (RosterResponse, error)
+	Copy(ctx context.Context, box work.Box, req CopyRequest) (CopyResponse, error)
+	Roster(ctx context.Context, box work.Box, req RosterRequest) (RosterResponse, error)
 }
 
 // Decoder decodes the records of replicas.
@@ -66,14 +66,14 @@
 	copies map[work.Topic]*topicCopy
 	// levels are the levels of this box's own part of the replicas.
 	levels subset.Levels
-	// memberAttempts counts the attempts to read the members until the first that succeeded; found is set by that
-	// one.
+	// memberAttempts counts the attempts to read the members until the first that succeeded; membersRead is
+	// set by that one.
 	memberAttempts int
-	found          bool
+	membersRead    bool
 	// noMembersSince is when sources began to fail to return the members; zero while one returns them.
 	noMembersSince time.Time
-	// lastMembers is the newest list of members that a source returned and lastSource is that source's name. The
-	// source sends differences from it.
+	// lastMembers is the newest list of members that a source returned and lastSource is that source's name.
+	// The source sends differences from it.
 	lastMembers memberList
 	lastSource  string
 }
@@ -90,13 +90,13 @@
 	return m
 }
 
-// OnLevels sets a callback that gets the levels of this box's part of the replicas whenever the part is read anew.
-// It must be called before Start.
+// OnLevels sets a callback that gets the levels of this box's part of the replicas whenever the part is read
+// anew. It must be called before Start.
 func (m *Mirror) OnLevels(callback func(levels subset.Levels)) {
 	m.onLevels = callback
 }
 
-// Start implements a service.
+// Start implements kernel.Service.
 func (m *Mirror) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
@@ -104,15 +104,15 @@
 	return nil
 }
 
-// Stop implements a service.
+// Stop implements kernel.Service.
 func (m *Mirror) Stop(context.Context) error {
 	m.cancel()
 	m.done.Wait()
 	return nil
 }
 
-// updateAnnouncement announces this box while it ranks as a source, so that starting boxes find it, and drops the
-// copies once this box is no longer a source.
+// updateAnnouncement announces this box while it ranks as a source, so that starting boxes find it, and drops
+// the copies once this box is no longer a source.
 func (m *Mirror) updateAnnouncement(ctx context.Context) {
 	if !m.boxes.HasSettled() {
 		return
@@ -161,8 +161,9 @@
 	return m.directory.Known(), zoneSize
 }
 
-// sourcesToAsk returns the sources to ask, in order; none if this box reads from the log itself. The ranked ones
-// come before those that are only announced, since growing views rank the boxes differently.
+// sourcesToAsk returns the sources to ask, in order; none if this box reads from the log itself. The ranked
+// ones come before those that are only announced, since boxes whose views are still growing rank them
+// differently.
 func (m *Mirror) sourcesToAsk() []work.Box {
 	sources, _ := m.sources()
 	if len(sources) == 0 {
--- a/gate/mirror/mirror_test.go
+++ b/gate/mirror/mirror_test.go
@@ -15,12 +15,12 @@
 	"mulleingate.dev/gate/work"
 )
 
-// follower reads the list of replicas as package feed does and records what it gets.
+// follower reads the list of replicas again and again and records what it gets.
 type follower struct {
 	box *testBox
 	mu  sync.Mutex
-	// receivedAt is when each record was received; known holds each replica that was received and whether its last
-	// record lists it.
+	// receivedAt is when each record was received; known holds each replica that was received and whether its
+	// last record lists it.
 	receivedAt map[string]time.Time
 	known      map[string]bool
 	// maxAge is the greatest age of an answer.
@@ -132,8 +132,8 @@
 	return latest, missing
 }
 
-// TestSourcesReadForZone checks that only the sources read from the log, and that each box gets a part of the list
-// while nearly every replica is in some box's part.
+// TestSourcesReadForZone checks that only the sources read from the log, and that each box gets a part of the
+// list while nearly every replica is in some box's part.
 func TestSourcesReadForZone(t *testing.T) {
 	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		pages := 2000/pageItems + 1
@@ -176,13 +176,13 @@
 		{"a source dies", func(z *testZone) { z.boxes[z.sources()[0].Name].dead.Store(true) }},
 		{"a source hangs", func(z *testZone) { z.boxes[z.sources()[0].Name].frozen.Store(true) }},
 		{"all sources die", func(z *testZone) {
-			for _, one := range z.sources() {
-				z.boxes[one.Name].dead.Store(true)
+			for _, box := range z.sources() {
+				z.boxes[box.Name].dead.Store(true)
 			}
 		}},
 		{"all sources hang", func(z *testZone) {
-			for _, one := range z.sources() {
-				z.boxes[one.Name].frozen.Store(true)
+			for _, box := range z.sources() {
+				z.boxes[box.Name].frozen.Store(true)
 			}
 		}},
 		{"a source is cut off from the log", func(z *testZone) {
@@ -191,8 +191,8 @@
 			z.log.cutOff[z.sources()[0].Name] = true
 		}},
 		{"boxes differ on the sources", func(z *testZone) {
-			for i, one := range z.all {
-				z.boxes[one.Name].setLive(slices.Delete(slices.Clone(z.all), i/2, i/2+20))
+			for i, box := range z.all {
+				z.boxes[box.Name].setLive(slices.Delete(slices.Clone(z.all), i/2, i/2+20))
 			}
 		}},
 	}
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestPartsFollowShrinkingList checks that parts are drawn anew when the list shrinks to an eighth. Sizes vary by
-// chance, but no box may be left with only a few replicas.
+// TestPartsFollowShrinkingList checks that parts are drawn anew when the list shrinks to an eighth. Sizes
+// vary by chance, but no box may be left with only a few replicas.
 func TestPartsFollowShrinkingList(t *testing.T) {
 	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		for i := range 1750 {
@@ -238,8 +238,8 @@
 	})
 }
 
-// TestPartsFollowGrowingList checks that no box gets most of a list that grows from a few replicas to thousands, as
-// at the start of a fleet.
+// TestPartsFollowGrowingList checks that no box gets most of a list that grows from a few replicas to
+// thousands, as at the start of a fleet.
 func TestPartsFollowGrowingList(t *testing.T) {
 	withFollowersOf(t, 60, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		for i := range 4000 {
@@ -260,8 +260,8 @@
 	})
 }
 
-// TestPartsSurviveLapsedList checks that boxes do not read their parts again when all replicas lapse and soon
-// return.
+// TestPartsSurviveLapsedList checks that boxes do not read their parts again when all replicas disappear from
+// the list and soon return.
 func TestPartsSurviveLapsedList(t *testing.T) {
 	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		before := map[string]int{}
@@ -318,8 +318,8 @@
 	})
 }
 
-// TestFleetStart checks that only a few boxes of a large fleet that starts read the members from the log, and that
-// all boxes get them soon.
+// TestFleetStart checks that only a few boxes of a large fleet that starts read the members from the log, and
+// that all boxes get them soon.
 func TestFleetStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newTestZone(200)
@@ -327,8 +327,8 @@
 		begun := time.Now()
 		var mu sync.Mutex
 		latest := time.Duration(0)
-		for i, one := range z.all {
-			b := z.boxes[one.Name]
+		for i, box := range z.all {
+			b := z.boxes[box.Name]
 			done.Go(func() {
 				time.Sleep(time.Duration(i%5*20) * time.Millisecond) // all fast boxes start at the same time
 				for {
@@ -392,20 +392,20 @@
 	})
 }
 
-// TestStaleSourcesRefuse checks that sources that are cut off from the log refuse requests once their copies are
-// too old, and that no box accepts an older answer.
+// TestStaleSourcesRefuse checks that sources that are cut off from the log refuse requests once their copies
+// are too old, and that no box accepts an older answer.
 func TestStaleSourcesRefuse(t *testing.T) {
 	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		z.log.mu.Lock()
-		for _, one := range z.sources() {
-			z.log.cutOff[one.Name] = true
+		for _, box := range z.sources() {
+			z.log.cutOff[box.Name] = true
 		}
 		z.log.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		for _, one := range z.sources() {
-			ask := CopyRequest{Topic: work.Replicas, Box: "x", Whole: true}
-			if _, err := z.boxes[one.Name].mirror.Copy(context.Background(), ask); err == nil {
-				t.Errorf("%s served a copy though it had been cut off from the log for 10 s", one.Name)
+		for _, box := range z.sources() {
+			req := CopyRequest{Topic: work.Replicas, Box: "x", Whole: true}
+			if _, err := z.boxes[box.Name].mirror.Copy(context.Background(), req); err == nil {
+				t.Errorf("%s served a copy though it had been cut off from the log for 10 s", box.Name)
 			}
 		}
 		for name, f := range followers {
@@ -416,14 +416,14 @@
 	})
 }
 
-// TestMembersAfterSourcesDie checks that all boxes get the members after all their sources died, without reading
-// them from the log more than once each on average.
+// TestMembersAfterSourcesDie checks that all boxes get the members after all their sources died, without
+// reading them from the log more than once each on average.
 func TestMembersAfterSourcesDie(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := newTestZone(200)
 		z.settleViews()
-		for _, one := range z.sources() {
-			z.boxes[one.Name].dead.Store(true)
+		for _, box := range z.sources() {
+			z.boxes[box.Name].dead.Store(true)
 		}
 		z.log.members = z.log.members[1:]
 		var done sync.WaitGroup
--- a/gate/mirror/roster.go
+++ b/gate/mirror/roster.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// After a change of the fleet the members may change again for settlingPeriod without a new generation, since
-	// the log lists a new member only once others have joined again. In that time a list may be served for
-	// settlingMaxAge, later for stableMaxAge.
+	// After a change of the fleet the members may change again for settlingPeriod without a new generation,
+	// since the log lists a new member only once others have joined again. In that time a list may be served
+	// for settlingMaxAge, later for stableMaxAge.
 	settlingPeriod = time.Second
 	settlingMaxAge = 300 * time.Millisecond
 	stableMaxAge   = 2500 * time.Millisecond
@@ -69,7 +69,8 @@
 	return out
 }
 
-// apply returns the list that results from an answer; false if its digest is not the one in the answer.
+// apply returns the list that results from an answer. It returns false if that has another digest than the
+// answer says.
 func (l memberList) apply(answer RosterResponse) (memberList, bool) {
 	if answer.Whole {
 		return newList(answer.Added), true
@@ -90,8 +91,8 @@
 	mu sync.Mutex
 	// lists are the newest lists, oldest first.
 	lists []memberList
-	// generation is the newest one that any box has reported, generationAt is when it was first reported and readAt
-	// is when the read of the newest list began.
+	// generation is the newest one that any box has reported, generationAt is when it was first reported and
+	// readAt is when the read of the newest list began.
 	generation           int64
 	generationAt, readAt time.Time
 	// readGeneration is the value of generation when that read began.
@@ -111,7 +112,8 @@
 	}
 }
 
-// fresh reports whether the newest list may be served: it was read for the newest generation and is not too old.
+// fresh reports whether the newest list may be served: it was read for the newest generation and is not too
+// old.
 func (r *roster) fresh(now time.Time) bool {
 	if len(r.lists) == 0 || r.readGeneration < r.generation {
 		return false
@@ -149,17 +151,17 @@
 		return got, nil
 	}
 	r.mu.Lock()
-	asked, known := time.Now(), r.generation
+	sentAt, known := time.Now(), r.generation
 	r.mu.Unlock()
 	members, err := r.read(ctx, known)
 	if err != nil {
 		return memberList{}, err
 	}
-	return r.put(members, known, asked), nil
+	return r.put(members, known, sentAt), nil
 }
 
-// put adds a list that was requested at asked for the generation.
-func (r *roster) put(members []string, generation int64, asked time.Time) memberList {
+// put adds a list that was requested at sentAt for the generation.
+func (r *roster) put(members []string, generation int64, sentAt time.Time) memberList {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := newList(members)
@@ -169,21 +171,21 @@
 	if len(r.lists) > maxKeptLists {
 		r.lists = slices.Delete(r.lists, 0, 1)
 	}
-	r.readAt, r.readGeneration = asked, generation
+	r.readAt, r.readGeneration = sentAt, generation
 	return next
 }
 
 // Answer returns the members for another box: the difference from the list that the box has if that is still
 // kept, otherwise the whole list.
-func (r *roster) Answer(ctx context.Context, ask RosterRequest) (RosterResponse, error) {
-	current, err := r.Get(ctx, ask.Generation)
+func (r *roster) Answer(ctx context.Context, req RosterRequest) (RosterResponse, error) {
+	current, err := r.Get(ctx, req.Generation)
 	if err != nil {
 		return RosterResponse{}, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, before := range r.lists {
-		if before.digest == ask.KnownDigest {
+		if before.digest == req.KnownDigest {
 			return current.diff(before), nil
 		}
 	}
--- a/gate/mirror/sources.go
+++ b/gate/mirror/sources.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// minZoneSize is the number of boxes below which an availability zone has no sources: few boxes cost the log
-	// little, and without sources changes reach them sooner.
+	// minZoneSize is the number of boxes below which an availability zone has no sources: few boxes cost the
+	// log little, and without sources changes reach them sooner.
 	minZoneSize = 32
 	// A zone has minSources, so that one may fail, and one more per boxesPerSource boxes.
 	minSources     = 2
@@ -20,21 +20,22 @@
 	sourceRankKey = "source"
 	// minCores replaces the processor time of a box that does not report any, or less.
 	minCores = 0.01
-	// fastCores and fastLink, in Mbit/s, are what a box needs to serve about a hundred others within a second.
+	// fastCores is the processor time, in cores, and fastLink the bandwidth, in Mbit/s, that a box needs to serve
+	// many others quickly.
 	fastCores, fastLink = 0.4, 100
-	// membersBackoff is how long a source that failed to return the members is asked last; readBackoff is the same
-	// for a source that failed to return new records.
+	// membersBackoff is how long a source that failed to return the members is asked after all others;
+	// readBackoff is the same for a source that failed to return new records.
 	membersBackoff = time.Second
 	readBackoff    = 2 * time.Second
 )
 
-// fast reports whether the box is fast enough to become a source while the fleet starts.
-func fast(box work.Box) bool {
+// isFast reports whether the box is fast enough to become a source while the fleet starts.
+func isFast(box work.Box) bool {
 	return box.Cores >= fastCores && box.Link >= fastLink
 }
 
-// rankSources returns the boxes of a zone that should be its sources, best first; none in a small zone. Boxes are
-// weighted by the square of their processor time, since a source serves hundreds of others.
+// rankSources returns the boxes of a zone that should be its sources, best first; none in a small zone. Boxes
+// are weighted by the square of their processor time, since a source serves hundreds of others.
 func rankSources(zoneBoxes []work.Box) []work.Box {
 	if len(zoneBoxes) < minZoneSize {
 		return nil
@@ -77,32 +78,32 @@
 	return r.sources, r.zoneSize
 }
 
-// sourceBackoff holds the sources that failed recently and until when they are asked last.
+// sourceBackoff holds the sources that failed recently and until when they are asked after all others.
 type sourceBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// Add makes the source be asked last for the given time.
-func (s *sourceBackoff) Add(name string, period time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.until[name] = time.Now().Add(period)
+// Add has the source asked after all others for the given time.
+func (b *sourceBackoff) Add(name string, period time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.until[name] = time.Now().Add(period)
 }
 
-// order returns the boxes to ask, without self, in order: by rendezvous hashing with self as the key, so that the
-// zone's boxes spread over the sources, and those that failed recently last.
-func (s *sourceBackoff) order(self string, boxes []work.Box) []work.Box {
+// order returns the boxes to ask, without self, in order: by rendezvous hashing with self as the key, so that
+// the zone's boxes spread over the sources, and those that failed recently last.
+func (b *sourceBackoff) order(self string, boxes []work.Box) []work.Box {
 	name := func(i int) string { return boxes[i].Name }
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	now := time.Now()
 	var preferred, failed []work.Box
 	for _, i := range ident.RendezvousTop(self, len(boxes), name, len(boxes)) {
 		box := boxes[i]
 		switch {
 		case box.Name == self:
-		case now.Before(s.until[box.Name]):
+		case now.Before(b.until[box.Name]):
 			failed = append(failed, box)
 		default:
 			preferred = append(preferred, box)
--- a/gate/mirror/topics.go
+++ b/gate/mirror/topics.go
@@ -15,9 +15,9 @@
 	logCallTimeout = 3 * time.Second
 	// partTimeout is the timeout of a request for a whole part, which may be large and cross a slow link.
 	partTimeout = 2 * time.Second
-	// minSourceWait is how long a box at least waits for a source before it reads a topic from the log. A random
-	// time of up to sourceWaitPerBox per box of its zone is added, so that not all boxes read from the log at once.
-	// Meanwhile it asks the sources again every sourceRetryInterval.
+	// minSourceWait is the least time that a box waits for a source before it reads a topic from the log. A
+	// random time of up to sourceWaitPerBox per box of its zone is added, so that not all boxes read from the
+	// log at once. Meanwhile it asks the sources again every sourceRetryInterval.
 	minSourceWait       = 2 * time.Second
 	sourceWaitPerBox    = 100 * time.Millisecond
 	sourceRetryInterval = 150 * time.Millisecond
@@ -105,10 +105,10 @@
 }
 
 // askCopy sends the request to one source.
-func (m *Mirror) askCopy(ctx context.Context, box work.Box, ask CopyRequest, wait time.Duration) (CopyResponse, error) {
+func (m *Mirror) askCopy(ctx context.Context, box work.Box, req CopyRequest, wait time.Duration) (CopyResponse, error) {
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	return m.peers.Copy(ctx, box, ask)
+	return m.peers.Copy(ctx, box, req)
 }
 
 // setLevels records the levels of this box's own part and passes them to the callback of OnLevels.
@@ -121,14 +121,14 @@
 
 // readTopic reads a whole topic from the log.
 func (m *Mirror) readTopic(ctx context.Context, topic work.Topic) (*topicCopy, error) {
-	asked := time.Now()
+	sentAt := time.Now()
 	var whole work.Snapshot
 	next, err := work.AllNewest(ctx, m.log, work.Shard{Topic: topic}, logCallTimeout, func(rec work.Record) { whole.Records = append(whole.Records, rec) })
 	if err != nil {
 		return nil, err
 	}
 	whole.Next = next
-	return newCopy(m.groupFunc(topic), whole, asked), nil
+	return newCopy(m.groupFunc(topic), whole, sentAt), nil
 }
 
 // groupFunc returns a function that returns the group of a record of the topic.
@@ -178,7 +178,7 @@
 	return m.freshPartOf(topic, loaded)
 }
 
-// freshPartOf returns this box's part of a copy that was read after the caller asked; its age is therefore zero.
+// freshPartOf returns this box's part of a copy that was read during the call; its age is therefore zero.
 func (m *Mirror) freshPartOf(topic work.Topic, cached *topicCopy) (work.Snapshot, error) {
 	part, err := m.partOf(topic, cached)
 	part.Age = 0
@@ -210,8 +210,8 @@
 	levels := m.levels
 	m.mu.Unlock()
 	for _, box := range m.sourcesToAsk() {
-		ask := CopyRequest{Topic: topic, Box: m.self.Name, From: from, Wait: wait, Levels: levels}
-		answer, err := m.askCopy(ctx, box, ask, wait+answerTimeout)
+		req := CopyRequest{Topic: topic, Box: m.self.Name, From: from, Wait: wait, Levels: levels}
+		answer, err := m.askCopy(ctx, box, req, wait+answerTimeout)
 		if err == nil || fault.Is(err, fault.HistoryGone) {
 			return answer.Page, err
 		}
@@ -226,7 +226,8 @@
 	return m.filterPage(topic, levels, page), nil
 }
 
-// filterPage removes the replicas that are not in this box's part. Dropped keys are kept for every box.
+// filterPage removes the replicas that are not in this box's part. Records that delete a key are kept for
+// every box.
 func (m *Mirror) filterPage(topic work.Topic, levels subset.Levels, page work.Page) work.Page {
 	if topic != work.Replicas || len(levels) == 0 {
 		return page
@@ -250,7 +251,7 @@
 }
 
 // readAsSource reads new records from the log as a source. It returns HistoryGone if the caller must read the
-// topic again with All: the copy does not end at the offset, or this box's part is no longer of a fair size.
+// topic again with Snapshot: the copy does not end at the offset, or this box's part is too large or too small.
 func (m *Mirror) readAsSource(ctx context.Context, topic work.Topic, from int64, wait time.Duration) (work.Page, error) {
 	m.mu.Lock()
 	cached, levels := m.copies[topic], m.levels
@@ -259,7 +260,7 @@
 		m.dropCopy(topic)
 		return work.Page{}, fault.Refuse(fault.HistoryGone, "the source must read the topic whole")
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	page, err := m.log.Read(ctx, work.Shard{Topic: topic}, from, wait)
 	if fault.Is(err, fault.HistoryGone) {
 		m.dropCopy(topic)
@@ -267,7 +268,7 @@
 	if err != nil {
 		return page, err
 	}
-	cached.Add(page, asked)
+	cached.Add(page, sentAt)
 	if sources, zoneSize := m.sources(); topic == work.Replicas && len(sources) > 0 && !cached.Fits(levels, zoneSize) {
 		return work.Page{}, fault.Refuse(fault.HistoryGone, "the part must be drawn anew")
 	}
@@ -275,28 +276,28 @@
 }
 
 // Copy answers another box's request for a topic, as a source.
-func (m *Mirror) Copy(ctx context.Context, ask CopyRequest) (CopyResponse, error) {
+func (m *Mirror) Copy(ctx context.Context, req CopyRequest) (CopyResponse, error) {
 	m.mu.Lock()
-	cached := m.copies[ask.Topic]
+	cached := m.copies[req.Topic]
 	m.mu.Unlock()
 	// Before the view has settled, it holds too few boxes, and the parts would be far too large.
 	if cached == nil || !m.boxes.HasSettled() {
 		return CopyResponse{}, errNotSource()
 	}
 	_, zoneSize := m.sources()
-	if ask.Whole {
-		part, levels, err := cached.All(ask.Box, zoneSize)
+	if req.Whole {
+		part, levels, err := cached.All(req.Box, zoneSize)
 		return CopyResponse{Page: work.Page{Records: part.Records, Next: part.Next, Age: part.Age}, Levels: levels}, err
 	}
-	return m.waitForRecords(ctx, cached, ask, zoneSize)
+	return m.waitForRecords(ctx, cached, req, zoneSize)
 }
 
 // waitForRecords waits for records of the box's part, for ask.Wait at most.
-func (m *Mirror) waitForRecords(ctx context.Context, cached *topicCopy, ask CopyRequest, zoneSize int) (CopyResponse, error) {
-	ctx, stop := context.WithTimeout(ctx, ask.Wait)
+func (m *Mirror) waitForRecords(ctx context.Context, cached *topicCopy, req CopyRequest, zoneSize int) (CopyResponse, error) {
+	ctx, stop := context.WithTimeout(ctx, req.Wait)
 	defer stop()
 	for {
-		page, changed, err := cached.Since(ask.From, ask.Box, zoneSize, ask.Levels)
+		page, changed, err := cached.Since(req.From, req.Box, zoneSize, req.Levels)
 		if err != nil || len(page.Records) > 0 || ctx.Err() != nil {
 			return CopyResponse{Page: page}, err
 		}
--- a/gate/mirror/world_test.go
+++ b/gate/mirror/world_test.go
@@ -42,18 +42,18 @@
 }
 
 // appendReplicas appends records of replicas.
-func (s *fakeLog) appendReplicas(recs ...work.Record) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *fakeLog) appendReplicas(recs ...work.Record) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	shard := work.Shard{Topic: work.Replicas}
-	s.shards[shard] = append(s.shards[shard], recs...)
+	f.shards[shard] = append(f.shards[shard], recs...)
 }
 
 // callCount returns the number of calls of a kind.
-func (s *fakeLog) callCount(kind string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calls[kind]
+func (f *fakeLog) callCount(kind string) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.calls[kind]
 }
 
 // boxLog is one box's client of a fakeLog.
@@ -62,7 +62,7 @@
 	box string
 }
 
-// call takes the latency of a call. If the box is cut off from the log, it fails when ctx ends.
+// call waits for the latency of a call. If the box is cut off from the log, it fails when ctx ends.
 func (l boxLog) call(ctx context.Context, kind string) error {
 	l.mu.Lock()
 	l.calls[kind]++
@@ -162,7 +162,7 @@
 	zone   *testZone
 	// dead boxes refuse requests; frozen ones don't answer.
 	dead, frozen atomic.Bool
-	trusted      atomic.Bool
+	settled      atomic.Bool
 
 	mu     sync.Mutex
 	live   []work.Box
@@ -183,7 +183,7 @@
 	b.live = live
 }
 
-func (b *testBox) HasSettled() bool { return b.trusted.Load() }
+func (b *testBox) HasSettled() bool { return b.settled.Load() }
 
 // testZone holds the boxes of one availability zone and their log.
 type testZone struct {
@@ -196,26 +196,26 @@
 func newTestZone(n int) *testZone {
 	z := &testZone{log: newFakeLog(), boxes: map[string]*testBox{}}
 	for i := range n {
-		one := work.Box{
+		box := work.Box{
 			Name: fmt.Sprintf("box-%03d", i), Zone: "a", Peer: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+i)),
 			Incarnation: "i", Cores: 0.192, Link: 30,
 		}
 		if i%5 == 0 {
-			one.Cores, one.Link = 0.8, 600
+			box.Cores, box.Link = 0.8, 600
 		}
-		z.all = append(z.all, one)
-		z.log.members = append(z.log.members, one.Member())
+		z.all = append(z.all, box)
+		z.log.members = append(z.log.members, box.Member())
 	}
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
-	for _, one := range z.all {
-		b := &testBox{Box: one, zone: z}
-		b.mirror = New(one, []string{"a"}, boxLog{z.log, one.Name}, b, b, plainDecoder{}, logger)
+	for _, box := range z.all {
+		b := &testBox{Box: box, zone: z}
+		b.mirror = New(box, []string{"a"}, boxLog{z.log, box.Name}, b, b, plainDecoder{}, logger)
 		b.mirror.OnLevels(func(levels subset.Levels) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.levels = levels
 		})
-		z.boxes[one.Name] = b
+		z.boxes[box.Name] = b
 	}
 	return z
 }
@@ -224,7 +224,7 @@
 func (z *testZone) settleViews() {
 	for _, b := range z.boxes {
 		b.setLive(z.all)
-		b.trusted.Store(true)
+		b.settled.Store(true)
 		_, _ = b.mirror.recordMembers(nil, nil) // it returns its arguments
 	}
 }
@@ -244,20 +244,20 @@
 	return to, nil
 }
 
-func (b *testBox) Copy(ctx context.Context, to work.Box, ask CopyRequest) (CopyResponse, error) {
+func (b *testBox) Copy(ctx context.Context, to work.Box, req CopyRequest) (CopyResponse, error) {
 	other, err := b.send(ctx, to.Name)
 	if err != nil {
 		return CopyResponse{}, err
 	}
-	return other.mirror.Copy(ctx, ask)
+	return other.mirror.Copy(ctx, req)
 }
 
-func (b *testBox) Roster(ctx context.Context, to work.Box, ask RosterRequest) (RosterResponse, error) {
+func (b *testBox) Roster(ctx context.Context, to work.Box, req RosterRequest) (RosterResponse, error) {
 	other, err := b.send(ctx, to.Name)
 	if err != nil {
 		return RosterResponse{}, err
 	}
-	return other.mirror.Roster(ctx, ask)
+	return other.mirror.Roster(ctx, req)
 }
 
 // addReplicas adds n replicas of a service.
