--- a/gate/remote/client.go
+++ b/gate/remote/client.go
@@ -30,7 +30,7 @@
 	// copyPath and rosterPath accept requests to a source.
 	copyPath   = "/copy"
 	rosterPath = "/roster"
-	// quotaPath accepts requests for calls from a workspace's quota.
+	// quotaPath accepts requests to grant calls from a workspace's quota.
 	quotaPath = "/quota"
 	// maxConnsPerBox bounds the connections to one box, and so the turns forwarded to it at once.
 	maxConnsPerBox = 256
@@ -121,7 +121,8 @@
 	return work.CopyBody(resp, out, fault.PeerUnreachable)
 }
 
-// peerLost converts a transport fault into PeerUnreachable, which distinguishes a box's failure from a target's.
+// peerLost converts a transport fault into PeerUnreachable, which distinguishes a box's failure from a
+// target's.
 func peerLost(err error) error {
 	f := fault.From(err)
 	return &fault.Fault{Kind: fault.PeerUnreachable, Detail: "cannot reach another box: " + f.Error(), NotRun: f.NotRun}
--- a/gate/remote/client_test.go
+++ b/gate/remote/client_test.go
@@ -17,11 +17,11 @@
 // unexpectedAnswer is a work.Answer that fails the test if a response begins.
 type unexpectedAnswer struct{ t *testing.T }
 
-func (n unexpectedAnswer) Begin(work.Head) error {
-	n.t.Error("a response begins, want none")
+func (a unexpectedAnswer) Begin(work.Head) error {
+	a.t.Error("a response begins, want none")
 	return nil
 }
-func (n unexpectedAnswer) Write([]byte) error { return nil }
+func (a unexpectedAnswer) Write([]byte) error { return nil }
 
 // turnTo sends a turn to a box and returns the fault.
 func turnTo(t *testing.T, c *Client, box work.Box) *fault.Fault {
@@ -35,8 +35,8 @@
 	return fault.From(err)
 }
 
-// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnavailable with a Retry-After delay,
-// and a refused connection PeerUnreachable.
+// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnavailable with a Retry-After
+// delay, and a refused connection PeerUnreachable.
 func TestFullPoolIsNotPeerLost(t *testing.T) {
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
--- a/gate/remote/frame.go
+++ b/gate/remote/frame.go
@@ -16,7 +16,7 @@
 type turnRequest struct {
 	Slot int        `json:"slot"`
 	Call *work.Call `json:"call"`
-	// Route comes from the configuration of the forwarding box, which may differ from the version here.
+	// Route comes from the configuration of the forwarding box, which may differ from the receiving box's.
 	Route *work.Route `json:"route"`
 	// LeftMillis is the time until the call's deadline. It is relative because the clocks of boxes differ.
 	LeftMillis int64 `json:"left_ms"`
@@ -33,7 +33,7 @@
 // findResponse is the response to a search for a turn.
 type findResponse struct {
 	Text []byte `json:"text,omitempty"`
-	// Slots are those that are known not to store the turn.
+	// Slots lists the slots that are known not to store the turn.
 	Slots []int `json:"slots,omitempty"`
 }
 
--- a/gate/remote/log.go
+++ b/gate/remote/log.go
@@ -29,8 +29,9 @@
 	From    int64         `json:"from,omitempty"`
 	After   string        `json:"after,omitempty"`
 	WaitMS  int64         `json:"wait_ms,omitempty"`
-	LimitMS int64         `json:"limit_ms"`
-	Member  string        `json:"member,omitempty"`
+	// LimitMS is the time until the caller's deadline.
+	LimitMS int64  `json:"limit_ms"`
+	Member  string `json:"member,omitempty"`
 	// Generation and TTLMS are the arguments of a join.
 	Generation int64 `json:"generation,omitempty"`
 	TTLMS      int64 `json:"ttl_ms,omitempty"`
@@ -40,7 +41,7 @@
 type logResponse struct {
 	Page  work.Page  `json:"page"`
 	Batch work.Batch `json:"batch"`
-	// Generation is the fleet's after a join; Members are its members.
+	// Generation is the fleet's generation after a join; Members lists the members of the fleet.
 	Generation int64          `json:"generation,omitempty"`
 	Members    []string       `json:"members,omitempty"`
 	Problem    *fault.Problem `json:"problem,omitempty"`
@@ -58,47 +59,47 @@
 }
 
 // Append implements work.Log.
-func (v Log) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
-	_, err := v.call(ctx, logRequest{Op: opAppend, Shard: shard, Writer: writer, Records: recs})
+func (l Log) Append(ctx context.Context, shard work.Shard, writer work.Writer, recs []work.Record) error {
+	_, err := l.call(ctx, logRequest{Op: opAppend, Shard: shard, Writer: writer, Records: recs})
 	return err
 }
 
 // Join implements work.Log.
-func (v Log) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
-	out, err := v.call(ctx, logRequest{Op: opJoin, Member: member, Generation: generation, TTLMS: ttl.Milliseconds()})
+func (l Log) Join(ctx context.Context, member string, generation int64, ttl time.Duration) (int64, error) {
+	out, err := l.call(ctx, logRequest{Op: opJoin, Member: member, Generation: generation, TTLMS: ttl.Milliseconds()})
 	return out.Generation, err
 }
 
 // Leave implements work.Log.
-func (v Log) Leave(ctx context.Context, member string) error {
-	_, err := v.call(ctx, logRequest{Op: opLeave, Member: member})
+func (l Log) Leave(ctx context.Context, member string) error {
+	_, err := l.call(ctx, logRequest{Op: opLeave, Member: member})
 	return err
 }
 
 // Members implements work.Log.
-func (v Log) Members(ctx context.Context) ([]string, error) {
-	out, err := v.call(ctx, logRequest{Op: opMembers})
+func (l Log) Members(ctx context.Context) ([]string, error) {
+	out, err := l.call(ctx, logRequest{Op: opMembers})
 	return out.Members, err
 }
 
 // Newest implements work.Log.
-func (v Log) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
-	out, err := v.call(ctx, logRequest{Op: opNewest, Shard: shard, After: after})
+func (l Log) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
+	out, err := l.call(ctx, logRequest{Op: opNewest, Shard: shard, After: after})
 	return out.Batch, err
 }
 
 // Read implements work.Log.
-func (v Log) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
-	out, err := v.call(ctx, logRequest{Op: opRead, Shard: shard, From: from, WaitMS: wait.Milliseconds()})
+func (l Log) Read(ctx context.Context, shard work.Shard, from int64, wait time.Duration) (work.Page, error) {
+	out, err := l.call(ctx, logRequest{Op: opRead, Shard: shard, From: from, WaitMS: wait.Milliseconds()})
 	return out.Page, err
 }
 
-func (v Log) call(ctx context.Context, msg logRequest) (logResponse, error) {
+func (l Log) call(ctx context.Context, msg logRequest) (logResponse, error) {
 	if end, ok := ctx.Deadline(); ok {
 		msg.LimitMS = time.Until(end).Milliseconds()
 	}
 	var out logResponse
-	if err := v.client.exchangeJSON(ctx, v.box, logPath, msg, &out); err != nil {
+	if err := l.client.exchangeJSON(ctx, l.box, logPath, msg, &out); err != nil {
 		return logResponse{}, err
 	}
 	if out.Problem != nil {
--- a/gate/remote/server.go
+++ b/gate/remote/server.go
@@ -219,21 +219,21 @@
 	begun bool
 }
 
-func (r *turnWriter) send(header turnResponse) error {
+func (t *turnWriter) send(header turnResponse) error {
 	raw, err := frame(header)
 	if err != nil {
 		return err
 	}
-	return work.WriteToCaller(r.w, nil, raw, callerGone)
+	return work.WriteToCaller(t.w, nil, raw, callerGone)
 }
 
 // Begin implements work.Answer. The header is not flushed: it is sent with the first bytes of the body.
-func (r *turnWriter) Begin(head work.Head) error {
-	r.begun = true
-	return r.send(turnResponse{Head: &head})
+func (t *turnWriter) Begin(head work.Head) error {
+	t.begun = true
+	return t.send(turnResponse{Head: &head})
 }
 
 // Write implements work.Answer.
-func (r *turnWriter) Write(data []byte) error {
-	return work.WriteToCaller(r.w, r.flush, data, callerGone)
+func (t *turnWriter) Write(data []byte) error {
+	return work.WriteToCaller(t.w, t.flush, data, callerGone)
 }
