--- a/gate/node/leave_test.go
+++ b/gate/node/leave_test.go
@@ -17,19 +17,19 @@
 	"mulleingate.dev/gate/work"
 )
 
-// hangingStore is a fake store of members that lists them but never completes a leave.
-type hangingStore struct{ members []string }
+// hangingLog is a fake log that lists the members but never completes a leave.
+type hangingLog struct{ members []string }
 
-func (s *hangingStore) Join(context.Context, string, int64, time.Duration) (int64, error) {
+func (l *hangingLog) Join(context.Context, string, int64, time.Duration) (int64, error) {
 	return 1, nil
 }
-func (s *hangingStore) Leave(ctx context.Context, _ string) error {
+func (l *hangingLog) Leave(ctx context.Context, _ string) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (s *hangingStore) Members(context.Context, int64) ([]string, error) { return s.members, nil }
+func (l *hangingLog) Members(context.Context, int64) ([]string, error) { return l.members, nil }
 
-// startFakeBox starts a fake box that calls told when a leave is announced to it, and returns its address.
+// startFakeBox starts a fake box that calls onLeave when a leave is announced to it, and returns its address.
 func startFakeBox(t *testing.T, onLeave func()) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -62,7 +62,7 @@
 		{Name: "b", Peer: startFakeBox(t, func() { other.Store(int64(time.Since(start))) }), Incarnation: "1"},
 	}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := &hangingStore{members: []string{boxes[0].Member(), boxes[1].Member()}}
+	store := &hangingLog{members: []string{boxes[0].Member(), boxes[1].Member()}}
 	n := &Node{
 		deps: Deps{Self: boxes[0], Logger: quiet}, peers: remote.NewClient(), view: view.New(boxes[0], store, view.DefaultTiming(), quiet),
 	}
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -66,7 +66,7 @@
 	Timing      view.Timing
 	// Zones lists all availability zones.
 	Zones []string
-	// Regions maps each of them to its region.
+	// Regions maps each availability zone to its region.
 	Regions work.Regions
 	Access  access.Bounds
 	Quota   quota.Bounds
@@ -129,20 +129,20 @@
 type lateView struct{ node *Node }
 
 // Live implements mirror.Boxes.
-func (b lateView) Live() []work.Box { return b.node.view.Live() }
+func (v lateView) Live() []work.Box { return v.node.view.Live() }
 
 // HasSettled implements mirror.Boxes.
-func (b lateView) HasSettled() bool { return b.node.view.HasSettled() }
+func (v lateView) HasSettled() bool { return v.node.view.HasSettled() }
 
 // logProxies provides the boxes through which the log may be called.
 type logProxies struct{ node *Node }
 
 // Boxes implements detour.Proxies. It returns only boxes of this box's region, since records may have to stay
 // there and other regions are slow to reach.
-func (o logProxies) Boxes() []work.Box {
-	regions, self := o.node.deps.Regions, o.node.deps.Self
+func (p logProxies) Boxes() []work.Box {
+	regions, self := p.node.deps.Regions, p.node.deps.Self
 	var boxes []work.Box
-	for _, box := range o.node.view.Live() {
+	for _, box := range p.node.view.Live() {
 		if box.Name != self.Name && regions[box.Zone] == regions[self.Zone] {
 			boxes = append(boxes, box)
 		}
@@ -151,8 +151,8 @@
 }
 
 // LogVia implements detour.Proxies.
-func (o logProxies) LogVia(box work.Box) work.Log {
-	return o.node.peers.LogVia(box)
+func (p logProxies) LogVia(box work.Box) work.Log {
+	return p.node.peers.LogVia(box)
 }
 
 func (n *Node) onBoxesChanged() {
@@ -168,11 +168,11 @@
 // Start starts all services, the front last. The front accepts connections once started, asks callers to
 // reconnect elsewhere while the box is not ready, and completes calls in flight when it stops.
 func (n *Node) Start(ctx context.Context, front kernel.Service) error {
-	return n.kern.Start(ctx, n.parts(front))
+	return n.kern.Start(ctx, n.serviceSpecs(front))
 }
 
-// parts returns the services of a box. They are stopped from last to first.
-func (n *Node) parts(front kernel.Service) []kernel.ServiceSpec {
+// serviceSpecs returns the services of a box. They are stopped from last to first.
+func (n *Node) serviceSpecs(front kernel.Service) []kernel.ServiceSpec {
 	factoryFor := func(svc kernel.Service) kernel.Factory {
 		return func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
 	}
--- a/gate/node/place.go
+++ b/gate/node/place.go
@@ -41,56 +41,57 @@
 }
 
 // Update recomputes the senders after the live boxes have changed.
-func (p *callSenders) Update() {
+func (s *callSenders) Update() {
 	var zoneBoxes []string
-	for _, box := range p.fleet.Live() {
-		if box.Zone == p.self.Zone {
+	for _, box := range s.fleet.Live() {
+		if box.Zone == s.self.Zone {
 			zoneBoxes = append(zoneBoxes, box.Name)
 		}
 	}
 	owners := map[string]bool{}
 	var zonePlacers []work.Box
 	otherZonePlacers := 0
-	for _, slot := range p.slots {
-		box, ok := p.fleet.Owner(slot)
+	for _, slot := range s.slots {
+		box, ok := s.fleet.Owner(slot)
 		if !ok || owners[box.Name] {
 			continue
 		}
 		owners[box.Name] = true
-		if box.Zone != p.self.Zone {
+		if box.Zone != s.self.Zone {
 			otherZonePlacers++
 			continue
 		}
 		zonePlacers = append(zonePlacers, box)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.zoneBoxes, p.zonePlacers, p.otherZonePlacers = zoneBoxes, zonePlacers, otherZonePlacers
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.zoneBoxes, s.zonePlacers, s.otherZonePlacers = zoneBoxes, zonePlacers, otherZonePlacers
 }
 
 // EffectivePlacers returns how many boxes count as placing turns on the same replicas as this one. Boxes
 // without slots do not count; see sched.EffectivePlacers.
-func (p *callSenders) EffectivePlacers() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return sched.EffectivePlacers(len(p.zonePlacers), p.otherZonePlacers)
+func (s *callSenders) EffectivePlacers() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return sched.EffectivePlacers(len(s.zonePlacers), s.otherZonePlacers)
 }
 
-// MayWarm reports whether this box is the one in its availability zone that sends calls to a cold replica. If
-// model is set, only owners of slots are considered. It returns false while the view is not settled.
-func (p *callSenders) MayWarm(rep work.Replica, model bool) bool {
-	if !p.fleet.Settled() {
+// MayWarm reports whether this box is the one in its availability zone that sends calls to a cold replica.
+// model says whether the replica runs a model; then only owners of slots are considered. MayWarm returns false
+// while the view is not settled.
+func (s *callSenders) MayWarm(rep work.Replica, model bool) bool {
+	if !s.fleet.Settled() {
 		return false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	candidates := p.zoneBoxes
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	candidates := s.zoneBoxes
 	if model {
-		candidates = boxNames(p.zonePlacers)
+		candidates = boxNames(s.zonePlacers)
 	}
-	knows := func(name string) bool { return p.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
+	knows := func(name string) bool { return s.levels.Knows(name, rep.ID, subset.Group(rep.Service, rep.Zone)) }
 	candidates = slices.DeleteFunc(slices.Clone(candidates), func(name string) bool { return !knows(name) })
-	return ident.Rendezvous(rep.ID, candidates) == p.self.Name
+	return ident.Rendezvous(rep.ID, candidates) == s.self.Name
 }
 
 func boxNames(boxes []work.Box) []string {
@@ -102,36 +103,36 @@
 }
 
 // Live implements load.Boxes.
-func (p *callSenders) Live() []work.Box {
-	return p.fleet.Live()
+func (s *callSenders) Live() []work.Box {
+	return s.fleet.Live()
 }
 
 // PlacingBoxes implements load.Boxes.
-func (p *callSenders) PlacingBoxes() []work.Box {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.zonePlacers
+func (s *callSenders) PlacingBoxes() []work.Box {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.zonePlacers
 }
 
 // Knows implements load.Boxes.
-func (p *callSenders) Knows(box work.Box, rep work.Replica) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.levels.Knows(box.Name, rep.ID, subset.Group(rep.Service, rep.Zone))
+func (s *callSenders) Knows(box work.Box, rep work.Replica) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.levels.Knows(box.Name, rep.ID, subset.Group(rep.Service, rep.Zone))
 }
 
 // KnownToAll implements load.Boxes.
-func (p *callSenders) KnownToAll(rep work.Replica) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.levels[subset.Group(rep.Service, rep.Zone)] == 0
+func (s *callSenders) KnownToAll(rep work.Replica) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.levels[subset.Group(rep.Service, rep.Zone)] == 0
 }
 
 // SetLevels sets the levels that determine which part of the replicas each box knows.
-func (p *callSenders) SetLevels(levels subset.Levels) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.levels = levels
+func (s *callSenders) SetLevels(levels subset.Levels) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.levels = levels
 }
 
 const (
--- a/gate/node/place_test.go
+++ b/gate/node/place_test.go
@@ -16,20 +16,20 @@
 	settled bool
 }
 
-func (h fakeFleet) Live() []work.Box                   { return h.live }
-func (h fakeFleet) Owner(slot string) (work.Box, bool) { box, ok := h.owners[slot]; return box, ok }
-func (h fakeFleet) Settled() bool                      { return h.settled }
+func (f fakeFleet) Live() []work.Box                   { return f.live }
+func (f fakeFleet) Owner(slot string) (work.Box, bool) { box, ok := f.owners[slot]; return box, ok }
+func (f fakeFleet) Settled() bool                      { return f.settled }
 
 // TestOneBoxPerZoneWarmsReplica checks that of boxes with the same view exactly one in each availability zone
 // sends calls to a cold replica, an owner of slots if the replica runs a model, and none whose view is not
 // settled.
 func TestOneBoxPerZoneWarmsReplica(t *testing.T) {
-	h := fakeFleet{owners: map[string]work.Box{}, settled: true}
+	fleet := fakeFleet{owners: map[string]work.Box{}, settled: true}
 	for i := range 12 {
 		box := work.Box{Name: fmt.Sprintf("b%d", i), Zone: string(rune('a' + i%3))}
-		h.live = append(h.live, box)
+		fleet.live = append(fleet.live, box)
 		if i < 6 {
-			h.owners[fmt.Sprintf("slot-%d", i)] = box
+			fleet.owners[fmt.Sprintf("slot-%d", i)] = box
 		}
 	}
 	slots := []string{"slot-0", "slot-1", "slot-2", "slot-3", "slot-4", "slot-5"}
@@ -37,10 +37,10 @@
 		for n := range 20 {
 			rep := work.Replica{ID: fmt.Sprintf("r%d", n)}
 			senders := map[string]int{}
-			for i, box := range h.live {
-				p := newCallSenders(box, h, slots)
-				p.Update()
-				if !p.MayWarm(rep, model) {
+			for i, box := range fleet.live {
+				s := newCallSenders(box, fleet, slots)
+				s.Update()
+				if !s.MayWarm(rep, model) {
 					continue
 				}
 				senders[box.Zone]++
@@ -53,11 +53,11 @@
 			}
 		}
 	}
-	h.settled = false
-	for _, box := range h.live {
-		p := newCallSenders(box, h, slots)
-		p.Update()
-		if p.MayWarm(work.Replica{ID: "r0"}, false) {
+	fleet.settled = false
+	for _, box := range fleet.live {
+		s := newCallSenders(box, fleet, slots)
+		s.Update()
+		if s.MayWarm(work.Replica{ID: "r0"}, false) {
 			t.Errorf("%s sends calls to a cold replica while its view is not settled", box.Name)
 		}
 	}
--- a/gate/node/reach.go
+++ b/gate/node/reach.go
@@ -20,11 +20,11 @@
 	requestTimeout = 300 * time.Millisecond
 	// maxReadAge is the age of the view above which the log counts as unreachable.
 	maxReadAge = 900 * time.Millisecond
-	// aloneRetryDelay is the retry delay if no other box is reached: only this one is cut off, so that a retry
-	// probably reaches another.
+	// aloneRetryDelay is the Retry-After delay if no other box is reached: only this one is cut off, so that
+	// a retry probably reaches another. It is also the least delay in other cases.
 	aloneRetryDelay = 100 * time.Millisecond
 	// balancerFailover is how long the load balancer takes to send new connections elsewhere: two failed health
-	// checks, one second apart. Boxes that are cut off together have callers wait for that.
+	// checks, one second apart. If several boxes are cut off together, callers wait that long.
 	balancerFailover = 2100 * time.Millisecond
 	// maxPings bounds the boxes that are pinged in one check, since all boxes do so during an outage of the
 	// log. It is large enough that a box in a minority partition rarely reaches half of its sample.
@@ -43,7 +43,8 @@
 }
 
 // cutOffDetector detects whether this box is cut off: it reaches neither the log nor half of a sample of the
-// boxes. If only the log is unreachable it may be so for all boxes, and callers gain nothing from another box.
+// boxes. If only the log is unreachable, it may be so for all boxes, and other boxes could serve callers no
+// better.
 type cutOffDetector struct {
 	self   string
 	boxes  boxView
@@ -52,7 +53,7 @@
 	cutOff atomic.Bool
 	// cutOffSince is when the box was first found to be cut off, as a Unix time in nanoseconds.
 	cutOffSince atomic.Int64
-	// alone is set if the last check reached no other box.
+	// alone is set if the last pings reached no other box.
 	alone  atomic.Bool
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -63,58 +64,58 @@
 }
 
 // CutOff reports whether this box is cut off.
-func (r *cutOffDetector) CutOff() bool {
-	return r.cutOff.Load()
+func (d *cutOffDetector) CutOff() bool {
+	return d.cutOff.Load()
 }
 
 // RetryDelay returns how long a caller should wait until a retry is likely to reach a box that is not cut off.
-func (r *cutOffDetector) RetryDelay() time.Duration {
-	if r.alone.Load() {
+func (d *cutOffDetector) RetryDelay() time.Duration {
+	if d.alone.Load() {
 		return aloneRetryDelay
 	}
-	left := balancerFailover - time.Since(time.Unix(0, r.cutOffSince.Load()))
+	left := balancerFailover - time.Since(time.Unix(0, d.cutOffSince.Load()))
 	return max(left, aloneRetryDelay)
 }
 
 // Start implements kernel.Service.
-func (r *cutOffDetector) Start(context.Context) error {
+func (d *cutOffDetector) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancel = cancel
-	r.done.Go(func() { kernel.Every(ctx, checkInterval, func() { r.check(ctx) }) })
+	d.cancel = cancel
+	d.done.Go(func() { kernel.Every(ctx, checkInterval, func() { d.check(ctx) }) })
 	return nil
 }
 
 // Stop implements kernel.Service.
-func (r *cutOffDetector) Stop(context.Context) error {
-	r.cancel()
-	r.done.Wait()
+func (d *cutOffDetector) Stop(context.Context) error {
+	d.cancel()
+	d.done.Wait()
 	return nil
 }
 
-func (r *cutOffDetector) check(ctx context.Context) {
+func (d *cutOffDetector) check(ctx context.Context) {
 	cutOff := false
-	if age := r.boxes.ReadAge(); age > maxReadAge {
-		reached, total := r.pingSample(ctx)
+	if age := d.boxes.ReadAge(); age > maxReadAge {
+		reached, total := d.pingSample(ctx)
 		cutOff = 2*reached < total
-		r.alone.Store(reached <= 1)
-		if cutOff && !r.cutOff.Load() {
-			r.cutOffSince.Store(time.Now().UnixNano())
-			r.logger.Warn("node: cut off from the log and most boxes", "log_silent", age, "reached", reached, "boxes", total)
+		d.alone.Store(reached <= 1)
+		if cutOff && !d.cutOff.Load() {
+			d.cutOffSince.Store(time.Now().UnixNano())
+			d.logger.Warn("node: cut off from the log and most boxes", "log_silent", age, "reached", reached, "boxes", total)
 		}
 	}
-	if was := r.cutOff.Swap(cutOff); was && !cutOff {
-		r.logger.Info("node: no longer cut off")
+	if was := d.cutOff.Swap(cutOff); was && !cutOff {
+		d.logger.Info("node: no longer cut off")
 	}
 }
 
 // pingSample pings a sample of the boxes concurrently. Both results include this box.
-func (r *cutOffDetector) pingSample(ctx context.Context) (reached, total int) {
+func (d *cutOffDetector) pingSample(ctx context.Context) (reached, total int) {
 	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
-	boxes := r.sample()
+	boxes := d.sample()
 	answers := make(chan bool, len(boxes))
 	for _, box := range boxes {
-		go func() { answers <- r.pinger.Ping(ctx, box) }()
+		go func() { answers <- d.pinger.Ping(ctx, box) }()
 	}
 	reached = 1
 	for range boxes {
@@ -133,17 +134,17 @@
 
 // sample returns the other boxes to ping, from each availability zone in proportion to its size, since
 // partitions tend to separate zones. The choice is stable while the fleet is, so that connections are reused.
-func (r *cutOffDetector) sample() []work.Box {
+func (d *cutOffDetector) sample() []work.Box {
 	zones := map[string][]work.Box{}
-	for _, box := range r.boxes.Live() {
-		if box.Name != r.self {
+	for _, box := range d.boxes.Live() {
+		if box.Name != d.self {
 			zones[box.Zone] = append(zones[box.Zone], box)
 		}
 	}
 	var ranked []rankedBox
 	for _, boxes := range zones {
 		name := func(i int) string { return boxes[i].Name }
-		for rank, i := range ident.RendezvousTop(r.self, len(boxes), name, maxPings) {
+		for rank, i := range ident.RendezvousTop(d.self, len(boxes), name, maxPings) {
 			ranked = append(ranked, rankedBox{box: boxes[i], rank: (float64(rank) + 0.5) / float64(len(boxes))})
 		}
 	}
--- a/gate/node/reach_test.go
+++ b/gate/node/reach_test.go
@@ -19,12 +19,12 @@
 	reachable []string
 }
 
-func (w *fakeNetwork) Live() []work.Box {
+func (n *fakeNetwork) Live() []work.Box {
 	return []work.Box{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}, {Name: "e"}}
 }
-func (w *fakeNetwork) ReadAge() time.Duration { return w.age }
-func (w *fakeNetwork) Ping(_ context.Context, box work.Box) bool {
-	for _, name := range w.reachable {
+func (n *fakeNetwork) ReadAge() time.Duration { return n.age }
+func (n *fakeNetwork) Ping(_ context.Context, box work.Box) bool {
+	for _, name := range n.reachable {
 		if name == box.Name {
 			return true
 		}
@@ -33,37 +33,37 @@
 }
 
 // TestCutOff checks when a box counts as cut off, and that callers are told to retry once the load balancer
-// has moved to other boxes.
+// sends connections to other boxes.
 func TestCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &fakeNetwork{reachable: []string{"b", "c", "d"}}
-		r := newCutOffDetector("a", w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		network := &fakeNetwork{reachable: []string{"b", "c", "d"}}
+		d := newCutOffDetector("a", network, network, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		check := func(want bool, why string) {
 			t.Helper()
-			r.check(context.Background())
-			if r.CutOff() != want {
-				t.Errorf("%s: cut off %v", why, r.CutOff())
+			d.check(context.Background())
+			if d.CutOff() != want {
+				t.Errorf("%s: cut off %v", why, d.CutOff())
 			}
 		}
-		w.age = 2 * maxReadAge
+		network.age = 2 * maxReadAge
 		check(false, "log unreachable, most boxes respond")
-		w.reachable = []string{"b"}
+		network.reachable = []string{"b"}
 		check(true, "few boxes respond")
-		if got := r.RetryDelay(); got != balancerFailover {
+		if got := d.RetryDelay(); got != balancerFailover {
 			t.Errorf("retry delay at once: %v", got)
 		}
 		time.Sleep(balancerFailover - 500*time.Millisecond)
 		check(true, "still cut off")
-		if got := r.RetryDelay(); got != 500*time.Millisecond {
+		if got := d.RetryDelay(); got != 500*time.Millisecond {
 			t.Errorf("retry delay shortly before the balancer moves: %v", got)
 		}
 		time.Sleep(time.Second)
-		if got := r.RetryDelay(); got != aloneRetryDelay {
+		if got := d.RetryDelay(); got != aloneRetryDelay {
 			t.Errorf("retry delay after the balancer has moved: %v", got)
 		}
-		w.reachable = nil
+		network.reachable = nil
 		check(true, "no other box responds")
-		w.age = 0
+		network.age = 0
 		check(false, "log reachable again")
 	})
 }
@@ -80,20 +80,20 @@
 }
 
 func newPartitionedFleet(boxes int) *partitionedFleet {
-	w := &partitionedFleet{pings: map[string]int{}}
+	f := &partitionedFleet{pings: map[string]int{}}
 	for i := range boxes {
-		w.boxes = append(w.boxes, work.Box{Name: fmt.Sprintf("box-%d", i), Zone: string(rune('a' + i%5))})
+		f.boxes = append(f.boxes, work.Box{Name: fmt.Sprintf("box-%d", i), Zone: string(rune('a' + i%5))})
 	}
-	return w
+	return f
 }
 
-func (w *partitionedFleet) Live() []work.Box       { return w.boxes }
-func (w *partitionedFleet) ReadAge() time.Duration { return 2 * maxReadAge }
-func (w *partitionedFleet) Ping(_ context.Context, box work.Box) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pings[box.Name]++
-	return (box.Zone == w.cutOffZone) == (w.self.Zone == w.cutOffZone)
+func (f *partitionedFleet) Live() []work.Box       { return f.boxes }
+func (f *partitionedFleet) ReadAge() time.Duration { return 2 * maxReadAge }
+func (f *partitionedFleet) Ping(_ context.Context, box work.Box) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.pings[box.Name]++
+	return (box.Zone == f.cutOffZone) == (f.self.Zone == f.cutOffZone)
 }
 
 // TestPartitionedZoneIsCutOff checks that during an outage of the log exactly the boxes of a partitioned zone
@@ -101,25 +101,25 @@
 func TestPartitionedZoneIsCutOff(t *testing.T) {
 	const maxPinged, minAveragePinged = 20, 10
 	synctest.Test(t, func(t *testing.T) {
-		w := newPartitionedFleet(200)
-		w.cutOffZone = "b"
+		fleet := newPartitionedFleet(200)
+		fleet.cutOffZone = "b"
 		pinged := 0
-		for _, box := range w.boxes {
-			w.self = box
-			r := newCutOffDetector(box.Name, w, w, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		for _, box := range fleet.boxes {
+			fleet.self = box
+			d := newCutOffDetector(box.Name, fleet, fleet, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for range 5 {
-				r.check(context.Background())
+				d.check(context.Background())
 			}
-			if r.CutOff() != (box.Zone == w.cutOffZone) {
-				t.Errorf("%s of zone %s: cut off %v", box.Name, box.Zone, r.CutOff())
+			if d.CutOff() != (box.Zone == fleet.cutOffZone) {
+				t.Errorf("%s of zone %s: cut off %v", box.Name, box.Zone, d.CutOff())
 			}
-			if len(w.pings) > maxPinged {
-				t.Errorf("%s pings %d boxes", box.Name, len(w.pings))
+			if len(fleet.pings) > maxPinged {
+				t.Errorf("%s pings %d boxes", box.Name, len(fleet.pings))
 			}
-			pinged += len(w.pings)
-			clear(w.pings)
+			pinged += len(fleet.pings)
+			clear(fleet.pings)
 		}
-		if pinged < minAveragePinged*len(w.boxes) {
+		if pinged < minAveragePinged*len(fleet.boxes) {
 			t.Errorf("all boxes together pinged only %d boxes", pinged)
 		}
 	})
--- a/gate/node/stop_test.go
+++ b/gate/node/stop_test.go
@@ -39,13 +39,13 @@
 		uses[name] = true
 	}
 	got := stopTimes{}
-	parts := (&Node{}).parts(nil)
-	for i, part := range parts {
-		svc := &fakeService{name: part.Name, uses: uses[part.Name], got: got}
-		parts[i].Make = func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
+	specs := (&Node{}).serviceSpecs(nil)
+	for i, spec := range specs {
+		svc := &fakeService{name: spec.Name, uses: uses[spec.Name], got: got}
+		specs[i].Make = func(*kernel.Kernel) (kernel.Service, error) { return svc, nil }
 	}
 	kern := kernel.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	if err := kern.Start(context.Background(), parts); err != nil {
+	if err := kern.Start(context.Background(), specs); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), stopTimeout)
