--- a/gate/detour/detour.go
+++ b/gate/detour/detour.go
@@ -79,8 +79,8 @@
 }
 
 // New returns a detour that calls the log directly until that fails.
-func New(direct work.Log, others Proxies, logger *slog.Logger) *Detour {
-	return &Detour{direct: direct, proxies: others, logger: logger, failedProxies: map[string]failedProxy{}}
+func New(direct work.Log, proxies Proxies, logger *slog.Logger) *Detour {
+	return &Detour{direct: direct, proxies: proxies, logger: logger, failedProxies: map[string]failedProxy{}}
 }
 
 // result is the result of one attempt at a call. Which fields are set depends on the operation.
@@ -146,7 +146,7 @@
 }
 
 // Newest implements work.Log. Since each call reads only one batch of a shard, even a box with a slow link
-// usually gets a batch before directDelay ends, rather than reading it twice concurrently.
+// usually gets a batch before directDelay ends, and does not read it twice concurrently.
 func (d *Detour) Newest(ctx context.Context, shard work.Shard, after string) (work.Batch, error) {
 	got := d.do(ctx, request{directDelay: 2 * hedgeDelay, proxyDelay: proxyHedgeDelay, make: func(ctx context.Context, log work.Log, _ bool) result {
 		batch, err := log.Newest(ctx, shard, after)
@@ -228,8 +228,8 @@
 }
 
 // via makes the call through the box and records whether the box reaches the log.
-func (d *Detour) via(ctx context.Context, box work.Box, make operation) result {
-	got := make(ctx, d.proxies.LogVia(box), false)
+func (d *Detour) via(ctx context.Context, box work.Box, op operation) result {
+	got := op(ctx, d.proxies.LogVia(box), false)
 	got.proxy = box
 	switch {
 	case !notReached(got.err):
@@ -240,7 +240,7 @@
 	return got
 }
 
-// prefer has further calls go through the box until one fails.
+// prefer has further calls that need another box go through this one until one fails.
 func (d *Detour) prefer(box work.Box) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gate/detour/detour_test.go
+++ b/gate/detour/detour_test.go
@@ -170,18 +170,18 @@
 // other boxes.
 func TestOutageLimitsCallsThroughProxies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		others := fakeProxies{}
+		proxies := fakeProxies{}
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
-			others[name] = &fakeLog{err: errUnreachable}
+			proxies[name] = &fakeLog{err: errUnreachable}
 		}
-		d := New(&fakeLog{err: errUnreachable}, others, discardLogger)
+		d := New(&fakeLog{err: errUnreachable}, proxies, discardLogger)
 		for range 50 {
 			if err := d.Append(context.Background(), work.Shard{}, work.Writer{}, nil); !fault.Is(err, fault.LogUnavailable) {
 				t.Fatalf("fault %v", err)
 			}
 		}
 		asked := 0
-		for _, other := range others {
+		for _, other := range proxies {
 			asked += other.calls
 		}
 		if asked > 2*outageBoxes {
@@ -265,15 +265,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				used := &fakeLog{}
-				others := fakeProxies{"b": used}
-				d := New(c.direct, others, discardLogger)
+				proxies := fakeProxies{"b": used}
+				d := New(c.direct, proxies, discardLogger)
 				ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 				defer stop()
 				if err := d.Append(ctx, work.Shard{}, work.Writer{}, nil); err != nil || !d.inBackoff() {
 					t.Fatalf("fault %v, not in backoff: %v", err, !d.inBackoff())
 				}
 				used.set(nil, time.Hour)
-				others["c"] = c.third
+				proxies["c"] = c.third
 				if fault.Is(c.third.err, fault.LogUnavailable) {
 					c.direct.set(nil, 0)
 				}
@@ -306,11 +306,11 @@
 func failedCalls(t *testing.T, lag time.Duration) int64 {
 	var failed atomic.Int64
 	synctest.Test(t, func(*testing.T) {
-		others := fakeProxies{}
+		proxies := fakeProxies{}
 		for n := range 7 {
-			others[fmt.Sprint("b", n)] = &fakeLog{after: lag}
+			proxies[fmt.Sprint("b", n)] = &fakeLog{after: lag}
 		}
-		d := New(&fakeLog{err: errUnreachable}, others, discardLogger)
+		d := New(&fakeLog{err: errUnreachable}, proxies, discardLogger)
 		end := time.Now().Add(6 * time.Second)
 		calls := []func(ctx context.Context) error{func(ctx context.Context) error {
 			_, err := d.Join(ctx, "m", 0, time.Second)
@@ -344,11 +344,11 @@
 		// Each hanging path, including the direct one, may delay a read once.
 		maxReadTime := time.Duration(hanging+1)*(doubtfulReadWait+hedgeDelay) + doubtfulReadWait + 10*time.Millisecond
 		synctest.Test(t, func(t *testing.T) {
-			others := fakeProxies{"healthy": {after: 5 * time.Millisecond}}
+			proxies := fakeProxies{"healthy": {after: 5 * time.Millisecond}}
 			for n := range hanging {
-				others[fmt.Sprint("b", n)] = &fakeLog{after: time.Hour}
+				proxies[fmt.Sprint("b", n)] = &fakeLog{after: time.Hour}
 			}
-			d := New(&fakeLog{after: time.Hour}, others, discardLogger)
+			d := New(&fakeLog{after: time.Hour}, proxies, discardLogger)
 			ctx, stop := context.WithTimeout(context.Background(), time.Second)
 			_ = d.Leave(ctx, "m") // detects that the direct path hangs
 			stop()
@@ -376,11 +376,11 @@
 	)
 	for at := range 10 {
 		synctest.Test(t, func(t *testing.T) {
-			others := fakeProxies{}
+			proxies := fakeProxies{}
 			for n := range 6 {
-				others[fmt.Sprint("b", n)] = &fakeLog{after: lag}
+				proxies[fmt.Sprint("b", n)] = &fakeLog{after: lag}
 			}
-			d := New(&fakeLog{after: time.Hour}, others, discardLogger)
+			d := New(&fakeLog{after: time.Hour}, proxies, discardLogger)
 			begun, last, longestGap := time.Now(), time.Now(), time.Duration(0)
 			frozen := false
 			var reads sync.WaitGroup
@@ -407,7 +407,7 @@
 				if !frozen && time.Since(begun) > 3*time.Second+time.Duration(at)*100*time.Millisecond {
 					frozen = true
 					used, _ := d.chooseProxy(nil)
-					others[used.Name].set(nil, time.Hour)
+					proxies[used.Name].set(nil, time.Hour)
 				}
 			}
 			longestGap = max(longestGap, time.Since(last))
--- a/gate/detour/race.go
+++ b/gate/detour/race.go
@@ -96,7 +96,7 @@
 }
 
 // tryProxies makes the call through other boxes. If one fails or does not respond in time, the next is tried,
-// and the direct path as well unless it was before, since this box may reach the log again itself.
+// and the direct path as well if that is still untried, since this box may reach the log again itself.
 func (r *race) tryProxies() (result, bool) {
 	for range maxProxies {
 		box, ok := r.sendViaProxy()
@@ -160,7 +160,7 @@
 	return r.lastFailure
 }
 
-// noteSlowDirect counts the slow direct path as failed if another box responded first.
+// noteSlowDirect counts the slow direct path as failed if another box responded first, and returns got.
 func (r *race) noteSlowDirect(got result) result {
 	if !got.isDirect() {
 		r.detour.noteDirectFailure(fault.Fail(fault.LogUnavailable, "the log does not respond in time"))
