--- a/gate/lines/handler.go
+++ b/gate/lines/handler.go
@@ -11,7 +11,7 @@
 	// window is the time over which lines with the same message are counted.
 	window = time.Second
 	// maxPerWindow is the number of lines with the same message that are written in a window. It exceeds the
-	// number of decisions that a busy box logs in that time.
+	// number of decisions, one line each, that a busy box logs in that time.
 	maxPerWindow = 200
 )
 
@@ -70,13 +70,13 @@
 
 // allow counts a line and reports whether to write it. suppressed is the number of lines that were not written
 // in the message's previous window, and is only set for the first line of a window.
-func (s *limiter) allow(message string, now time.Time) (suppressed int, write bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c, ok := s.counts[message]
+func (l *limiter) allow(message string, now time.Time) (suppressed int, write bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c, ok := l.counts[message]
 	if !ok {
 		c = &messageCount{windowStart: now}
-		s.counts[message] = c
+		l.counts[message] = c
 	}
 	if now.Sub(c.windowStart) >= window {
 		suppressed = c.suppressed
--- a/gate/lines/lines_test.go
+++ b/gate/lines/lines_test.go
@@ -17,8 +17,8 @@
 // blockedOutput is an output that blocks until free is closed.
 type blockedOutput struct{ free chan struct{} }
 
-func (s blockedOutput) Write(raw []byte) (int, error) {
-	<-s.free
+func (o blockedOutput) Write(raw []byte) (int, error) {
+	<-o.free
 	return len(raw), nil
 }
 
