--- a/gate/meter/meter.go
+++ b/gate/meter/meter.go
@@ -67,14 +67,14 @@
 }
 
 // getOrCreate returns the metric with the name, creating it if needed, or nil if there are too many metrics.
-func (m *Meter) getOrCreate(name string, make func() any) any {
+func (m *Meter) getOrCreate(name string, create func() any) any {
 	if existing := m.registry.Get(name); existing != nil {
 		return existing
 	}
 	if m.metricCount.Add(1) > maxMetrics {
 		return nil
 	}
-	return m.registry.GetOrRegister(name, make())
+	return m.registry.GetOrRegister(name, create())
 }
 
 // Report returns the current values of all metrics.
