--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -31,7 +31,7 @@
 	Models() []types.Model
 }
 
-// LeavingEngines reports which engines are known to leave, by name.
+// LeavingEngines lists the engines that are known to be leaving, by name.
 type LeavingEngines interface {
 	LeavingEngines() []string
 }
@@ -50,12 +50,12 @@
 
 // Pool is the service that sends the orders for the models whose slots this box owns.
 type Pool struct {
-	owners   Owners
-	engines  Engines
-	policies Policies
-	leavers  LeavingEngines
-	counts   Counts
-	logger   *slog.Logger
+	owners         Owners
+	engines        Engines
+	policies       Policies
+	leavingEngines LeavingEngines
+	counts         Counts
+	logger         *slog.Logger
 
 	// pausedUntil holds by model until when it gets no orders. Only the goroutine of Start uses it.
 	pausedUntil map[string]time.Time
@@ -65,9 +65,9 @@
 }
 
 // New returns the service, not yet started.
-func New(owners Owners, engines Engines, policies Policies, leavers LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
+func New(owners Owners, engines Engines, policies Policies, leavingEngines LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
 	p := &Pool{
-		owners: owners, engines: engines, policies: policies, leavers: leavers, counts: counts, logger: logger,
+		owners: owners, engines: engines, policies: policies, leavingEngines: leavingEngines, counts: counts, logger: logger,
 		pausedUntil: map[string]time.Time{},
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
@@ -142,10 +142,11 @@
 	Models map[string]string
 }
 
-// readReplicas asks all engines that don't leave which models they serve. It omits those that don't respond.
+// readReplicas asks all engines that are not leaving which models they serve, and omits those that don't
+// respond.
 func (p *Pool) readReplicas() []Replica {
 	leaving := map[string]bool{}
-	for _, name := range p.leavers.LeavingEngines() {
+	for _, name := range p.leavingEngines.LeavingEngines() {
 		leaving[name] = true
 	}
 	var out []Replica
@@ -161,8 +162,8 @@
 	return out
 }
 
-// ChooseEngine returns the engine that should load the model next, if any. An engine with another version is only
-// updated while a second one serves the model in some version, so that the model stays available.
+// ChooseEngine returns the engine that should load the model next, if any. An engine with another version is
+// only updated while a second one serves the model in some version, so that the model stays available.
 func ChooseEngine(model types.Model, replicas []Replica) (types.Target, bool) {
 	var current, outdated, unloaded []types.Target
 	for _, r := range replicas {
