--- a/gate/peer/peer.go
+++ b/gate/peer/peer.go
@@ -15,7 +15,7 @@
 )
 
 // HopHeader counts how often a request was forwarded, and RequestHeader holds its identifier. Both are only
-// read from requests that arrive on the listener for boxes.
+// read from requests that arrive on the listener for boxes. EntryHeader is unused.
 const (
 	HopHeader     = "X-Mulleingate-Hop"
 	RequestHeader = "X-Request-Id"
@@ -98,13 +98,13 @@
 
 // Server implements wire.Peers.
 type Server struct {
-	views     HeartbeatHandler
-	revisions Revisions
+	heartbeats HeartbeatHandler
+	revisions  Revisions
 }
 
 // NewServer returns the twirp handler for the listener for boxes.
-func NewServer(views HeartbeatHandler, revisions Revisions) http.Handler {
-	return wire.NewPeersServer(&Server{views: views, revisions: revisions})
+func NewServer(heartbeats HeartbeatHandler, revisions Revisions) http.Handler {
+	return wire.NewPeersServer(&Server{heartbeats: heartbeats, revisions: revisions})
 }
 
 // Prefix is the path prefix of the handler.
@@ -115,7 +115,7 @@
 	if in.GetBox() == "" {
 		return nil, twirp.RequiredArgumentError("box")
 	}
-	return s.views.Beat(ctx, in)
+	return s.heartbeats.Beat(ctx, in)
 }
 
 // Revision implements wire.Peers.
