--- a/gate/trail/trail.go
+++ b/gate/trail/trail.go
@@ -8,7 +8,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// Trail is the service that stores decisions. It is safe for concurrent use.
+// Trail is the service that stores trace events. It is safe for concurrent use.
 type Trail struct {
 	mu sync.Mutex
 	// ring is a circular buffer; unused entries are zero.
@@ -17,7 +17,7 @@
 	next int
 }
 
-// New returns a trail that stores the last size steps. size must be positive.
+// New returns a trail that stores the last size events. size must be positive.
 func New(size int) *Trail {
 	return &Trail{ring: make([]types.TraceEvent, size)}
 }
@@ -32,24 +32,24 @@
 	return nil
 }
 
-// Record stores a step with the current time, in place of the oldest one.
-func (t *Trail) Record(step types.TraceEvent) {
-	step.At = time.Now()
+// Record stores an event with the current time, in place of the oldest one.
+func (t *Trail) Record(event types.TraceEvent) {
+	event.At = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ring[t.next] = step
+	t.ring[t.next] = event
 	t.next = (t.next + 1) % len(t.ring)
 }
 
-// Find returns the steps of a program or request, oldest first.
+// Find returns the events of a program or request, oldest first.
 func (t *Trail) Find(id string) []types.TraceEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []types.TraceEvent
 	for i := range t.ring {
-		step := t.ring[(t.next+i)%len(t.ring)]
-		if !step.At.IsZero() && (step.Program == id || step.Request == id) {
-			out = append(out, step)
+		event := t.ring[(t.next+i)%len(t.ring)]
+		if !event.At.IsZero() && (event.Program == id || event.Request == id) {
+			out = append(out, event)
 		}
 	}
 	return out
