--- a/gate/mirror/sources.go
+++ b/gate/mirror/sources.go
@@ -20,8 +20,8 @@
 	sourceRankKey = "source"
 	// minCores replaces the processor time of a box that does not report any, or less.
 	minCores = 0.01
-	// fastCores is the processor time, in cores, and fastLink the bandwidth, in Mbit/s, that a box needs to serve
-	// many others quickly.
+	// fastCores is the processor time, in cores, and fastLink the bandwidth, in Mbit/s, that a box needs to
+	// serve many others quickly.
 	fastCores, fastLink = 0.4, 100
 	// membersBackoff is how long a source that failed to return the members is asked after all others;
 	// readBackoff is the same for a source that failed to return new records.
