--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -34,7 +34,9 @@
 	// Released reports whether the owner released the slot.
 	Released bool
 	// Seq is the sequence number of the last entry of Epoch that was applied.
-	Seq      int64
+	Seq int64
+	// Programs holds the programs by id, Purses the budgets by the id of the root program, and
+	// Keys the idempotency keys.
 	Programs map[string]*types.Program
 	Purses   map[string]*types.TreeBudget
 	Keys     map[string]*types.KeyState
@@ -96,8 +98,8 @@
 	s.Owner = c
 	s.Released = false
 	s.Seq = 0
-	for _, purse := range s.Purses {
-		purse.Spent = purse.Granted
+	for _, tree := range s.Purses {
+		tree.Spent = tree.Granted
 	}
 }
 
@@ -123,8 +125,8 @@
 	case rec.Program != nil:
 		s.applySnapshot(*rec.Program)
 	case rec.TreeBudget != nil:
-		purse := *rec.TreeBudget
-		s.Purses[purse.Root] = &purse
+		tree := *rec.TreeBudget
+		s.Purses[tree.Root] = &tree
 	case rec.KeyState != nil:
 		key := *rec.KeyState
 		s.Keys[key.Intent.Key] = &key
@@ -158,22 +160,22 @@
 		return
 	}
 	prog.LastAt = t.At
-	if purse, ok := s.Purses[prog.Begin.Root]; ok {
-		purse.Spent = min(max(purse.Spent, t.TreeSpent), purse.Granted)
+	if tree, ok := s.Purses[prog.Begin.Root]; ok {
+		tree.Spent = min(max(tree.Spent, t.TreeSpent), tree.Granted)
 	}
 }
 
 func (s *State) applyGrant(g types.Grant) {
-	if purse, ok := s.Purses[g.Root]; ok {
-		purse.Granted = min(max(purse.Granted, g.Total), purse.Budget)
+	if tree, ok := s.Purses[g.Root]; ok {
+		tree.Granted = min(max(tree.Granted, g.Total), tree.Budget)
 	}
 }
 
 func (s *State) applySettle(settle types.Settle) {
-	purse, ok := s.Purses[settle.Root]
-	if ok && settle.Spent <= purse.Granted {
-		purse.Granted = settle.Spent
-		purse.Spent = settle.Spent
+	tree, ok := s.Purses[settle.Root]
+	if ok && settle.Spent <= tree.Granted {
+		tree.Granted = settle.Spent
+		tree.Spent = settle.Spent
 	}
 }
 
@@ -216,7 +218,8 @@
 	current.LastAt = snapshot.LastAt
 }
 
-// Extends reports whether the turn is the next one in the program's hash chain.
+// Extends reports whether the turn is the next one of the program and its digest continues the
+// program's hash chain.
 func Extends(prog *types.Program, t types.Turn) bool {
 	if t.Program != prog.Begin.ID || t.Number != LastTurn(prog)+1 {
 		return false
@@ -227,11 +230,11 @@
 // Replaces reports whether the turn is an alternative to the program's last answered turn:
 // it has the same number and follows the same previous turn.
 func Replaces(prog *types.Program, t types.Turn) bool {
-	head := LastTurn(prog)
-	if head == 0 || t.Program != prog.Begin.ID || t.Number != head {
+	last := LastTurn(prog)
+	if last == 0 || t.Program != prog.Begin.ID || t.Number != last {
 		return false
 	}
 	prefix := *prog
-	prefix.Turns = prog.Turns[:head-1]
+	prefix.Turns = prog.Turns[:last-1]
 	return bytes.Equal(t.Digest, TurnDigest(prog.Begin, t, LastDigest(&prefix)))
 }
