--- a/gate/limit/retry.go
+++ b/gate/limit/retry.go
@@ -8,12 +8,13 @@
 // RetryBudget limits retries to a share of the calls plus a small constant rate, so that they do not
 // amplify an overload. It is safe for concurrent use.
 type RetryBudget struct {
-	// share is the number of retries earned per call; capacity is the most that can be saved up.
+	// share is the number of retries earned per call; capacity is the maximum of budget.
 	share, capacity float64
 	// rate is the number of retries earned per second, regardless of calls.
 	rate float64
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// budget is the number of retries that are allowed now; refilledAt is when rate was last added.
 	budget     float64
 	refilledAt time.Time
 }
