--- a/gate/lease/lease.go
+++ b/gate/lease/lease.go
@@ -12,7 +12,7 @@
 	Input    types.RuleInput
 	Program  string
 	Progress sched.ProgramProgress
-	// PromptTokens and ExpectedTokens are the lengths of the prompt and of the expected answer, in tokens.
+	// PromptTokens is the length of the prompt and ExpectedTokens that of the expected answer.
 	PromptTokens   int
 	ExpectedTokens int
 	// NewProgram marks the first turn of a root program. Rejecting it wastes no work done before.
@@ -31,7 +31,7 @@
 	KeepCache bool
 	// Candidates holds the candidate targets and their scores.
 	Candidates []types.ScoredTarget
-	// Waited is how long the call waited in the queue.
+	// Waited is the time that the call waited in the queue.
 	Waited time.Duration
 	// Rank orders the queue, highest first. Engines receive it as the call's priority.
 	Rank int64
--- a/gate/lease/message.go
+++ b/gate/lease/message.go
@@ -17,7 +17,7 @@
 // Leaving announces that an engine accepts no new work.
 type Leaving struct{ Name string }
 
-// RemoteStreams holds another box's streams in flight, by target.
+// RemoteStreams holds the number of another box's streams in flight, by target.
 type RemoteStreams struct {
 	Box     string
 	Streams map[string]int
