--- a/gate/kernel/kernel.go
+++ b/gate/kernel/kernel.go
@@ -21,14 +21,15 @@
 // Factory creates a service. It may look up the services that the service depends on in k.
 type Factory func(k *Kernel) (Service, error)
 
-// ServiceSpec describes a service: its name, the names of the services that it depends on, and its
-// factory.
+// ServiceSpec describes a service: its name, the names of the services that it depends on, its
+// factory, and the time that its stop reserves for other services.
 type ServiceSpec struct {
 	Name      string
 	DependsOn []string
 	Make      Factory
 	// StopReserve is the time before the deadline of a stop that is reserved for the services that
-	// stop after this one. Stop's context ends that much earlier; no effect without a deadline.
+	// stop after this one: the context of this service's Stop ends that much earlier. It has no
+	// effect on a stop without a deadline.
 	StopReserve time.Duration
 }
 
@@ -36,7 +37,7 @@
 type Kernel struct {
 	log      *slog.Logger
 	services map[string]Service
-	// started lists the started parts in start order.
+	// started lists the started services in start order.
 	started []ServiceSpec
 }
 
@@ -52,30 +53,30 @@
 
 // Start creates and starts the services in dependency order. If one fails, it stops those
 // that have started, but not the failed one, and returns all errors.
-func (k *Kernel) Start(ctx context.Context, parts []ServiceSpec) error {
-	order, err := sortByDependency(parts, k.services)
+func (k *Kernel) Start(ctx context.Context, specs []ServiceSpec) error {
+	order, err := sortByDependency(specs, k.services)
 	if err != nil {
 		return err
 	}
-	for _, part := range order {
-		if err := k.start(ctx, part); err != nil {
+	for _, spec := range order {
+		if err := k.start(ctx, spec); err != nil {
 			return errors.CombineErrors(err, k.Stop(ctx))
 		}
 	}
 	return nil
 }
 
-func (k *Kernel) start(ctx context.Context, part ServiceSpec) error {
-	svc, err := part.Make(k)
+func (k *Kernel) start(ctx context.Context, spec ServiceSpec) error {
+	svc, err := spec.Make(k)
 	if err != nil {
-		return errors.Wrapf(err, "service %s", part.Name)
+		return errors.Wrapf(err, "service %s", spec.Name)
 	}
-	k.services[part.Name] = svc
+	k.services[spec.Name] = svc
 	if err := svc.Start(ctx); err != nil {
-		return errors.Wrapf(err, "service %s", part.Name)
+		return errors.Wrapf(err, "service %s", spec.Name)
 	}
-	k.started = append(k.started, part)
-	k.log.Debug("kernel: service started", "service", part.Name)
+	k.started = append(k.started, spec)
+	k.log.Debug("kernel: service started", "service", spec.Name)
 	return nil
 }
 
@@ -84,9 +85,9 @@
 func (k *Kernel) Stop(ctx context.Context) error {
 	var failures error
 	for i := len(k.started) - 1; i >= 0; i-- {
-		part := k.started[i]
-		if err := k.stop(ctx, part); err != nil {
-			k.log.Warn("kernel: service did not stop cleanly", "service", part.Name, "error", err)
+		spec := k.started[i]
+		if err := k.stop(ctx, spec); err != nil {
+			k.log.Warn("kernel: service did not stop cleanly", "service", spec.Name, "error", err)
 			failures = errors.CombineErrors(failures, err)
 		}
 	}
@@ -94,33 +95,33 @@
 	return failures
 }
 
-func (k *Kernel) stop(ctx context.Context, part ServiceSpec) error {
+func (k *Kernel) stop(ctx context.Context, spec ServiceSpec) error {
 	if deadline, bounded := ctx.Deadline(); bounded {
-		withReserve, stop := context.WithDeadline(ctx, deadline.Add(-part.StopReserve))
+		withReserve, stop := context.WithDeadline(ctx, deadline.Add(-spec.StopReserve))
 		defer stop()
 		ctx = withReserve
 	}
-	return k.services[part.Name].Stop(ctx)
+	return k.services[spec.Name].Stop(ctx)
 }
 
-// sortByDependency orders parts so that each comes after the parts that it depends on. It
-// fails if a dependency is neither in parts nor running, or if there is a cycle.
-func sortByDependency(parts []ServiceSpec, running map[string]Service) ([]ServiceSpec, error) {
+// sortByDependency orders services so that each comes after the services that it depends on.
+// It fails if a dependency is neither in specs nor running, or if there is a cycle.
+func sortByDependency(specs []ServiceSpec, running map[string]Service) ([]ServiceSpec, error) {
 	placed := map[string]bool{}
 	for name := range running {
 		placed[name] = true
 	}
-	remaining := parts
+	remaining := specs
 	var order []ServiceSpec
 	for len(remaining) > 0 {
 		var blocked []ServiceSpec
-		for _, part := range remaining {
-			if !containsAll(part.DependsOn, placed) {
-				blocked = append(blocked, part)
+		for _, spec := range remaining {
+			if !containsAll(spec.DependsOn, placed) {
+				blocked = append(blocked, spec)
 				continue
 			}
-			order = append(order, part)
-			placed[part.Name] = true
+			order = append(order, spec)
+			placed[spec.Name] = true
 		}
 		if len(blocked) == len(remaining) {
 			return nil, fault.Refuse(fault.Internal, "service "+blocked[0].Name+" cannot start: a dependency is missing or there is a cycle")
