--- a/gate/member/member.go
+++ b/gate/member/member.go
@@ -40,7 +40,7 @@
 // box is the state that View keeps for another box.
 type box struct {
 	member types.Member
-	// lastSeen is when its last heartbeat or reply arrived; zero if none has.
+	// lastSeen is the time of its last heartbeat or reply; zero if none has arrived.
 	lastSeen time.Time
 	// listedAt is when it was added from the platform's list; zero if a heartbeat added it.
 	listedAt    time.Time
@@ -56,7 +56,7 @@
 type View struct {
 	incarnation string
 	lister      Lister
-	beater      HeartbeatSender
+	sender      HeartbeatSender
 	timing      Timing
 	logger      *slog.Logger
 
@@ -78,8 +78,8 @@
 }
 
 // New returns a View for the box self with incarnation inc.
-func New(self types.Member, inc string, lister Lister, beater HeartbeatSender, timing Timing, logger *slog.Logger) *View {
-	return &View{self: self, incarnation: inc, lister: lister, beater: beater, timing: timing, logger: logger, boxes: map[string]*box{}}
+func New(self types.Member, incarnation string, lister Lister, sender HeartbeatSender, timing Timing, logger *slog.Logger) *View {
+	return &View{self: self, incarnation: incarnation, lister: lister, sender: sender, timing: timing, logger: logger, boxes: map[string]*box{}}
 }
 
 // Start starts reading the platform's list and sending heartbeats.
@@ -252,14 +252,14 @@
 func (v *View) exchange(m types.Member, beat *wire.BeatRequest) {
 	ctx, stop := context.WithTimeout(v.ctx, v.timing.SuspectTimeout/2)
 	defer stop()
-	reply, err := v.beater.Beat(ctx, m.Peer, beat)
+	reply, err := v.sender.Beat(ctx, m.Peer, beat)
 	if err != nil || reply.GetSelf() == nil {
 		return
 	}
 	v.RecordHeartbeat(reply.GetSelf())
 }
 
-// RecordHeartbeat records a heartbeat of another box and calls the listeners without holding v.mu.
+// RecordHeartbeat records a heartbeat of another box and then calls the callbacks of OnHeartbeat.
 func (v *View) RecordHeartbeat(beat *wire.BeatRequest) {
 	addr, err := netip.ParseAddrPort(beat.GetAddr())
 	if err != nil || beat.GetBox() == v.self.Name {
@@ -306,8 +306,8 @@
 }
 
 // isLive reports whether a heartbeat of the box arrived within Timing.SuspectTimeout. Before the
-// first heartbeat, a listed box is live for Timing.SuspectTimeout after it was added, or for as long
-// as it is kept if this box sends it no heartbeats. The caller must hold v.mu.
+// first heartbeat, a listed box is live for Timing.SuspectTimeout after it was added, or without
+// limit if this box sends it no heartbeats. The caller must hold v.mu.
 func (v *View) isLive(b *box, now time.Time) bool {
 	if !b.lastSeen.IsZero() {
 		return now.Sub(b.lastSeen) < v.timing.SuspectTimeout
