--- a/gate/conf/conf_test.go
+++ b/gate/conf/conf_test.go
@@ -22,11 +22,11 @@
 		}
 		got := map[string]int{}
 		for _, file := range files {
-			set, err := Load(file)
+			settings, err := Load(file)
 			if err != nil {
 				t.Fatalf("%s: %v", file, err)
 			}
-			got[set.Box.Zone]++
+			got[settings.Box.Zone]++
 		}
 		if diff := cmp.Diff(zones, got); diff != "" {
 			t.Errorf("%s: number of boxes per zone (-want +got):\n%s", name, diff)
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -11,8 +11,8 @@
 type Member struct {
 	// HeartbeatInterval is the interval between heartbeats to other boxes.
 	HeartbeatInterval types.Duration `json:"beat"`
-	// SuspectTimeout is how long a box may be silent before it no longer counts as live. It must be at
-	// least three times HeartbeatInterval.
+	// SuspectTimeout is how long a box may be silent before it no longer counts as live. It must
+	// be at least three times HeartbeatInterval.
 	SuspectTimeout types.Duration `json:"suspect"`
 	// ListInterval is the interval between reads of the platform's list.
 	ListInterval types.Duration `json:"list"`
@@ -63,8 +63,8 @@
 
 // Engines holds the settings for polling engines.
 type Engines struct {
-	// PollInterval is the interval between load reports from an engine that has calls of this box in
-	// flight, IdlePollInterval that from other engines.
+	// PollInterval is the interval between polls of an engine that has calls of this box in
+	// flight, IdlePollInterval that of other engines.
 	PollInterval     types.Duration `json:"poll"`
 	IdlePollInterval types.Duration `json:"idle_poll"`
 	// SyncInterval is the interval between reads of an engine's whole cache list.
@@ -124,9 +124,9 @@
 	MaxBodyBytes int64 `json:"body_bytes"`
 	// BodyTimeout is how long a caller may take to send a request body.
 	BodyTimeout types.Duration `json:"body_timeout"`
-	// TrailSteps is the number of recent decision steps that are kept for operators.
+	// TrailSteps is the number of recent scheduling events that are kept for operators.
 	TrailSteps int `json:"trail_steps"`
-	// StopTimeout bounds a graceful stop; OwnerTimeout bounds the search for a slot's owner.
+	// StopTimeout bounds a graceful stop, OwnerTimeout the attempts to reach a slot's owner.
 	StopTimeout  types.Duration `json:"stop_wait"`
 	OwnerTimeout types.Duration `json:"owner_wait"`
 }
