--- a/gate/desk/adopt.go
+++ b/gate/desk/adopt.go
@@ -9,18 +9,18 @@
 )
 
 // Adopt restores from a continuation the programs and turns that the log lacks, such as those
-// of an outage. If any part does not fit, it writes nothing and returns an error. A newer
-// epoch in the continuation sets Superseded.
-func (d *OwnerState) Adopt(cont types.Continuation) ([]types.Record, error) {
-	if cont.Epoch > d.State.Epoch {
-		d.Superseded = true
+// written during an outage of the log. If any part contradicts the state, it writes nothing and
+// returns an error. A newer epoch in the continuation sets Superseded.
+func (s *OwnerState) Adopt(cont types.Continuation) ([]types.Record, error) {
+	if cont.Epoch > s.State.Epoch {
+		s.Superseded = true
 		return nil, fault.Refuse(fault.NotOwner, "the continuation is from a newer owner")
 	}
-	begins, err := d.missingBegins(cont)
+	begins, err := s.missingBegins(cont)
 	if err != nil {
 		return nil, err
 	}
-	prog, ok := d.State.Programs[cont.Program]
+	prog, ok := s.State.Programs[cont.Program]
 	if !ok {
 		prog = programOf(begins, cont.Program)
 	}
@@ -31,25 +31,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if run, ok := d.Turns[cont.Program]; ok && len(turns) > 0 {
+	if run, ok := s.Turns[cont.Program]; ok && len(turns) > 0 {
 		return nil, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(run.Turn - 1)
 	}
-	recs := d.writeAdopted(begins)
+	recs := s.writeAdopted(begins)
 	for _, turn := range turns {
-		recs = append(recs, d.write(types.Record{Turn: &turn})...)
+		recs = append(recs, s.write(types.Record{Turn: &turn})...)
 	}
 	return recs, nil
 }
 
 // missingBegins returns the programs of the continuation that the state lacks, in the
 // continuation's order: ancestors first.
-func (d *OwnerState) missingBegins(cont types.Continuation) ([]types.Begin, error) {
+func (s *OwnerState) missingBegins(cont types.Continuation) ([]types.Begin, error) {
 	var out []types.Begin
 	for _, b := range cont.Begins {
 		if b.Workspace != cont.Workspace {
 			return nil, fault.Refuse(fault.BadContinuation, "the continuation mixes workspaces")
 		}
-		if _, ok := d.State.Programs[b.ID]; !ok {
+		if _, ok := s.State.Programs[b.ID]; !ok {
 			out = append(out, b)
 		}
 	}
@@ -68,16 +68,16 @@
 
 // writeAdopted writes the programs. The first grant of a root counts as spent: the box that
 // granted it may have spent it or may still be spending it.
-func (d *OwnerState) writeAdopted(begins []types.Begin) []types.Record {
+func (s *OwnerState) writeAdopted(begins []types.Begin) []types.Record {
 	var recs []types.Record
 	for _, b := range begins {
-		recs = append(recs, d.write(types.Record{Begin: &b})...)
+		recs = append(recs, s.write(types.Record{Begin: &b})...)
 		if b.ID != b.Root {
 			continue
 		}
 		tree := types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: b.Grant, Spent: b.Grant}
-		recs = append(recs, d.write(types.Record{TreeBudget: &tree})...)
-		d.confirmGrant(b.ID, b.Grant)
+		recs = append(recs, s.write(types.Record{TreeBudget: &tree})...)
+		s.confirmGrant(b.ID, b.Grant)
 	}
 	return recs
 }
@@ -86,32 +86,32 @@
 // if it does not extend it. If two owners answered the last turn, the answer in the
 // continuation replaces the stored one. Earlier turns are never replaced.
 func newTurns(prog *types.Program, cont types.Continuation) ([]types.Turn, error) {
-	head := fold.LastTurn(prog)
-	if cont.Turn < head {
+	lastTurn := fold.LastTurn(prog)
+	if cont.Turn < lastTurn {
 		return nil, checkHistory(prog, cont)
 	}
-	scratch := *prog
-	scratch.Turns = append([]types.Turn{}, prog.Turns...)
+	extended := *prog
+	extended.Turns = append([]types.Turn{}, prog.Turns...)
 	var out []types.Turn
 	for _, turn := range cont.Tail {
 		switch {
-		case turn.Number < head:
+		case turn.Number < lastTurn:
 			continue
-		case turn.Number == head && bytes.Equal(turn.Digest, fold.LastDigest(&scratch)):
+		case turn.Number == lastTurn && bytes.Equal(turn.Digest, fold.LastDigest(&extended)):
 			continue
-		case turn.Number == head && fold.Replaces(&scratch, turn):
-			scratch.Turns = scratch.Turns[:head-1]
+		case turn.Number == lastTurn && fold.Replaces(&extended, turn):
+			extended.Turns = extended.Turns[:lastTurn-1]
 			turn.Replaces = true
-		case fold.Extends(&scratch, turn):
+		case fold.Extends(&extended, turn):
 			turn.Replaces = false
 		default:
-			return nil, fault.Refuse(fault.BadContinuation, "the continuation does not extend the history").WithHead(head)
+			return nil, fault.Refuse(fault.BadContinuation, "the continuation does not extend the history").WithHead(lastTurn)
 		}
-		scratch.Turns = append(scratch.Turns, turn)
+		extended.Turns = append(extended.Turns, turn)
 		out = append(out, turn)
 	}
-	if fold.LastTurn(&scratch) != cont.Turn || !bytes.Equal(fold.LastDigest(&scratch), cont.Digest) {
-		return nil, fault.Refuse(fault.BadContinuation, "turns are missing between the log and the continuation").WithHead(head)
+	if fold.LastTurn(&extended) != cont.Turn || !bytes.Equal(fold.LastDigest(&extended), cont.Digest) {
+		return nil, fault.Refuse(fault.BadContinuation, "turns are missing between the log and the continuation").WithHead(lastTurn)
 	}
 	return out, nil
 }
@@ -131,17 +131,17 @@
 
 // Continuation returns the continuation after the given turn of the program. It carries the
 // begin records and turns that the log has not confirmed.
-func (d *OwnerState) Continuation(prog *types.Program, turn int) types.Continuation {
+func (s *OwnerState) Continuation(prog *types.Program, turn int) types.Continuation {
 	cont := types.Continuation{
 		Program: prog.Begin.ID, Workspace: prog.Begin.Workspace, Turn: turn,
-		Epoch: d.State.Epoch, Incarnation: d.Incarnation,
+		Epoch: s.State.Epoch, Incarnation: s.Incarnation,
 	}
 	if turn > 0 {
 		cont.Digest = prog.Turns[turn-1].Digest
 	}
-	logged, inLog := d.Logged(prog.Begin.ID)
+	logged, inLog := s.Logged(prog.Begin.ID)
 	if !inLog {
-		cont.Begins = d.lineage(prog)
+		cont.Begins = s.lineage(prog)
 	}
 	if turn > logged {
 		cont.Tail = append(cont.Tail, prog.Turns[logged:turn]...)
@@ -150,11 +150,11 @@
 }
 
 // lineage returns the begin records of the program and its ancestors, root first.
-func (d *OwnerState) lineage(prog *types.Program) []types.Begin {
+func (s *OwnerState) lineage(prog *types.Program) []types.Begin {
 	var out []types.Begin
 	for prog != nil {
 		out = append([]types.Begin{prog.Begin}, out...)
-		prog = d.State.Programs[prog.Begin.Parent]
+		prog = s.State.Programs[prog.Begin.Parent]
 	}
 	return out
 }
--- a/gate/desk/call.go
+++ b/gate/desk/call.go
@@ -28,24 +28,24 @@
 
 // StartCall decides on a request for a call that must not be repeated. A key that has an
 // intent never gets a second one.
-func (d *OwnerState) StartCall(now time.Time, req CallRequest) (CallStart, []types.Record, error) {
-	start, known, err := d.existingCall(req.Intent)
+func (s *OwnerState) StartCall(now time.Time, req CallRequest) (CallStart, []types.Record, error) {
+	start, known, err := s.existingCall(req.Intent)
 	if err != nil || known {
 		return start, nil, err
 	}
-	root, recs, err := d.reservePrice(now, req)
+	root, recs, err := s.reservePrice(now, req)
 	if err != nil {
 		return CallStart{}, nil, err
 	}
 	run := &CallRun{Intent: req.Intent, Reserved: req.Price, Root: root}
-	d.Calls[req.Intent.Key] = run
-	recs = append(recs, d.write(types.Record{Intent: &req.Intent})...)
+	s.Calls[req.Intent.Key] = run
+	recs = append(recs, s.write(types.Record{Intent: &req.Intent})...)
 	return CallStart{Run: run}, recs, nil
 }
 
 // existingCall returns the decision for a key that has an intent, and reports whether it has.
-func (d *OwnerState) existingCall(in types.Intent) (CallStart, bool, error) {
-	key, ok := d.State.Keys[in.Key]
+func (s *OwnerState) existingCall(in types.Intent) (CallStart, bool, error) {
+	key, ok := s.State.Keys[in.Key]
 	if !ok {
 		return CallStart{}, false, nil
 	}
@@ -55,7 +55,7 @@
 	if key.Outcome != nil && !key.Outcome.Unknown {
 		return CallStart{Stored: key.Outcome}, true, nil
 	}
-	if run, ok := d.Calls[in.Key]; ok {
+	if run, ok := s.Calls[in.Key]; ok {
 		return CallStart{Join: run.Run}, true, nil
 	}
 	return CallStart{Unknown: &key.Intent}, true, nil
@@ -63,62 +63,62 @@
 
 // reservePrice reserves the price from the budget of the call's program, if it has one. It
 // returns the root program that pays, or "".
-func (d *OwnerState) reservePrice(now time.Time, req CallRequest) (string, []types.Record, error) {
+func (s *OwnerState) reservePrice(now time.Time, req CallRequest) (string, []types.Record, error) {
 	if req.Intent.Program == "" {
 		return "", nil, nil
 	}
-	prog, err := d.Program(req.Intent.Program, req.Intent.Workspace)
+	prog, err := s.Program(req.Intent.Program, req.Intent.Workspace)
 	if err != nil {
 		return "", nil, err
 	}
-	if err := d.checkOpen(now, prog); err != nil {
+	if err := s.checkOpen(now, prog); err != nil {
 		return "", nil, err
 	}
-	tree, err := d.treeBudget(prog)
+	tree, err := s.treeBudget(prog)
 	if err != nil {
 		return "", nil, err
 	}
-	if d.available(tree) < req.Price {
-		return "", nil, d.budgetError(tree)
+	if s.available(tree) < req.Price {
+		return "", nil, s.budgetError(tree)
 	}
-	return tree.Root, d.reserve(tree, req.Price, req.GrantChunk), nil
+	return tree.Root, s.reserve(tree, req.Price, req.GrantChunk), nil
 }
 
 // FinishCall ends a run with its outcome. A call that did not run costs nothing.
-func (d *OwnerState) FinishCall(run *CallRun, out types.Outcome) []types.Record {
-	if d.Calls[run.Intent.Key] != run {
+func (s *OwnerState) FinishCall(run *CallRun, out types.Outcome) []types.Record {
+	if s.Calls[run.Intent.Key] != run {
 		return nil
 	}
-	delete(d.Calls, run.Intent.Key)
+	delete(s.Calls, run.Intent.Key)
 	spent := run.Reserved
 	if out.NotRun {
 		spent = 0
 	}
 	if run.Root != "" {
-		d.settle(run.Root, run.Reserved, spent)
+		s.settle(run.Root, run.Reserved, spent)
 	}
-	return d.write(types.Record{Outcome: &out})
+	return s.write(types.Record{Outcome: &out})
 }
 
 // ResolveCall writes the outcome of a call that was unknown until a probe found it.
-func (d *OwnerState) ResolveCall(out types.Outcome) []types.Record {
-	key, ok := d.State.Keys[out.Key]
+func (s *OwnerState) ResolveCall(out types.Outcome) []types.Record {
+	key, ok := s.State.Keys[out.Key]
 	if !ok || key.Intent.Attempt != out.Attempt {
 		return nil
 	}
 	if key.Outcome != nil && !key.Outcome.Unknown {
 		return nil
 	}
-	return d.write(types.Record{Outcome: &out})
+	return s.write(types.Record{Outcome: &out})
 }
 
 // ChargeCall charges the price of a repeatable call to its program, if it has one, when the
 // call starts.
-func (d *OwnerState) ChargeCall(now time.Time, req CallRequest) ([]types.Record, error) {
-	root, recs, err := d.reservePrice(now, req)
+func (s *OwnerState) ChargeCall(now time.Time, req CallRequest) ([]types.Record, error) {
+	root, recs, err := s.reservePrice(now, req)
 	if err != nil || root == "" {
 		return recs, err
 	}
-	d.settle(root, req.Price, req.Price)
+	s.settle(root, req.Price, req.Price)
 	return recs, nil
 }
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -46,7 +46,7 @@
 	Calls map[string]*CallRun
 	// LogAvailable is false from a failed append until the next one succeeds.
 	LogAvailable bool
-	// Superseded is set once a continuation carries a newer epoch. The owner then gives the slot up.
+	// Superseded is set once a continuation carries a newer epoch. The owner then gives up the slot.
 	Superseded bool
 
 	// reserved is the number of tokens reserved for work in flight, by root program.
@@ -57,52 +57,53 @@
 	// logged is the number of confirmed turns by program. Programs that the log has not
 	// confirmed are absent.
 	logged map[string]int
-	// lastAppended is the time of the last append of each program and key. Snapshot uses it.
+	// lastAppended is the time at which each program's or key's first record or last snapshot was
+	// appended. Snapshot uses it.
 	lastAppended map[string]time.Time
 }
 
 // New returns the state of an owner that has just claimed the slot.
 func New(state *fold.State, incarnation string) *OwnerState {
-	d := &OwnerState{
+	s := &OwnerState{
 		State: state, Incarnation: incarnation, LogAvailable: true,
 		Turns: map[string]*TurnRun{}, Calls: map[string]*CallRun{},
 		reserved: map[string]int64{}, confirmed: map[string]int64{},
 		logged: map[string]int{}, lastAppended: map[string]time.Time{},
 	}
 	for id, prog := range state.Programs {
-		d.logged[id] = fold.LastTurn(prog)
+		s.logged[id] = fold.LastTurn(prog)
 	}
 	for root, tree := range state.Purses {
-		d.confirmed[root] = tree.Granted
+		s.confirmed[root] = tree.Granted
 	}
-	return d
+	return s
 }
 
 // Confirm marks the records as confirmed by the log.
-func (d *OwnerState) Confirm(now time.Time, recs []types.Record) {
+func (s *OwnerState) Confirm(now time.Time, recs []types.Record) {
 	for _, rec := range recs {
 		switch {
 		case rec.Begin != nil:
-			d.logged[rec.Begin.ID] = max(d.logged[rec.Begin.ID], 0)
-			d.confirmGrant(rec.Begin.Root, rec.Begin.Grant)
-			d.lastAppended[rec.Begin.ID] = now
+			s.logged[rec.Begin.ID] = max(s.logged[rec.Begin.ID], 0)
+			s.confirmGrant(rec.Begin.Root, rec.Begin.Grant)
+			s.lastAppended[rec.Begin.ID] = now
 		case rec.Turn != nil:
-			d.logged[rec.Turn.Program] = max(d.logged[rec.Turn.Program], rec.Turn.Number)
+			s.logged[rec.Turn.Program] = max(s.logged[rec.Turn.Program], rec.Turn.Number)
 		case rec.Grant != nil:
-			d.confirmGrant(rec.Grant.Root, rec.Grant.Total)
+			s.confirmGrant(rec.Grant.Root, rec.Grant.Total)
 		case rec.Program != nil:
-			d.lastAppended[rec.Program.Begin.ID] = now
+			s.lastAppended[rec.Program.Begin.ID] = now
 		case rec.Intent != nil:
-			d.lastAppended[keyItemID(rec.Intent.Key)] = now
+			s.lastAppended[keyItemID(rec.Intent.Key)] = now
 		case rec.KeyState != nil:
-			d.lastAppended[keyItemID(rec.KeyState.Intent.Key)] = now
+			s.lastAppended[keyItemID(rec.KeyState.Intent.Key)] = now
 		}
 	}
 }
 
 // confirmGrant raises the confirmed grant of a root program to total tokens; it never lowers it.
-func (d *OwnerState) confirmGrant(root string, total int64) {
-	d.confirmed[root] = max(d.confirmed[root], total)
+func (s *OwnerState) confirmGrant(root string, total int64) {
+	s.confirmed[root] = max(s.confirmed[root], total)
 }
 
 // keyItemID returns the id under which lastAppended holds an idempotency key.
@@ -112,15 +113,15 @@
 
 // Logged returns the number of the program's confirmed turns, and whether the program
 // itself is confirmed.
-func (d *OwnerState) Logged(program string) (int, bool) {
-	n, ok := d.logged[program]
+func (s *OwnerState) Logged(program string) (int, bool) {
+	n, ok := s.logged[program]
 	return n, ok
 }
 
 // Program returns a program of the workspace. A program of another workspace is reported
 // as not found, so that its existence is not disclosed.
-func (d *OwnerState) Program(id, workspace string) (*types.Program, error) {
-	prog, ok := d.State.Programs[id]
+func (s *OwnerState) Program(id, workspace string) (*types.Program, error) {
+	prog, ok := s.State.Programs[id]
 	if !ok || prog.Begin.Workspace != workspace {
 		return nil, fault.Refuse(fault.NoProgram, "no such program")
 	}
@@ -128,9 +129,9 @@
 }
 
 // write applies records to the state and returns them, to be appended to the log.
-func (d *OwnerState) write(recs ...types.Record) []types.Record {
+func (s *OwnerState) write(recs ...types.Record) []types.Record {
 	for _, rec := range recs {
-		d.State.ApplyRecord(rec)
+		s.State.ApplyRecord(rec)
 	}
 	return recs
 }
--- a/gate/desk/op.go
+++ b/gate/desk/op.go
@@ -8,7 +8,7 @@
 
 // Op reads and updates the state of a slot and returns the records that it applied. It
 // runs alone, in the slot's event loop, and must not block.
-type Op func(now time.Time, d *OwnerState) ([]types.Record, error)
+type Op func(now time.Time, s *OwnerState) ([]types.Record, error)
 
 // Mode says when the records of an operation are appended, and whether the operation is
 // accepted while the log is unavailable or the slot is being released.
@@ -16,7 +16,7 @@
 
 // The modes.
 const (
-	// Lazy records are delayed shortly to be appended in a batch.
+	// Lazy records are delayed for a short time to be appended in a batch.
 	Lazy Mode = iota
 	// Durable records are appended at once. The operation is refused while the log is
 	// unavailable.
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -7,44 +7,44 @@
 
 // available returns the tokens that may still be reserved: up to the budget, or up to the
 // confirmed grant while the log is unavailable.
-func (d *OwnerState) available(tree *types.TreeBudget) int64 {
+func (s *OwnerState) available(tree *types.TreeBudget) int64 {
 	bound := tree.Budget
-	if !d.LogAvailable {
-		bound = min(bound, d.confirmed[tree.Root])
+	if !s.LogAvailable {
+		bound = min(bound, s.confirmed[tree.Root])
 	}
-	return bound - tree.Spent - d.reserved[tree.Root]
+	return bound - tree.Spent - s.reserved[tree.Root]
 }
 
 // reserve reserves need tokens. If the grant does not cover them, it returns a grant record
 // that the log must confirm before the work is dispatched.
-func (d *OwnerState) reserve(tree *types.TreeBudget, need, chunk int64) []types.Record {
-	d.reserved[tree.Root] += need
-	used := tree.Spent + d.reserved[tree.Root]
+func (s *OwnerState) reserve(tree *types.TreeBudget, need, chunk int64) []types.Record {
+	s.reserved[tree.Root] += need
+	used := tree.Spent + s.reserved[tree.Root]
 	if used <= tree.Granted {
 		return nil
 	}
 	total := min(tree.Budget, max(used, tree.Granted+chunk))
-	return d.write(types.Record{Grant: &types.Grant{Root: tree.Root, Total: total}})
+	return s.write(types.Record{Grant: &types.Grant{Root: tree.Root, Total: total}})
 }
 
 // Covered reports whether the confirmed grant of a root program covers all that is
 // reserved and spent.
-func (d *OwnerState) Covered(root string) bool {
-	tree, ok := d.State.Purses[root]
-	return ok && tree.Spent+d.reserved[root] <= d.confirmed[root]
+func (s *OwnerState) Covered(root string) bool {
+	tree, ok := s.State.Purses[root]
+	return ok && tree.Spent+s.reserved[root] <= s.confirmed[root]
 }
 
 // settle ends a reservation of which spent tokens were used.
-func (d *OwnerState) settle(root string, reserved, spent int64) {
-	d.reserved[root] -= reserved
-	if tree, ok := d.State.Purses[root]; ok {
+func (s *OwnerState) settle(root string, reserved, spent int64) {
+	s.reserved[root] -= reserved
+	if tree, ok := s.State.Purses[root]; ok {
 		tree.Spent = min(tree.Spent+spent, tree.Granted)
 	}
 }
 
 // treeBudget returns the budget of the tree that the program belongs to.
-func (d *OwnerState) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
-	tree, ok := d.State.Purses[prog.Begin.Root]
+func (s *OwnerState) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
+	tree, ok := s.State.Purses[prog.Begin.Root]
 	if !ok {
 		return nil, fault.Refuse(fault.BudgetSpent, "the budget of the program's tree is unknown")
 	}
@@ -53,8 +53,8 @@
 
 // Spent returns the tokens that the program's tree has spent and the tree's budget. Both
 // are 0 if the budget is unknown.
-func (d *OwnerState) Spent(prog *types.Program) (spent, budget int64) {
-	tree, ok := d.State.Purses[prog.Begin.Root]
+func (s *OwnerState) Spent(prog *types.Program) (spent, budget int64) {
+	tree, ok := s.State.Purses[prog.Begin.Root]
 	if !ok {
 		return 0, 0
 	}
@@ -63,12 +63,12 @@
 
 // SettleGrants applies and returns the records that give unspent grants back at a planned
 // release. Trees with reservations are left out.
-func (d *OwnerState) SettleGrants() []types.Record {
+func (s *OwnerState) SettleGrants() []types.Record {
 	var recs []types.Record
-	for root, tree := range d.State.Purses {
-		if d.reserved[root] == 0 && tree.Spent < tree.Granted {
+	for root, tree := range s.State.Purses {
+		if s.reserved[root] == 0 && tree.Spent < tree.Granted {
 			recs = append(recs, types.Record{Settle: &types.Settle{Root: root, Spent: tree.Spent}})
 		}
 	}
-	return d.write(recs...)
+	return s.write(recs...)
 }
--- a/gate/desk/purse_test.go
+++ b/gate/desk/purse_test.go
@@ -29,7 +29,7 @@
 	pending [][]types.Record
 	seq     int64
 	epoch   int64
-	desk    *OwnerState
+	owner   *OwnerState
 	charged int64
 	// running holds the current owner's work in flight, waiting for its grant or dispatched.
 	running      []*testRun
@@ -61,7 +61,7 @@
 	for i, e := range l.entries {
 		state.Apply(int64(i+1), e)
 	}
-	l.desk, l.seq, l.pending, l.running = New(state, "i"), 0, nil, nil
+	l.owner, l.seq, l.pending, l.running = New(state, "i"), 0, nil, nil
 }
 
 func (l *ledger) write(recs []types.Record) {
@@ -72,12 +72,12 @@
 
 // begin creates the program, or restores it from its continuation.
 func (l *ledger) begin() {
-	if _, ok := l.desk.State.Programs[testRoot]; ok {
+	if _, ok := l.owner.State.Programs[testRoot]; ok {
 		return
 	}
 	if l.continuation.Program != "" {
 		l.continuation.Epoch = 0
-		recs, err := l.desk.Adopt(l.continuation)
+		recs, err := l.owner.Adopt(l.continuation)
 		if err != nil {
 			l.t.Fatalf("adopt: %v", err)
 		}
@@ -85,12 +85,12 @@
 		return
 	}
 	b := types.Begin{ID: testRoot, Workspace: "one", Budget: testBudget, Deadline: testTime.Add(time.Hour), Limits: types.Limits{Turns: 9}}
-	recs, err := l.desk.Begin(testTime, BeginRequest{Begin: b, GrantChunk: testChunk})
+	recs, err := l.owner.Begin(testTime, BeginRequest{Begin: b, GrantChunk: testChunk})
 	if err != nil {
 		l.t.Fatalf("begin: %v", err)
 	}
 	l.write(recs)
-	l.continuation = l.desk.Continuation(l.desk.State.Programs[testRoot], 0)
+	l.continuation = l.owner.Continuation(l.owner.State.Programs[testRoot], 0)
 }
 
 // start starts a call and dispatches it if the confirmed grant covers it.
@@ -98,7 +98,7 @@
 	l.begin()
 	l.calls++
 	req := CallRequest{Intent: types.Intent{Key: fmt.Sprint(l.calls), Attempt: "a", Workspace: "one", Program: testRoot, At: testTime}, Price: price, GrantChunk: testChunk}
-	start, recs, err := l.desk.StartCall(testTime, req)
+	start, recs, err := l.owner.StartCall(testTime, req)
 	if err != nil {
 		return
 	}
@@ -110,7 +110,7 @@
 // turn starts the program's next turn.
 func (l *ledger) turn(tokens int64) {
 	l.begin()
-	start, recs, err := l.desk.StartTurn(testTime, TurnRequest{
+	start, recs, err := l.owner.StartTurn(testTime, TurnRequest{
 		Program: testRoot, Workspace: "one", Turn: 1, RequestDigest: []byte("a"), PromptTokens: 1, MaxTokens: tokens, GrantChunk: testChunk,
 	})
 	l.write(recs)
@@ -121,17 +121,17 @@
 	l.dispatch()
 }
 
-// rerun fails the dispatched turn and retries it.
-func (l *ledger) rerun() {
+// retryTurn fails the dispatched turn and retries it.
+func (l *ledger) retryTurn() {
 	for i, r := range l.running {
 		if r.turn == nil || !r.dispatched {
 			continue
 		}
-		recs, err := l.desk.RetryTurn(testRoot, r.turn, r.turn.Reserved, testChunk)
+		recs, err := l.owner.RetryTurn(testRoot, r.turn, r.turn.Reserved, testChunk)
 		l.write(recs)
 		r.dispatched = false
 		if err != nil {
-			l.desk.FailTurn(testRoot, r.turn, 0)
+			l.owner.FailTurn(testRoot, r.turn, 0)
 			l.running = append(l.running[:i], l.running[i+1:]...)
 		}
 		l.dispatch()
@@ -140,7 +140,7 @@
 }
 
 func (l *ledger) dispatch() {
-	if !l.desk.Covered(testRoot) {
+	if !l.owner.Covered(testRoot) {
 		return
 	}
 	for _, r := range l.running {
@@ -154,12 +154,12 @@
 func (l *ledger) finish() {
 	for i, r := range l.running {
 		if r.dispatched && r.turn != nil {
-			l.desk.FailTurn(testRoot, r.turn, r.turn.Reserved)
+			l.owner.FailTurn(testRoot, r.turn, r.turn.Reserved)
 			l.running = append(l.running[:i], l.running[i+1:]...)
 			return
 		}
 		if r.dispatched {
-			l.write(l.desk.FinishCall(r.run, types.Outcome{Key: r.run.Intent.Key, Attempt: "a", Status: 200}))
+			l.write(l.owner.FinishCall(r.run, types.Outcome{Key: r.run.Intent.Key, Attempt: "a", Status: 200}))
 			l.running = append(l.running[:i], l.running[i+1:]...)
 			return
 		}
@@ -171,10 +171,10 @@
 	for _, recs := range l.pending {
 		l.seq++
 		l.entries = append(l.entries, types.Entry{Epoch: l.epoch, Seq: l.seq, Records: recs})
-		l.desk.Confirm(testTime, recs)
+		l.owner.Confirm(testTime, recs)
 	}
 	l.pending = nil
-	l.desk.LogAvailable = true
+	l.owner.LogAvailable = true
 	l.dispatch()
 }
 
@@ -191,12 +191,12 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"start":   func(rt *rapid.T) { l.start(rapid.Int64Range(1, 60).Draw(rt, "price")) },
 			"turn":    func(rt *rapid.T) { l.turn(rapid.Int64Range(1, 60).Draw(rt, "tokens")) },
-			"rerun":   func(*rapid.T) { l.rerun() },
+			"rerun":   func(*rapid.T) { l.retryTurn() },
 			"finish":  func(*rapid.T) { l.finish() },
 			"confirm": func(*rapid.T) { l.confirm() },
 			"crash":   func(*rapid.T) { l.claim() },
 			"log_away": func(*rapid.T) {
-				l.desk.LogAvailable = false
+				l.owner.LogAvailable = false
 			},
 			"": func(rt *rapid.T) {
 				if l.charged > testBudget {
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -7,7 +7,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// Reasons for which programs end.
+// Reasons for the end of a program.
 const (
 	EndedByCaller   = "by_caller"
 	EndedByDeadline = "deadline"
@@ -26,18 +26,18 @@
 )
 
 // End ends a program and its descendants. It returns the ids of the programs that it ended.
-func (d *OwnerState) End(now time.Time, id, reason string) ([]string, []types.Record) {
-	prog, ok := d.State.Programs[id]
+func (s *OwnerState) End(now time.Time, id, reason string) ([]string, []types.Record) {
+	prog, ok := s.State.Programs[id]
 	if !ok || prog.Ended != "" {
 		return nil, nil
 	}
 	ids := []string{id}
-	recs := d.write(types.Record{End: &types.End{Program: id, Reason: reason, At: now}})
-	for child, p := range d.State.Programs {
+	recs := s.write(types.Record{End: &types.End{Program: id, Reason: reason, At: now}})
+	for child, p := range s.State.Programs {
 		if p.Begin.Parent != id || p.Ended != "" {
 			continue
 		}
-		endedIDs, childRecs := d.End(now, child, EndedWithRoot)
+		endedIDs, childRecs := s.End(now, child, EndedWithRoot)
 		ids = append(ids, endedIDs...)
 		recs = append(recs, childRecs...)
 	}
@@ -46,37 +46,37 @@
 
 // Sweep ends programs that are past a limit, and drops expired keys and programs that ended
 // long ago. It returns the ids of the programs that it ended.
-func (d *OwnerState) Sweep(now time.Time, keepKeys time.Duration) ([]string, []types.Record) {
+func (s *OwnerState) Sweep(now time.Time, keepKeys time.Duration) ([]string, []types.Record) {
 	var ended []string
 	var recs []types.Record
-	for id, prog := range d.State.Programs {
+	for id, prog := range s.State.Programs {
 		if prog.Ended != "" {
-			d.forget(now, id, prog)
+			s.forget(now, id, prog)
 			continue
 		}
-		reason := d.endReason(now, prog)
+		reason := s.endReason(now, prog)
 		if reason == "" {
 			continue
 		}
-		ids, more := d.End(now, id, reason)
+		ids, more := s.End(now, id, reason)
 		ended = append(ended, ids...)
 		recs = append(recs, more...)
 	}
-	for key, st := range d.State.Keys {
-		if _, running := d.Calls[key]; !running && now.Sub(st.Intent.At) > keepKeys {
-			delete(d.State.Keys, key)
-			delete(d.lastAppended, keyItemID(key))
+	for key, st := range s.State.Keys {
+		if _, running := s.Calls[key]; !running && now.Sub(st.Intent.At) > keepKeys {
+			delete(s.State.Keys, key)
+			delete(s.lastAppended, keyItemID(key))
 		}
 	}
 	return ended, recs
 }
 
 // endReason returns the reason for which a program must end now, or "".
-func (d *OwnerState) endReason(now time.Time, prog *types.Program) string {
+func (s *OwnerState) endReason(now time.Time, prog *types.Program) string {
 	if !now.Before(prog.Begin.Deadline) {
 		return EndedByDeadline
 	}
-	if _, running := d.Turns[prog.Begin.ID]; running {
+	if _, running := s.Turns[prog.Begin.ID]; running {
 		return ""
 	}
 	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
@@ -84,10 +84,10 @@
 	}
 	idle := time.Duration(prog.Begin.Limits.Idle)
 	// The program's own LastAt is checked first, because lastActivity scans all programs.
-	if idle > 0 && now.Sub(prog.LastAt) > idle && now.Sub(d.lastActivity(prog)) > idle {
+	if idle > 0 && now.Sub(prog.LastAt) > idle && now.Sub(s.lastActivity(prog)) > idle {
 		return EndedByIdle
 	}
-	if spent, budget := d.Spent(prog); budget > 0 && spent >= budget && d.reserved[prog.Begin.Root] == 0 {
+	if spent, budget := s.Spent(prog); budget > 0 && spent >= budget && s.reserved[prog.Begin.Root] == 0 {
 		return EndedByBudget
 	}
 	return ""
@@ -95,13 +95,13 @@
 
 // lastActivity returns the last activity of the program and its direct sub-agents. It is in
 // the far future while one of those has a turn in flight.
-func (d *OwnerState) lastActivity(prog *types.Program) time.Time {
+func (s *OwnerState) lastActivity(prog *types.Program) time.Time {
 	last := prog.LastAt
-	for id, p := range d.State.Programs {
+	for id, p := range s.State.Programs {
 		if p.Begin.Parent != prog.Begin.ID {
 			continue
 		}
-		if _, running := d.Turns[id]; running {
+		if _, running := s.Turns[id]; running {
 			return time.Unix(1<<40, 0)
 		}
 		if p.LastAt.After(last) {
@@ -112,37 +112,37 @@
 }
 
 // forget drops an ended program after endedRetention.
-func (d *OwnerState) forget(now time.Time, id string, prog *types.Program) {
+func (s *OwnerState) forget(now time.Time, id string, prog *types.Program) {
 	if now.Sub(prog.LastAt) <= endedRetention {
 		return
 	}
-	delete(d.State.Programs, id)
-	delete(d.State.Purses, id)
-	delete(d.logged, id)
-	delete(d.confirmed, id)
-	delete(d.reserved, id)
-	delete(d.lastAppended, id)
+	delete(s.State.Programs, id)
+	delete(s.State.Purses, id)
+	delete(s.logged, id)
+	delete(s.confirmed, id)
+	delete(s.reserved, id)
+	delete(s.lastAppended, id)
 }
 
-// Snapshot returns records that copy programs and keys last appended at least age ago, so
-// that the log's retention does not drop what is in use.
-func (d *OwnerState) Snapshot(now time.Time, age time.Duration) []types.Record {
+// Snapshot returns records that copy programs and keys last appended at least age ago, before
+// the log's retention deletes their records.
+func (s *OwnerState) Snapshot(now time.Time, age time.Duration) []types.Record {
 	var recs []types.Record
-	for id, prog := range d.State.Programs {
-		if now.Sub(d.lastAppended[id]) < age {
+	for id, prog := range s.State.Programs {
+		if now.Sub(s.lastAppended[id]) < age {
 			continue
 		}
-		d.lastAppended[id] = now
-		recs = append(recs, d.snapshotProgram(prog)...)
+		s.lastAppended[id] = now
+		recs = append(recs, s.snapshotProgram(prog)...)
 		if len(recs) >= maxSnapshotRecords {
 			return recs
 		}
 	}
-	for key, st := range d.State.Keys {
-		if _, running := d.Calls[key]; running || now.Sub(d.lastAppended[keyItemID(key)]) < age {
+	for key, st := range s.State.Keys {
+		if _, running := s.Calls[key]; running || now.Sub(s.lastAppended[keyItemID(key)]) < age {
 			continue
 		}
-		d.lastAppended[keyItemID(key)] = now
+		s.lastAppended[keyItemID(key)] = now
 		copied := *st
 		recs = append(recs, types.Record{KeyState: &copied})
 		if len(recs) >= maxSnapshotRecords {
@@ -154,11 +154,11 @@
 
 // snapshotProgram returns the snapshot of a program: the program, its budget if it is a root,
 // and its turns in order.
-func (d *OwnerState) snapshotProgram(prog *types.Program) []types.Record {
+func (s *OwnerState) snapshotProgram(prog *types.Program) []types.Record {
 	snap := *prog
 	snap.Turns = nil
 	recs := []types.Record{{Program: &snap}}
-	if tree, ok := d.State.Purses[prog.Begin.ID]; ok {
+	if tree, ok := s.State.Purses[prog.Begin.ID]; ok {
 		copied := *tree
 		recs = append(recs, types.Record{TreeBudget: &copied})
 	}
--- a/gate/desk/sweep_test.go
+++ b/gate/desk/sweep_test.go
@@ -14,26 +14,26 @@
 // withPrograms returns an OwnerState with n idle programs.
 func withPrograms(tb testing.TB, n int) *OwnerState {
 	tb.Helper()
-	d := New(fold.New(), "i")
+	s := New(fold.New(), "i")
 	for i := range n {
 		b := types.Begin{
 			ID: fmt.Sprint(i), Workspace: "one", Budget: 100, Created: testTime, Deadline: testTime.Add(time.Hour),
 			Limits: types.Limits{Turns: 9, Depth: 2, FanOut: 2, Idle: types.Duration(time.Minute)},
 		}
-		if _, err := d.Begin(testTime, BeginRequest{Begin: b, GrantChunk: 10}); err != nil {
+		if _, err := s.Begin(testTime, BeginRequest{Begin: b, GrantChunk: 10}); err != nil {
 			tb.Fatal(err)
 		}
 	}
-	return d
+	return s
 }
 
 func TestProgramsEndWithTheirReason(t *testing.T) {
-	d := withPrograms(t, 3)
+	s := withPrograms(t, 3)
 	child := types.Begin{ID: "c", Parent: "0", Workspace: "one", Created: testTime.Add(50 * time.Second), Deadline: testTime.Add(time.Hour), Limits: types.Limits{Turns: 9}}
-	if _, err := d.Begin(testTime.Add(50*time.Second), BeginRequest{Begin: child}); err != nil {
+	if _, err := s.Begin(testTime.Add(50*time.Second), BeginRequest{Begin: child}); err != nil {
 		t.Fatal(err)
 	}
-	d.Turns["1"] = &TurnRun{Turn: 1}
+	s.Turns["1"] = &TurnRun{Turn: 1}
 	steps := []struct {
 		after time.Duration
 		want  map[string]string
@@ -45,10 +45,10 @@
 		{time.Hour, map[string]string{"0": EndedByIdle, "1": EndedByDeadline, "c": EndedWithRoot}},
 	}
 	for _, step := range steps {
-		d.Sweep(testTime.Add(step.after), time.Hour)
+		s.Sweep(testTime.Add(step.after), time.Hour)
 		got := map[string]string{}
 		for id := range step.want {
-			if prog, ok := d.State.Programs[id]; ok {
+			if prog, ok := s.State.Programs[id]; ok {
 				got[id] = prog.Ended
 			}
 		}
@@ -66,9 +66,9 @@
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range []int{1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := withPrograms(b, n)
+			s := withPrograms(b, n)
 			for b.Loop() {
-				d.Sweep(testTime.Add(time.Second), time.Hour)
+				s.Sweep(testTime.Add(time.Second), time.Hour)
 			}
 		})
 	}
--- a/gate/desk/turn.go
+++ b/gate/desk/turn.go
@@ -18,10 +18,10 @@
 
 // Begin creates a program or a sub-agent. It changes nothing if the workspace already has a
 // program of that id.
-func (d *OwnerState) Begin(now time.Time, req BeginRequest) ([]types.Record, error) {
+func (s *OwnerState) Begin(now time.Time, req BeginRequest) ([]types.Record, error) {
 	b := req.Begin
-	if have, ok := d.State.Programs[b.ID]; ok {
-		if have.Begin.Workspace != b.Workspace {
+	if existing, ok := s.State.Programs[b.ID]; ok {
+		if existing.Begin.Workspace != b.Workspace {
 			return nil, fault.Refuse(fault.NoProgram, "no such program")
 		}
 		return nil, nil
@@ -29,13 +29,13 @@
 	if b.Parent == "" {
 		b.Root = b.ID
 		b.Grant = min(b.Budget, req.GrantChunk)
-		return d.writeBegin(b), nil
+		return s.writeBegin(b), nil
 	}
-	parent, err := d.Program(b.Parent, b.Workspace)
+	parent, err := s.Program(b.Parent, b.Workspace)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.checkOpen(now, parent); err != nil {
+	if err := s.checkOpen(now, parent); err != nil {
 		return nil, err
 	}
 	if parent.Begin.Depth+1 > parent.Begin.Limits.Depth {
@@ -51,28 +51,28 @@
 	if b.Deadline.After(parent.Begin.Deadline) {
 		b.Deadline = parent.Begin.Deadline
 	}
-	return d.writeBegin(b), nil
+	return s.writeBegin(b), nil
 }
 
 // writeBegin writes the begin record. A root program may spend its first grant before the
 // log confirms it: a later owner finds the grant in this record or in the continuation and
 // counts it as spent.
-func (d *OwnerState) writeBegin(b types.Begin) []types.Record {
+func (s *OwnerState) writeBegin(b types.Begin) []types.Record {
 	if b.ID == b.Root {
-		d.confirmGrant(b.Root, b.Grant)
+		s.confirmGrant(b.Root, b.Grant)
 	}
-	return d.write(types.Record{Begin: &b})
+	return s.write(types.Record{Begin: &b})
 }
 
 // checkOpen returns an error if the program accepts no new work.
-func (d *OwnerState) checkOpen(now time.Time, prog *types.Program) error {
+func (s *OwnerState) checkOpen(now time.Time, prog *types.Program) error {
 	if prog.Ended != "" {
 		return fault.Refuse(fault.ProgramEnded, "program ended: "+prog.Ended)
 	}
 	if !now.Before(prog.Begin.Deadline) {
 		return fault.Refuse(fault.DeadlineMissed, "the program's deadline has passed")
 	}
-	if root, ok := d.State.Programs[prog.Begin.Root]; ok && root.Ended != "" {
+	if root, ok := s.State.Programs[prog.Begin.Root]; ok && root.Ended != "" {
 		return fault.Refuse(fault.ProgramEnded, "root program ended: "+root.Ended)
 	}
 	return nil
@@ -106,70 +106,70 @@
 
 // StartTurn decides on a turn request. If Run is set, the calling Op must set Run.Run
 // before it returns.
-func (d *OwnerState) StartTurn(now time.Time, req TurnRequest) (TurnStart, []types.Record, error) {
-	prog, err := d.Program(req.Program, req.Workspace)
+func (s *OwnerState) StartTurn(now time.Time, req TurnRequest) (TurnStart, []types.Record, error) {
+	prog, err := s.Program(req.Program, req.Workspace)
 	if err != nil {
 		return TurnStart{}, nil, err
 	}
-	start, known, err := d.existingTurn(prog, req)
+	start, known, err := s.existingTurn(prog, req)
 	if err != nil || known {
 		return start, nil, err
 	}
-	if err := d.checkOpen(now, prog); err != nil {
+	if err := s.checkOpen(now, prog); err != nil {
 		return TurnStart{}, nil, err
 	}
 	if fold.LastTurn(prog) >= prog.Begin.Limits.Turns {
 		return TurnStart{}, nil, fault.Refuse(fault.LimitReached, "turn limit reached").WithHead(fold.LastTurn(prog))
 	}
-	return d.reserveTurn(prog, req)
+	return s.reserveTurn(prog, req)
 }
 
 // existingTurn answers requests for turns that are stored or in flight, and refuses those
 // that conflict with the history. It reports false for the next turn of an idle program.
-func (d *OwnerState) existingTurn(prog *types.Program, req TurnRequest) (TurnStart, bool, error) {
-	head := fold.LastTurn(prog)
-	if run, ok := d.Turns[req.Program]; ok {
+func (s *OwnerState) existingTurn(prog *types.Program, req TurnRequest) (TurnStart, bool, error) {
+	lastTurn := fold.LastTurn(prog)
+	if run, ok := s.Turns[req.Program]; ok {
 		if run.Turn == req.Turn && bytes.Equal(run.RequestDigest, req.RequestDigest) {
 			return TurnStart{Join: run.Run, Program: prog}, true, nil
 		}
-		if req.Turn > head {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(head)
+		if req.Turn > lastTurn {
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "another turn is running").WithHead(lastTurn)
 		}
 	}
-	if req.Turn >= 1 && req.Turn <= head {
+	if req.Turn >= 1 && req.Turn <= lastTurn {
 		stored := prog.Turns[req.Turn-1]
 		if !bytes.Equal(stored.RequestDigest, req.RequestDigest) {
-			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").WithHead(head)
+			return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn answered a different request").WithHead(lastTurn)
 		}
 		return TurnStart{Stored: &stored, Program: prog}, true, nil
 	}
-	if req.Turn != head+1 {
-		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn is not the next one").WithHead(head)
+	if req.Turn != lastTurn+1 {
+		return TurnStart{}, false, fault.Refuse(fault.TurnConflict, "the turn is not the next one").WithHead(lastTurn)
 	}
 	return TurnStart{}, false, nil
 }
 
 // reserveTurn reserves the tokens of a new turn and registers its run.
-func (d *OwnerState) reserveTurn(prog *types.Program, req TurnRequest) (TurnStart, []types.Record, error) {
-	tree, err := d.treeBudget(prog)
+func (s *OwnerState) reserveTurn(prog *types.Program, req TurnRequest) (TurnStart, []types.Record, error) {
+	tree, err := s.treeBudget(prog)
 	if err != nil {
 		return TurnStart{}, nil, err
 	}
-	maxTokens := min(req.MaxTokens, d.available(tree)-req.PromptTokens)
+	maxTokens := min(req.MaxTokens, s.available(tree)-req.PromptTokens)
 	if maxTokens < 1 {
-		return TurnStart{}, nil, d.budgetError(tree)
+		return TurnStart{}, nil, s.budgetError(tree)
 	}
 	need := req.PromptTokens + maxTokens
-	recs := d.reserve(tree, need, req.GrantChunk)
+	recs := s.reserve(tree, need, req.GrantChunk)
 	run := &TurnRun{Turn: req.Turn, RequestDigest: req.RequestDigest, Reserved: need}
-	d.Turns[req.Program] = run
+	s.Turns[req.Program] = run
 	return TurnStart{Run: run, MaxTokens: maxTokens, Program: prog}, recs, nil
 }
 
 // budgetError returns the refusal of work that the budget does not cover. It is temporary if
 // only an unavailable log keeps the grant from growing.
-func (d *OwnerState) budgetError(tree *types.TreeBudget) error {
-	if !d.LogAvailable && d.confirmed[tree.Root] < tree.Budget {
+func (s *OwnerState) budgetError(tree *types.TreeBudget) error {
+	if !s.LogAvailable && s.confirmed[tree.Root] < tree.Budget {
 		return fault.Refuse(fault.LogUnavailable, "the grant is spent and the log is unavailable").WithRetryAfter(time.Second)
 	}
 	return fault.Refuse(fault.BudgetSpent, "the budget does not cover the call")
@@ -177,50 +177,50 @@
 
 // FinishTurn ends a run with its answer and charges spent tokens, at most the reservation.
 // An answer that comes after the program's end is charged but not stored.
-func (d *OwnerState) FinishTurn(program string, run *TurnRun, turn types.Turn, spent int64) ([]types.Record, error) {
-	prog, ok := d.State.Programs[program]
-	if !ok || d.Turns[program] != run {
+func (s *OwnerState) FinishTurn(program string, run *TurnRun, turn types.Turn, spent int64) ([]types.Record, error) {
+	prog, ok := s.State.Programs[program]
+	if !ok || s.Turns[program] != run {
 		return nil, fault.Fail(fault.NotOwner, "the run is not known")
 	}
-	delete(d.Turns, program)
-	d.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
+	delete(s.Turns, program)
+	s.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
 	if prog.Ended != "" {
 		return nil, fault.Fail(fault.ProgramEnded, "program ended: "+prog.Ended)
 	}
 	if !fold.Extends(prog, turn) {
 		return nil, fault.Fail(fault.Internal, "the answer does not extend the history")
 	}
-	turn.TreeSpent, _ = d.Spent(prog)
-	return d.write(types.Record{Turn: &turn}), nil
+	turn.TreeSpent, _ = s.Spent(prog)
+	return s.write(types.Record{Turn: &turn}), nil
 }
 
 // FailTurn ends a run without an answer and charges spent, the most tokens that it may have
 // used, up to the reservation.
-func (d *OwnerState) FailTurn(program string, run *TurnRun, spent int64) {
-	prog, ok := d.State.Programs[program]
-	if !ok || d.Turns[program] != run {
+func (s *OwnerState) FailTurn(program string, run *TurnRun, spent int64) {
+	prog, ok := s.State.Programs[program]
+	if !ok || s.Turns[program] != run {
 		return
 	}
-	delete(d.Turns, program)
-	d.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
+	delete(s.Turns, program)
+	s.settle(prog.Begin.Root, run.Reserved, min(spent, run.Reserved))
 }
 
 // RetryTurn charges a failed attempt of a run and reserves the same number of tokens for the
 // next one. If the budget does not cover that, the run's reservation becomes 0.
-func (d *OwnerState) RetryTurn(program string, run *TurnRun, spent, chunk int64) ([]types.Record, error) {
-	prog, ok := d.State.Programs[program]
-	if !ok || d.Turns[program] != run {
+func (s *OwnerState) RetryTurn(program string, run *TurnRun, spent, chunk int64) ([]types.Record, error) {
+	prog, ok := s.State.Programs[program]
+	if !ok || s.Turns[program] != run {
 		return nil, fault.Fail(fault.NotOwner, "the run is not known")
 	}
-	tree, err := d.treeBudget(prog)
+	tree, err := s.treeBudget(prog)
 	if err != nil {
 		return nil, err
 	}
 	need := run.Reserved
-	d.settle(prog.Begin.Root, need, min(spent, need))
-	if d.available(tree) < need {
+	s.settle(prog.Begin.Root, need, min(spent, need))
+	if s.available(tree) < need {
 		run.Reserved = 0
-		return nil, d.budgetError(tree)
+		return nil, s.budgetError(tree)
 	}
-	return d.reserve(tree, need, chunk), nil
+	return s.reserve(tree, need, chunk), nil
 }
