--- a/gate/slots/claim.go
+++ b/gate/slots/claim.go
@@ -21,7 +21,7 @@
 // claimed or being released, and rejects the waiting operations if the last attempt began
 // less than claimRetryDelay ago.
 func (o *owner) startClaim() {
-	if o.claiming || o.desk != nil || o.releasing != nil {
+	if o.claiming || o.state != nil || o.releasing != nil {
 		return
 	}
 	if time.Since(o.lastClaim) < claimRetryDelay {
@@ -87,7 +87,7 @@
 		o.rejectWaiting(m.err)
 		return
 	}
-	o.desk = desk.New(m.state, o.svc.incarnation)
+	o.state = desk.New(m.state, o.svc.incarnation)
 	o.seq = m.state.Seq
 	o.epoch.Store(m.state.Epoch)
 	o.svc.counts.Count("slots.claims", 1)
--- a/gate/slots/owner.go
+++ b/gate/slots/owner.go
@@ -77,7 +77,7 @@
 	// epoch is 0 while this box does not own the slot.
 	epoch atomic.Int64
 
-	desk *desk.OwnerState
+	state *desk.OwnerState
 	// seq is the sequence number of the last entry created in this epoch.
 	seq       int64
 	claiming  bool
@@ -90,7 +90,7 @@
 	flushNow       bool
 	flushScheduled bool
 	inFlight       *batch
-	// releasing is not nil during a planned release, which began at releasingAt; it is closed
+	// releasing is nil except during a planned release, which began at releasingAt. It is closed
 	// when the release ends.
 	releasing   chan struct{}
 	releasingAt time.Time
@@ -169,7 +169,7 @@
 		o.flushNow = true
 		o.flush()
 	case supersededMsg:
-		if o.desk != nil && o.desk.State.Epoch == m.epoch {
+		if o.state != nil && o.state.State.Epoch == m.epoch {
 			o.stepDown("a live box holds a newer claim")
 		}
 	case releaseMsg:
@@ -180,7 +180,7 @@
 
 func (o *owner) handleOperation(m operationMsg) {
 	switch {
-	case o.desk != nil:
+	case o.state != nil:
 		o.perform(m)
 	case o.claiming:
 		o.waiting = append(o.waiting, m)
@@ -205,7 +205,7 @@
 		m.reply <- operationReply{err: notOwner()}
 		return
 	}
-	if m.mode == desk.Durable && !o.desk.LogAvailable {
+	if m.mode == desk.Durable && !o.state.LogAvailable {
 		m.reply <- operationReply{err: fault.Refuse(fault.LogUnavailable, "the log is unavailable").WithRetryAfter(time.Second)}
 		return
 	}
@@ -214,10 +214,10 @@
 		return
 	}
 	// The records are enqueued even if the operation failed, since it has already applied them.
-	recs, err := m.op(time.Now(), o.desk)
+	recs, err := m.op(time.Now(), o.state)
 	ticket := o.enqueue(recs, m.mode == desk.Durable || m.mode == desk.Urgent || anyAwaited(recs))
 	m.reply <- operationReply{ticket: ticket, err: err}
-	if o.desk != nil && o.desk.Superseded {
+	if o.state != nil && o.state.Superseded {
 		o.stepDown("a continuation shows a newer claim")
 	}
 }
@@ -256,7 +256,7 @@
 
 func (o *owner) clearOwnership(err error) {
 	o.epoch.Store(0)
-	o.desk = nil
+	o.state = nil
 	if o.inFlight != nil {
 		o.inFlight.fail(err)
 		o.inFlight = nil
@@ -274,13 +274,13 @@
 // sweep ends expired programs and appends snapshots of the items that the log's retention
 // would soon delete.
 func (o *owner) sweep() {
-	if o.desk == nil {
+	if o.state == nil {
 		return
 	}
 	now := time.Now()
-	ended, recs := o.desk.Sweep(now, o.svc.settings.KeyRetention())
-	if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogAvailable {
-		recs = append(recs, o.desk.Snapshot(now, retention/snapshotsPerRetention)...)
+	ended, recs := o.state.Sweep(now, o.svc.settings.KeyRetention())
+	if retention := o.svc.timing.Retention; retention > 0 && o.state.LogAvailable {
+		recs = append(recs, o.state.Snapshot(now, retention/snapshotsPerRetention)...)
 	}
 	o.enqueue(recs, false)
 	if len(ended) == 0 {
@@ -292,24 +292,25 @@
 }
 
 // tryRelease completes a planned release. It appends the release record once no calls are
-// running and turns have finished or their grace has passed, and ends when the queue is empty.
+// running and turns have finished or turnGrace has passed, and ends the release when the queue
+// is empty.
 func (o *owner) tryRelease() {
 	if o.releasing == nil {
 		return
 	}
-	if o.desk == nil && !o.claiming {
+	if o.state == nil && !o.claiming {
 		o.finishRelease()
 		return
 	}
-	if o.desk == nil || len(o.desk.Calls) > 0 {
+	if o.state == nil || len(o.state.Calls) > 0 {
 		return
 	}
-	if len(o.desk.Turns) > 0 && time.Since(o.releasingAt) < turnGrace {
+	if len(o.state.Turns) > 0 && time.Since(o.releasingAt) < turnGrace {
 		return
 	}
-	if !o.desk.State.Released {
-		recs := append(o.desk.SettleGrants(), types.Record{Release: &types.Release{Box: o.svc.self.Name}})
-		o.desk.State.Released = true
+	if !o.state.State.Released {
+		recs := append(o.state.SettleGrants(), types.Record{Release: &types.Release{Box: o.svc.self.Name}})
+		o.state.State.Released = true
 		o.enqueue(recs, true)
 	}
 	if o.inFlight == nil && len(o.queue) == 0 {
--- a/gate/slots/slots.go
+++ b/gate/slots/slots.go
@@ -42,7 +42,8 @@
 	KeyRetention() time.Duration
 }
 
-// Watcher is notified of programs that the owner ended and of slots that this box claimed.
+// Watcher is notified of programs that a sweep of an owned slot ended and of slots that this box
+// claimed.
 type Watcher interface {
 	Ended(slot ident.Slot, programs []string)
 	Claimed(slot ident.Slot)
@@ -120,7 +121,7 @@
 }
 
 // Release releases all slots. For each slot it waits until calls that may not be repeated
-// have ended, and a short grace for turns; turns that finish later are returned in
+// have ended, and at most turnGrace for turns; the answers of later turns reach the next owner in
 // continuations. It returns early if ctx ends.
 func (s *Slots) Release(ctx context.Context) {
 	s.mu.Lock()
@@ -156,13 +157,13 @@
 }
 
 func (s *Slots) run() {
-	tick := time.NewTicker(s.timing.CheckInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(s.timing.CheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			s.reconcile()
 		}
 	}
@@ -173,12 +174,12 @@
 func (s *Slots) reconcile() {
 	live := s.view.Live()
 	s.updateEmptyZones(live)
-	held := s.Owned()
+	owned := s.Owned()
 	mayNotClaim := !s.view.Settled() || s.isLeaving()
 	for _, id := range s.settings.Slots() {
-		holder, epoch, ok := s.view.Owner(id.String())
-		ownEpoch := held[id]
-		if ok && ownEpoch > 0 && epoch > ownEpoch && holder.Name != s.self.Name {
+		owner, epoch, ok := s.view.Owner(id.String())
+		ownEpoch := owned[id]
+		if ok && ownEpoch > 0 && epoch > ownEpoch && owner.Name != s.self.Name {
 			s.owner(id).send(supersededMsg{epoch: ownEpoch})
 		}
 		if ok || ownEpoch > 0 || mayNotClaim {
@@ -246,8 +247,8 @@
 	if s.Owns(id) {
 		return s.self, true, nil
 	}
-	if holder, _, ok := s.view.Owner(id.String()); ok && holder.Name != s.self.Name {
-		return holder, false, nil
+	if owner, _, ok := s.view.Owner(id.String()); ok && owner.Name != s.self.Name {
+		return owner, false, nil
 	}
 	live := s.view.Live()
 	s.updateEmptyZones(live)
@@ -289,10 +290,11 @@
 	return epochs
 }
 
-// Describe fills in the status of a slot that this box owns.
+// Describe fills in the status of a slot that this box owns. It leaves status unchanged on an
+// error.
 func (s *Slots) Describe(ctx context.Context, id ident.Slot, status *types.SlotStatus) {
-	_, err := s.Do(ctx, id, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		d.FillStatus(status)
+	_, err := s.Do(ctx, id, desk.Finish, func(_ time.Time, state *desk.OwnerState) ([]types.Record, error) {
+		state.FillStatus(status)
 		return nil, nil
 	})
 	if err != nil {
--- a/gate/slots/write.go
+++ b/gate/slots/write.go
@@ -40,21 +40,21 @@
 // flush appends the queued records as one entry, unless an entry is in flight. Records that
 // are not urgent wait for the scheduled flush.
 func (o *owner) flush() {
-	if o.desk == nil || o.inFlight != nil || len(o.queue) == 0 {
+	if o.state == nil || o.inFlight != nil || len(o.queue) == 0 {
 		return
 	}
 	if !o.flushNow {
 		o.scheduleFlush()
 		return
 	}
-	b := &batch{expectedOffset: o.desk.State.NextOffset, retryDelay: minRetryDelay, firstSent: time.Now()}
+	b := &batch{expectedOffset: o.state.State.NextOffset, retryDelay: minRetryDelay, firstSent: time.Now()}
 	for _, q := range o.queue {
 		b.recs = append(b.recs, q.recs...)
 		b.tickets = append(b.tickets, q.ticket)
 	}
 	o.queue, o.queuedRecords, o.flushNow = nil, 0, false
 	o.seq++
-	data, err := json.Marshal(types.Entry{Epoch: o.desk.State.Epoch, Seq: o.seq, Records: b.recs})
+	data, err := json.Marshal(types.Entry{Epoch: o.state.State.Epoch, Seq: o.seq, Records: b.recs})
 	if err != nil {
 		b.fail(fault.Refuse(fault.Internal, "cannot encode the log entry").WithCause(err))
 		o.stepDown("a log entry cannot be encoded")
@@ -129,13 +129,13 @@
 	}
 	now := time.Now()
 	o.inFlight = nil
-	o.desk.State.NextOffset = m.result.offset + 1
-	o.desk.State.Seq = o.seq
-	o.desk.Confirm(now, m.batch.recs)
-	if !o.desk.LogAvailable {
+	o.state.State.NextOffset = m.result.offset + 1
+	o.state.State.Seq = o.seq
+	o.state.Confirm(now, m.batch.recs)
+	if !o.state.LogAvailable {
 		o.svc.logger.Info("slots: log is available again", "slot", o.id.String())
 	}
-	o.desk.LogAvailable = true
+	o.state.LogAvailable = true
 	o.svc.counts.Count("slots.appends", 1)
 	o.svc.counts.Count("slots.records", int64(len(m.batch.recs)))
 	o.svc.counts.Count("slots.append_bytes", int64(len(m.batch.data)))
@@ -163,10 +163,10 @@
 func (o *owner) scheduleRetry(b *batch, err error) {
 	o.svc.counts.Count("slots.append_failures", 1)
 	if !fault.Is(err, fault.Overloaded) {
-		if o.desk.LogAvailable {
+		if o.state.LogAvailable {
 			o.svc.logger.Warn("slots: log is unavailable", "slot", o.id.String(), "error", err)
 		}
-		o.desk.LogAvailable = false
+		o.state.LogAvailable = false
 	}
 	wait := b.retryDelay/2 + rand.N(b.retryDelay)
 	b.retryDelay = min(2*b.retryDelay, maxRetryDelay)
