--- a/gate/prog/begin.go
+++ b/gate/prog/begin.go
@@ -27,13 +27,13 @@
 	if err != nil {
 		return types.ProgramState{}, err
 	}
-	ask := desk.BeginRequest{Begin: begin, GrantChunk: p.policies.Defaults().GrantChunk}
-	ticket, err := p.owner.Do(ctx, slot, desk.Lazy, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		recs, err := adoptContinuation(d, cont)
+	req := desk.BeginRequest{Begin: begin, GrantChunk: p.policies.Defaults().GrantChunk}
+	ticket, err := p.owner.Do(ctx, slot, desk.Lazy, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		recs, err := adoptContinuation(s, cont)
 		if err != nil {
 			return nil, err
 		}
-		more, err := d.Begin(now, ask)
+		more, err := s.Begin(now, req)
 		return append(recs, more...), err
 	})
 	if err != nil {
@@ -44,8 +44,8 @@
 	return p.State(ctx, begin.Workspace, begin.ID, "")
 }
 
-// awaitConfirmation waits up to LogWait for the log to confirm the records. Continuations
-// carry whatever the log has not confirmed by then.
+// awaitConfirmation waits for the log to confirm the records, at most the configured LogWait.
+// Continuations carry the records that the log has not confirmed by then.
 func (p *Prog) awaitConfirmation(ctx context.Context, ticket *desk.Ticket) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(p.policies.Defaults().LogWait))
 	defer stop()
@@ -54,11 +54,11 @@
 	}
 }
 
-func adoptContinuation(d *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(s *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
-	return d.Adopt(*cont)
+	return s.Adopt(*cont)
 }
 
 // State returns the state of a program. It first adopts the continuation in token, if any,
@@ -74,17 +74,17 @@
 	}
 	var state types.ProgramState
 	var cont types.Continuation
-	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		recs, err := adoptContinuation(d, callerCont)
+	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		recs, err := adoptContinuation(s, callerCont)
 		if err != nil {
 			return nil, err
 		}
-		prog, err := d.Program(id, workspace)
+		prog, err := s.Program(id, workspace)
 		if err != nil {
 			return recs, err
 		}
-		state = programState(d, prog)
-		cont = d.Continuation(prog, state.Turn)
+		state = programState(s, prog)
+		cont = s.Continuation(prog, state.Turn)
 		return recs, nil
 	})
 	if err != nil {
@@ -94,9 +94,9 @@
 	return state, err
 }
 
-func programState(d *desk.OwnerState, prog *types.Program) types.ProgramState {
-	spent, budget := d.Spent(prog)
-	_, running := d.Turns[prog.Begin.ID]
+func programState(s *desk.OwnerState, prog *types.Program) types.ProgramState {
+	spent, budget := s.Spent(prog)
+	_, running := s.Turns[prog.Begin.ID]
 	return types.ProgramState{
 		ID: prog.Begin.ID, Parent: prog.Begin.Parent, Model: prog.Begin.Model, DataClass: prog.Begin.DataClass,
 		Turn: len(prog.Turns), Running: running, Ended: prog.Ended, Budget: budget, Spent: spent,
@@ -114,20 +114,20 @@
 	}
 	var state types.ProgramState
 	var ids []string
-	ticket, err := p.owner.Do(ctx, slot, desk.Urgent, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		prog, err := d.Program(id, workspace)
+	ticket, err := p.owner.Do(ctx, slot, desk.Urgent, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		prog, err := s.Program(id, workspace)
 		if err != nil {
 			return nil, err
 		}
 		var recs []types.Record
-		ids, recs = d.End(now, id, desk.EndedByCaller)
+		ids, recs = s.End(now, id, desk.EndedByCaller)
 		if len(recs) == 0 {
 			// A repeated call writes a record of its own to wait for, since the log may not
 			// have confirmed the first one yet.
 			recs = []types.Record{{End: &types.End{Program: id, Reason: prog.Ended, At: now}}}
 		}
-		cancelRuns(d, ids)
-		state = programState(d, prog)
+		cancelRuns(s, ids)
+		state = programState(s, prog)
 		return recs, nil
 	})
 	if err != nil {
@@ -143,13 +143,13 @@
 }
 
 // cancelRuns cancels the running turns of ended programs.
-func cancelRuns(d *desk.OwnerState, ids []string) {
+func cancelRuns(s *desk.OwnerState, ids []string) {
 	for _, id := range ids {
-		run, ok := d.Turns[id]
+		turnRun, ok := s.Turns[id]
 		if !ok {
 			continue
 		}
-		if r, ok := run.Run.(*Run); ok {
+		if r, ok := turnRun.Run.(*Run); ok {
 			r.cancel(fault.Fail(fault.ProgramEnded, "the program was ended"))
 		}
 	}
--- a/gate/prog/evacuate.go
+++ b/gate/prog/evacuate.go
@@ -51,8 +51,8 @@
 	}
 	var begin types.Begin
 	found := false
-	_, err = p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		if prog, ok := d.State.Programs[id]; ok && prog.Ended == "" {
+	_, err = p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		if prog, ok := s.State.Programs[id]; ok && prog.Ended == "" {
 			begin, found = prog.Begin, true
 		}
 		return nil, nil
--- a/gate/prog/execute.go
+++ b/gate/prog/execute.go
@@ -21,8 +21,8 @@
 	expectedOutputShare = 0.5
 )
 
-// execute runs the turn to its end. It continues when its callers disconnect, and a repeated
-// call joins it.
+// execute waits for the grant if ticket is not nil, and runs the turn to its end, even if all
+// callers disconnect.
 func (p *Prog) execute(j *turnJob, run *Run, turnRun *desk.TurnRun, cont types.Continuation, ticket *desk.Ticket) {
 	ctx, stop := context.WithDeadline(run.ctx, j.begin.Deadline)
 	defer stop()
@@ -38,7 +38,7 @@
 		return
 	}
 	content := types.TurnContent{
-		Request: j.ask.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
+		Request: j.call.Body.Messages, Answer: types.Message{Role: "assistant", Content: run.text()},
 		Usage: end.Usage, Finish: end.Finish, ID: attempt.id,
 	}
 	p.completeTurn(j, run, turnRun, cont, content)
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// preferEndedReason returns the cause of the run's cancellation if the program ended, or err.
+// preferEndedReason returns the cause of the run's cancellation if the program was ended, and err
+// otherwise.
 func preferEndedReason(run *Run, err error) error {
 	if cause := context.Cause(run.ctx); cause != nil && fault.Is(cause, fault.ProgramEnded) {
 		return cause
@@ -84,7 +85,7 @@
 			mayHaveRun = true
 			try.charge = turnRun.Reserved
 		}
-		p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
+		p.trace.Record(types.TraceEvent{Request: j.call.Request, Program: j.call.Program, Event: "attempt failed", Reason: string(f.Kind), Target: target})
 		if target == "" || n == maxAttempts || ctx.Err() != nil {
 			return end, try, clearNotRun(f, mayHaveRun)
 		}
@@ -112,9 +113,9 @@
 func (p *Prog) reserveRetry(ctx context.Context, j *turnJob, turnRun *desk.TurnRun) error {
 	chunk := p.policies.Defaults().GrantChunk
 	covered := false
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		recs, err := d.RetryTurn(j.ask.Program, turnRun, turnRun.Reserved, chunk)
-		covered = d.Covered(j.begin.Root)
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		recs, err := s.RetryTurn(j.call.Program, turnRun, turnRun.Reserved, chunk)
+		covered = s.Covered(j.begin.Root)
 		return recs, err
 	})
 	if err != nil || covered {
@@ -127,26 +128,26 @@
 // queue assigned none.
 func (p *Prog) tryEngine(ctx context.Context, j *turnJob, run *Run, id string, failed []string) (types.EngineEvent, string, error) {
 	in := ruleInput(j.begin)
-	in.Turn = int64(j.ask.Body.Turn)
-	work := sched.ProgramProgress{Priority: p.policies.Priority(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
-	reservation, err := p.queue.Acquire(ctx, lease.Request{
-		Input: in, Program: j.ask.Program, Progress: work, PromptTokens: j.historyTokens + estimateTokens(j.ask.Body.Messages),
-		ExpectedTokens: int(float64(j.maxTokens) * expectedOutputShare), NewProgram: j.ask.Body.Turn == 1 && j.begin.Depth == 0,
+	in.Turn = int64(j.call.Body.Turn)
+	progress := sched.ProgramProgress{Priority: p.policies.Priority(in), Started: j.begin.Created, Arrived: j.started, Attained: j.attained}
+	engineLease, err := p.queue.Acquire(ctx, lease.Request{
+		Input: in, Program: j.call.Program, Progress: progress, PromptTokens: j.historyTokens + estimateTokens(j.call.Body.Messages),
+		ExpectedTokens: int(float64(j.maxTokens) * expectedOutputShare), NewProgram: j.call.Body.Turn == 1 && j.begin.Depth == 0,
 		Deadline: j.begin.Deadline, Exclude: failed,
 	})
 	if err != nil {
 		return types.EngineEvent{}, "", err
 	}
-	p.notes.Record(types.TraceEvent{
-		Request: j.ask.Request, Program: j.ask.Program, Event: "target chosen", Target: reservation.Target.Name, Candidates: reservation.Candidates,
+	p.trace.Record(types.TraceEvent{
+		Request: j.call.Request, Program: j.call.Program, Event: "target chosen", Target: engineLease.Target.Name, Candidates: engineLease.Candidates,
 	})
 	call := types.EngineCall{
-		Attempt: id, Model: j.begin.Model, Messages: append(j.history[:len(j.history):len(j.history)], j.ask.Body.Messages...),
-		MaxTokens: j.maxTokens, Priority: reservation.Rank, CacheKey: j.ask.Program,
-		Hold: reservation.KeepCache, Class: j.begin.Kind,
+		Attempt: id, Model: j.begin.Model, Messages: append(j.history[:len(j.history):len(j.history)], j.call.Body.Messages...),
+		MaxTokens: j.maxTokens, Priority: engineLease.Rank, CacheKey: j.call.Program,
+		Hold: engineLease.KeepCache, Class: j.begin.Kind,
 	}
-	end, err := p.streamAnswer(ctx, j, run, reservation, call)
-	return end, reservation.Target.Name, err
+	end, err := p.streamAnswer(ctx, j, run, engineLease, call)
+	return end, engineLease.Target.Name, err
 }
 
 // estimateTokens estimates the length of messages whose tokens were not counted yet.
@@ -158,75 +159,75 @@
 	return n
 }
 
-// streamAnswer runs the call on the reserved engine, appends the streamed text to the run, and
-// ends the reservation with the result and the observed latencies.
-func (p *Prog) streamAnswer(ctx context.Context, j *turnJob, run *Run, reservation *lease.Lease, call types.EngineCall) (types.EngineEvent, error) {
-	began := time.Now()
+// streamAnswer runs the call on the leased engine, appends the streamed text to the run, and
+// finishes the lease with the result and the observed latencies.
+func (p *Prog) streamAnswer(ctx context.Context, j *turnJob, run *Run, engineLease *lease.Lease, call types.EngineCall) (types.EngineEvent, error) {
+	started := time.Now()
 	firstToken := time.Time{}
-	end, err := p.engines.Run(ctx, reservation.Target, call, func(ev types.EngineEvent) {
+	end, err := p.engines.Run(ctx, engineLease.Target, call, func(ev types.EngineEvent) {
 		if firstToken.IsZero() {
 			firstToken = time.Now()
 			p.counts.Latency("prog.first_token", j.begin.Workspace, j.begin.DataClass, firstToken.Sub(j.started))
 		}
 		run.appendPiece(ev.Text)
 	})
-	result := lease.Result{OK: err == nil, Program: j.ask.Program, Usage: end.Usage}
+	result := lease.Result{OK: err == nil, Program: j.call.Program, Usage: end.Usage}
 	if err != nil {
 		result.Refused = fault.From(err).NotRun
 		if ctx.Err() != nil {
-			p.goroutines.Go(func() { p.engines.Cancel(reservation.Target, call.Attempt) })
+			p.goroutines.Go(func() { p.engines.Cancel(engineLease.Target, call.Attempt) })
 			err = fault.Fail(fault.DeadlineMissed, "the call was stopped").WithCause(ctx.Err())
 		}
-		reservation.Finish(result)
+		engineLease.Finish(result)
 		return end, err
 	}
-	result.TimeToFirstToken = firstToken.Sub(began)
+	result.TimeToFirstToken = firstToken.Sub(started)
 	if n := end.Usage.CompletionTokens; n > 1 {
 		result.TimePerToken = time.Since(firstToken) / time.Duration(n-1)
 		p.counts.Time("prog.token_gap", result.TimePerToken)
 	}
-	reservation.Finish(result)
-	if cachedElsewhere(reservation) {
-		p.goroutines.Go(func() { p.engines.Trim(j.ask.Program, reservation.Target.Name) })
+	engineLease.Finish(result)
+	if cachedElsewhere(engineLease) {
+		p.goroutines.Go(func() { p.engines.Trim(j.call.Program, engineLease.Target.Name) })
 	}
 	return end, nil
 }
 
 // cachedElsewhere reports whether another candidate engine has a prefix of the program cached.
-func cachedElsewhere(reservation *lease.Lease) bool {
-	for _, w := range reservation.Candidates {
-		if w.CachedTokens > 0 && w.Name != reservation.Target.Name {
+func cachedElsewhere(engineLease *lease.Lease) bool {
+	for _, candidate := range engineLease.Candidates {
+		if candidate.CachedTokens > 0 && candidate.Name != engineLease.Target.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// failTurn ends the run with err and charges spent tokens.
+// failTurn ends the run with err and charges the given number of tokens.
 func (p *Prog) failTurn(j *turnJob, run *Run, turnRun *desk.TurnRun, spent int64, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
-	_, doErr := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		d.FailTurn(j.ask.Program, turnRun, spent)
+	_, doErr := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		s.FailTurn(j.call.Program, turnRun, spent)
 		return nil, nil
 	})
 	if doErr != nil {
-		p.logger.Debug("prog: cannot settle failed turn", "program", j.ask.Program, "error", doErr)
+		p.logger.Debug("prog: cannot settle failed turn", "program", j.call.Program, "error", doErr)
 	}
 	p.counts.Count("prog.failed_turns", 1)
-	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
+	p.trace.Record(types.TraceEvent{Request: j.call.Request, Program: j.call.Program, Event: "turn failed", Reason: string(fault.From(err).Kind)})
 	run.finish(types.TurnAnswer{}, err)
 }
 
 // completeTurn records the answered turn and waits a short time for the log. The answer's
-// continuation carries whatever the log has not confirmed by then.
+// continuation carries the records that the log has not confirmed by then.
 func (p *Prog) completeTurn(j *turnJob, run *Run, turnRun *desk.TurnRun, previous types.Continuation, content types.TurnContent) {
 	sealed, err := p.seal(j.begin, content)
 	if err != nil {
 		p.failTurn(j, run, turnRun, turnRun.Reserved, err)
 		return
 	}
-	turn := types.Turn{Program: j.ask.Program, Number: j.ask.Body.Turn, RequestDigest: j.digest, Sealed: sealed, At: time.Now()}
+	turn := types.Turn{Program: j.call.Program, Number: j.call.Body.Turn, RequestDigest: j.digest, Sealed: sealed, At: time.Now()}
 	turn.Digest = fold.TurnDigest(j.begin, turn, previous.Digest)
 	cont, err := p.recordTurn(j, turnRun, turn, content.Usage)
 	if fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Stopping) {
@@ -245,7 +246,7 @@
 	}
 	p.counts.Count("prog.turns", 1)
 	p.counts.Latency("prog.turn", j.begin.Workspace, j.begin.DataClass, time.Since(j.started))
-	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn answered"})
+	p.trace.Record(types.TraceEvent{Request: j.call.Request, Program: j.call.Program, Event: "turn answered"})
 	run.finish(turnAnswer(j, content, token), nil)
 }
 
@@ -261,20 +262,20 @@
 	ctx, stop := context.WithTimeout(context.Background(), finishTimeout)
 	defer stop()
 	spent := int64(usage.PromptTokens + usage.CompletionTokens)
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		return d.FinishTurn(j.ask.Program, turnRun, turn, spent)
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		return s.FinishTurn(j.call.Program, turnRun, turn, spent)
 	})
 	if err != nil {
 		return types.Continuation{}, err
 	}
 	p.awaitConfirmation(ctx, ticket)
 	var cont types.Continuation
-	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		prog, err := d.Program(j.ask.Program, j.ask.Workspace)
+	_, err = p.owner.Do(ctx, j.slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		prog, err := s.Program(j.call.Program, j.call.Workspace)
 		if err != nil || fold.LastTurn(prog) < turn.Number {
 			return nil, fault.Fail(fault.NotOwner, "the program's slot has moved to another box").WithCause(err)
 		}
-		cont = d.Continuation(prog, turn.Number)
+		cont = s.Continuation(prog, turn.Number)
 		return nil, nil
 	})
 	return cont, err
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -22,10 +22,10 @@
 
 // Queue assigns calls to engines.
 type Queue interface {
-	Acquire(ctx context.Context, ask lease.Request) (*lease.Lease, error)
+	Acquire(ctx context.Context, req lease.Request) (*lease.Lease, error)
 	LeavingEngines() []string
 	CachedPrograms() map[string][]string
-	EvacuationTarget(ask lease.Request) (types.Target, bool)
+	EvacuationTarget(req lease.Request) (types.Target, bool)
 }
 
 // Engines runs model calls and manages the engines' caches.
@@ -48,9 +48,9 @@
 	Priority(in types.RuleInput) int64
 }
 
-// StepRecorder records scheduling decisions for operators.
+// StepRecorder records scheduling events for operators.
 type StepRecorder interface {
-	Record(step types.TraceEvent)
+	Record(event types.TraceEvent)
 }
 
 // Counts receives metrics.
@@ -75,7 +75,7 @@
 	engines  Engines
 	policies Policies
 	counts   Counts
-	notes    StepRecorder
+	trace    StepRecorder
 	logger   *slog.Logger
 
 	ctx        context.Context
@@ -85,10 +85,10 @@
 }
 
 // New creates the service for a box in zone.
-func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, notes StepRecorder, logger *slog.Logger) *Prog {
+func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, trace StepRecorder, logger *slog.Logger) *Prog {
 	p := &Prog{
 		zone: zone, owner: owner, queue: queue, engines: engines, policies: policies,
-		counts: counts, notes: notes, logger: logger,
+		counts: counts, trace: trace, logger: logger,
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
@@ -147,17 +147,17 @@
 
 // sweep releases the caches of programs in owned slots that ended or no longer exist.
 func (p *Prog) sweep() {
-	held := p.owner.Owned()
+	owned := p.owner.Owned()
 	live := map[string]bool{}
-	for slot := range held {
-		_, err := p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-			for id, prog := range d.State.Programs {
+	for slot := range owned {
+		_, err := p.owner.Do(p.ctx, slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+			for id, prog := range s.State.Programs {
 				live[id] = prog.Ended == ""
 			}
 			return nil, nil
 		})
 		if err != nil {
-			delete(held, slot)
+			delete(owned, slot)
 		}
 	}
 	p.engines.Sweep(func(id string) bool {
@@ -165,7 +165,7 @@
 		if err != nil {
 			return false
 		}
-		_, owned := held[slot]
+		_, owned := owned[slot]
 		return owned && !live[id]
 	})
 }
--- a/gate/prog/run.go
+++ b/gate/prog/run.go
@@ -9,8 +9,7 @@
 	"mulleingate.dev/base/types"
 )
 
-// Run is a model call in flight or a stored answer. Any number of callers may read it from the
-// beginning.
+// Run is a turn in flight or a stored answer. Any number of callers may read it from the beginning.
 type Run struct {
 	attempt string
 	ctx     context.Context
--- a/gate/prog/turn.go
+++ b/gate/prog/turn.go
@@ -13,7 +13,7 @@
 	"mulleingate.dev/gate/fold"
 )
 
-// TurnCall is a caller's request to run one turn of a program.
+// TurnCall is a caller's request to run one turn of a program. Request is its request id.
 type TurnCall struct {
 	Program   string
 	Workspace string
@@ -29,23 +29,23 @@
 }
 
 // Turn starts the turn, joins it if it is running, or returns its stored answer.
-func (p *Prog) Turn(ctx context.Context, ask TurnCall) (*Run, error) {
-	slot, err := ident.ProgramSlot(ask.Program)
+func (p *Prog) Turn(ctx context.Context, call TurnCall) (*Run, error) {
+	slot, err := ident.ProgramSlot(call.Program)
 	if err != nil {
 		return nil, err
 	}
-	cont, err := p.openToken(ask.Workspace, ask.Program, ask.Body.Continuation)
+	cont, err := p.openToken(call.Workspace, call.Program, call.Body.Continuation)
 	if err != nil {
 		return nil, err
 	}
-	program, err := p.adoptAndRead(ctx, slot, ask, cont)
+	program, err := p.adoptAndRead(ctx, slot, call, cont)
 	if err != nil {
 		return nil, err
 	}
 	if err := p.checkPlacement(ruleInput(program.begin)); err != nil {
 		return nil, err
 	}
-	job, err := p.prepare(slot, ask, program)
+	job, err := p.prepare(slot, call, program)
 	if err != nil {
 		return nil, err
 	}
@@ -53,14 +53,14 @@
 }
 
 // adoptAndRead adopts the continuation, if any, and returns a copy of the program.
-func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, ask TurnCall, cont *types.Continuation) (programView, error) {
+func (p *Prog) adoptAndRead(ctx context.Context, slot ident.Slot, call TurnCall, cont *types.Continuation) (programView, error) {
 	var program programView
-	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		recs, err := adoptContinuation(d, cont)
+	_, err := p.owner.Do(ctx, slot, desk.Lazy, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		recs, err := adoptContinuation(s, cont)
 		if err != nil {
 			return nil, err
 		}
-		prog, err := d.Program(ask.Program, ask.Workspace)
+		prog, err := s.Program(call.Program, call.Workspace)
 		if err != nil {
 			return recs, err
 		}
@@ -73,27 +73,27 @@
 // turnJob is a requested turn with everything that its run needs.
 type turnJob struct {
 	slot    ident.Slot
-	ask     TurnCall
+	call    TurnCall
 	begin   types.Begin
 	digest  []byte
 	history []types.Message
-	// historyTokens is the length of the history and prompt an upper bound of the whole
-	// prompt's, both in tokens.
+	// historyTokens is the length of the history and promptTokens an upper bound on the length
+	// of the whole prompt.
 	historyTokens int
-	prompt        int64
+	promptTokens  int64
 	// attained is the work done for the program so far: computed prompt and output tokens.
 	attained  int64
 	maxTokens int
 	started   time.Time
 }
 
-// bytesPerMessage allows for what a model adds around a message. A token has at least one
-// byte, so the number of bytes is an upper bound of the tokens of text not counted yet.
+// bytesPerMessage allows for the tokens that a model adds to each message. A token has at least
+// one byte, so the number of bytes is an upper bound on the tokens of text not counted yet.
 const bytesPerMessage = 8
 
-func (p *Prog) prepare(slot ident.Slot, ask TurnCall, program programView) (*turnJob, error) {
-	j := &turnJob{slot: slot, ask: ask, begin: program.begin, digest: requestDigest(ask.Body.Messages), started: time.Now()}
-	answered := min(max(ask.Body.Turn-1, 0), len(program.turns))
+func (p *Prog) prepare(slot ident.Slot, call TurnCall, program programView) (*turnJob, error) {
+	j := &turnJob{slot: slot, call: call, begin: program.begin, digest: requestDigest(call.Body.Messages), started: time.Now()}
+	answered := min(max(call.Body.Turn-1, 0), len(program.turns))
 	for _, turn := range program.turns[:answered] {
 		content, err := p.unseal(program.begin, turn)
 		if err != nil {
@@ -104,11 +104,11 @@
 		j.historyTokens = content.Usage.PromptTokens + content.Usage.CompletionTokens
 		j.attained += int64(content.Usage.PromptTokens - content.Usage.CachedTokens + content.Usage.CompletionTokens)
 	}
-	j.prompt = int64(j.historyTokens)
-	for _, m := range append(ask.Body.Messages, types.Message{}) {
-		j.prompt += int64(len(m.Content) + bytesPerMessage)
+	j.promptTokens = int64(j.historyTokens)
+	for _, m := range append(call.Body.Messages, types.Message{}) {
+		j.promptTokens += int64(len(m.Content) + bytesPerMessage)
 	}
-	j.maxTokens = ask.Body.MaxTokens
+	j.maxTokens = call.Body.MaxTokens
 	if j.maxTokens == 0 {
 		j.maxTokens = p.policies.Defaults().MaxTokens
 	}
@@ -131,24 +131,24 @@
 	var decision desk.TurnStart
 	var cont types.Continuation
 	covered := false
-	ticket, err := p.owner.Do(ctx, j.slot, desk.Lazy, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		if err := checkTailSize(d, j.ask.Program, defaults.TailBytes); err != nil {
+	ticket, err := p.owner.Do(ctx, j.slot, desk.Lazy, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		if err := checkTailSize(s, j.call.Program, defaults.TailBytes); err != nil {
 			return nil, err
 		}
 		var recs []types.Record
 		var err error
-		decision, recs, err = d.StartTurn(now, desk.TurnRequest{
-			Program: j.ask.Program, Workspace: j.ask.Workspace, Turn: j.ask.Body.Turn, RequestDigest: j.digest,
-			PromptTokens: j.prompt, MaxTokens: int64(j.maxTokens), GrantChunk: defaults.GrantChunk,
+		decision, recs, err = s.StartTurn(now, desk.TurnRequest{
+			Program: j.call.Program, Workspace: j.call.Workspace, Turn: j.call.Body.Turn, RequestDigest: j.digest,
+			PromptTokens: j.promptTokens, MaxTokens: int64(j.maxTokens), GrantChunk: defaults.GrantChunk,
 		})
 		if err != nil {
 			return recs, err
 		}
 		if decision.Run != nil {
 			decision.Run.Run = run
-			covered = d.Covered(decision.Program.Begin.Root)
+			covered = s.Covered(decision.Program.Begin.Root)
 		}
-		cont = d.Continuation(decision.Program, continuationTurn(decision))
+		cont = s.Continuation(decision.Program, continuationTurn(decision))
 		return recs, nil
 	})
 	if err != nil {
@@ -168,7 +168,7 @@
 		ticket = nil
 	}
 	j.maxTokens = int(decision.MaxTokens)
-	p.notes.Record(types.TraceEvent{Request: j.ask.Request, Program: j.ask.Program, Event: "turn started"})
+	p.trace.Record(types.TraceEvent{Request: j.call.Request, Program: j.call.Program, Event: "turn started"})
 	p.runs.Go(func() { p.execute(j, run, decision.Run, cont, ticket) })
 	return run, nil
 }
@@ -184,12 +184,12 @@
 
 // checkTailSize returns an error if the program's turns that the log has not confirmed exceed
 // maxBytes, since continuations have to carry them.
-func checkTailSize(d *desk.OwnerState, program string, maxBytes int) error {
-	prog, ok := d.State.Programs[program]
+func checkTailSize(s *desk.OwnerState, program string, maxBytes int) error {
+	prog, ok := s.State.Programs[program]
 	if !ok {
 		return nil
 	}
-	logged, _ := d.Logged(program)
+	logged, _ := s.Logged(program)
 	size := 0
 	for _, turn := range prog.Turns[min(logged, len(prog.Turns)):] {
 		size += len(turn.Sealed)
@@ -219,7 +219,7 @@
 	usage := content.Usage
 	answer := content.Answer
 	return types.TurnAnswer{
-		ID: content.ID, Object: "chat.completion", Model: j.begin.Model, Program: j.ask.Program, Turn: j.ask.Body.Turn,
+		ID: content.ID, Object: "chat.completion", Model: j.begin.Model, Program: j.call.Program, Turn: j.call.Body.Turn,
 		Choices: []types.Choice{{Message: &answer, FinishReason: content.Finish}}, Usage: &usage, Continuation: token,
 	}
 }
