--- a/gate/plain/flight.go
+++ b/gate/plain/flight.go
@@ -31,7 +31,7 @@
 }
 
 // markDispatched marks the call as dispatched and returns true if a caller still waits for it.
-// From then on no caller is told that the call was not run.
+// After that, no caller that gives up is told that the call was not run.
 func (r *keyedRun) markDispatched() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// abandon removes a caller and returns true if the call was not dispatched yet.
+// abandon removes a caller and returns true, or returns false if the call was dispatched.
 func (r *keyedRun) abandon() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -48,7 +48,8 @@
 	Key     string
 	Program string
 	Body    json.RawMessage
-	Chunk   int64
+	// Chunk is the minimum increase of the program's grant, in tokens.
+	Chunk int64
 	// Continuation is the program's decrypted continuation, if the caller sent one.
 	Continuation *types.Continuation
 }
@@ -56,7 +57,7 @@
 // Plain is the service that runs calls of tools and plain services.
 type Plain struct {
 	owner        Owner
-	pools        Replicas
+	replicas     Replicas
 	sealer       Sealer
 	counts       Counts
 	logger       *slog.Logger
@@ -64,11 +65,11 @@
 }
 
 // New creates the service.
-func New(owner Owner, pools Replicas, sealer Sealer, counts Counts, logger *slog.Logger) *Plain {
-	return &Plain{owner: owner, pools: pools, sealer: sealer, counts: counts, logger: logger}
+func New(owner Owner, replicas Replicas, sealer Sealer, counts Counts, logger *slog.Logger) *Plain {
+	return &Plain{owner: owner, replicas: replicas, sealer: sealer, counts: counts, logger: logger}
 }
 
-// Start implements a service.
+// Start does nothing; it makes Plain a kernel.Service.
 func (p *Plain) Start(context.Context) error {
 	return nil
 }
@@ -89,46 +90,47 @@
 
 // Call runs a call. This box must own the slot, or be able to claim it, if the call is recorded
 // in the slot's stream or charged to a program.
-func (p *Plain) Call(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
-	if !ask.Service.Repeatable && ask.Key != "" {
-		return p.callWithKey(ctx, slot, ask)
+func (p *Plain) Call(ctx context.Context, slot ident.Slot, call ServiceCall) (types.ServiceAnswer, error) {
+	if !call.Service.Repeatable && call.Key != "" {
+		return p.callWithKey(ctx, slot, call)
 	}
-	if err := p.chargeCall(ctx, slot, ask); err != nil {
+	if err := p.chargeCall(ctx, slot, call); err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	body := Body{Key: ident.RandomID(), Input: ask.Body}
-	if ask.Key != "" {
-		body.Key = scopedKey(ask)
+	body := Body{Key: ident.RandomID(), Input: call.Body}
+	if call.Key != "" {
+		body.Key = scopedKey(call)
 	}
-	send := p.pools.SendRepeatable
-	if !ask.Service.Repeatable {
-		send = p.pools.SendOnce
+	send := p.replicas.SendRepeatable
+	if !call.Service.Repeatable {
+		send = p.replicas.SendOnce
 	}
-	output, err := send(ctx, ask.Service, ask.Input, body)
+	output, err := send(ctx, call.Service, call.Input, body)
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
 	return types.ServiceAnswer{ID: body.Key, Output: output}, nil
 }
 
-// scopedKey returns the caller's key prefixed with its workspace, as logged and sent.
-func scopedKey(ask ServiceCall) string {
-	return ask.Input.Workspace + "/" + ask.Key
+// scopedKey returns the key under which the call is logged and sent: the caller's key, prefixed
+// with its workspace.
+func scopedKey(call ServiceCall) string {
+	return call.Input.Workspace + "/" + call.Key
 }
 
 // chargeCall charges the program for a call that has no intent, before it is sent.
-func (p *Plain) chargeCall(ctx context.Context, slot ident.Slot, ask ServiceCall) error {
-	if ask.Program == "" || ask.Service.Price == 0 {
+func (p *Plain) chargeCall(ctx context.Context, slot ident.Slot, call ServiceCall) error {
+	if call.Program == "" || call.Service.Price == 0 {
 		return nil
 	}
-	intent := types.Intent{Workspace: ask.Input.Workspace, Program: ask.Program}
-	call := desk.CallRequest{Intent: intent, Price: ask.Service.Price, GrantChunk: ask.Chunk}
-	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		adopted, err := adoptContinuation(d, ask.Continuation)
+	intent := types.Intent{Workspace: call.Input.Workspace, Program: call.Program}
+	req := desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.Chunk}
+	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		adopted, err := adoptContinuation(s, call.Continuation)
 		if err != nil {
 			return nil, err
 		}
-		recs, err := d.ChargeCall(now, call)
+		recs, err := s.ChargeCall(now, req)
 		return append(adopted, recs...), err
 	})
 	if err != nil {
@@ -137,11 +139,11 @@
 	return p.awaitLog(ctx, ticket)
 }
 
-func adoptContinuation(d *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
+func adoptContinuation(s *desk.OwnerState, cont *types.Continuation) ([]types.Record, error) {
 	if cont == nil {
 		return nil, nil
 	}
-	return d.Adopt(*cont)
+	return s.Adopt(*cont)
 }
 
 func (p *Plain) awaitLog(ctx context.Context, ticket *desk.Ticket) error {
@@ -150,23 +152,23 @@
 	return ticket.Wait(ctx)
 }
 
-func (p *Plain) callWithKey(ctx context.Context, slot ident.Slot, ask ServiceCall) (types.ServiceAnswer, error) {
+func (p *Plain) callWithKey(ctx context.Context, slot ident.Slot, call ServiceCall) (types.ServiceAnswer, error) {
 	hash := sha256.New()
-	_, _ = hash.Write([]byte(ask.Service.Name + "\x00"))
-	_, _ = hash.Write(ask.Body)
+	_, _ = hash.Write([]byte(call.Service.Name + "\x00"))
+	_, _ = hash.Write(call.Body)
 	intent := types.Intent{
-		Key: scopedKey(ask), Attempt: ident.RandomID(), Workspace: ask.Input.Workspace, Service: ask.Service.Name,
-		Program: ask.Program, RequestDigest: hash.Sum(nil), At: time.Now(),
+		Key: scopedKey(call), Attempt: ident.RandomID(), Workspace: call.Input.Workspace, Service: call.Service.Name,
+		Program: call.Program, RequestDigest: hash.Sum(nil), At: time.Now(),
 	}
 	run := newKeyedRun(intent.Attempt)
 	var start desk.CallStart
-	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		adopted, err := adoptContinuation(d, ask.Continuation)
+	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		adopted, err := adoptContinuation(s, call.Continuation)
 		if err != nil {
 			return nil, err
 		}
 		var recs []types.Record
-		start, recs, err = d.StartCall(now, desk.CallRequest{Intent: intent, Price: ask.Service.Price, GrantChunk: ask.Chunk})
+		start, recs, err = s.StartCall(now, desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.Chunk})
 		if start.Run != nil {
 			start.Run.Run = run
 		}
@@ -177,9 +179,9 @@
 	}
 	switch {
 	case start.Stored != nil:
-		return p.storedAnswer(ask, *start.Stored)
+		return p.storedAnswer(call, *start.Stored)
 	case start.Unknown != nil:
-		return p.resolveUnknown(ctx, slot, ask, *start.Unknown)
+		return p.resolveUnknown(ctx, slot, call, *start.Unknown)
 	case start.Join != nil:
 		joined, ok := start.Join.(*keyedRun)
 		if !ok {
@@ -187,13 +189,13 @@
 		}
 		return joined.join(ctx)
 	}
-	p.runsInFlight.Go(func() { p.dispatchOnce(slot, ask, start.Run, run, ticket) })
+	p.runsInFlight.Go(func() { p.dispatchOnce(slot, call, start.Run, run, ticket) })
 	return run.wait(ctx)
 }
 
-// dispatchOnce waits until the log has confirmed the intent, dispatches the call once, and
-// logs the outcome.
-func (p *Plain) dispatchOnce(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, run *keyedRun, ticket *desk.Ticket) {
+// dispatchOnce waits until the log has confirmed the intent, dispatches the call once if a caller
+// still waits, and logs the outcome.
+func (p *Plain) dispatchOnce(slot ident.Slot, call ServiceCall, callRun *desk.CallRun, run *keyedRun, ticket *desk.Ticket) {
 	started := time.Now()
 	<-ticket.Done()
 	if err := ticket.Wait(context.Background()); err != nil {
@@ -208,13 +210,13 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
-	out, err := p.pools.SendOnce(ctx, ask.Service, ask.Input, Body{Key: callRun.Intent.Key, Input: ask.Body})
-	p.logOutcome(slot, ask, callRun, run, out, err)
+	out, err := p.replicas.SendOnce(ctx, call.Service, call.Input, Body{Key: callRun.Intent.Key, Input: call.Body})
+	p.logOutcome(slot, call, callRun, run, out, err)
 }
 
 // logOutcome logs the outcome of a dispatched call and then answers the callers. A fault with
 // NotRun frees the key; any other failure leaves the outcome unknown.
-func (p *Plain) logOutcome(slot ident.Slot, ask ServiceCall, callRun *desk.CallRun, run *keyedRun, out json.RawMessage, err error) {
+func (p *Plain) logOutcome(slot ident.Slot, call ServiceCall, callRun *desk.CallRun, run *keyedRun, out json.RawMessage, err error) {
 	if err != nil {
 		f := fault.From(err)
 		p.finishCall(slot, callRun, types.Outcome{NotRun: f.NotRun, Unknown: !f.NotRun})
@@ -224,7 +226,7 @@
 		run.finish(types.ServiceAnswer{}, f)
 		return
 	}
-	sealed, err := p.seal(ask, out)
+	sealed, err := p.seal(call, out)
 	if err != nil {
 		p.finishCall(slot, callRun, types.Outcome{Unknown: true})
 		run.finish(types.ServiceAnswer{}, err)
@@ -238,8 +240,8 @@
 	out.Key, out.Attempt, out.At = callRun.Intent.Key, callRun.Intent.Attempt, time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), outcomeTimeout)
 	defer stop()
-	_, err := p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		return d.FinishCall(callRun, out), nil
+	_, err := p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		return s.FinishCall(callRun, out), nil
 	})
 	if err != nil {
 		p.counts.Count("plain.outcomes_unlogged", 1)
@@ -247,20 +249,20 @@
 	}
 }
 
-func (p *Plain) seal(ask ServiceCall, out json.RawMessage) ([]byte, error) {
+func (p *Plain) seal(call ServiceCall, out json.RawMessage) ([]byte, error) {
 	ring, err := p.sealer.Keyring()
 	if err != nil {
 		return nil, err
 	}
-	return ring.Seal(ask.Input.Workspace, scopedKey(ask), out)
+	return ring.Seal(call.Input.Workspace, scopedKey(call), out)
 }
 
-func (p *Plain) storedAnswer(ask ServiceCall, out types.Outcome) (types.ServiceAnswer, error) {
+func (p *Plain) storedAnswer(call ServiceCall, out types.Outcome) (types.ServiceAnswer, error) {
 	ring, err := p.sealer.Keyring()
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
-	output, err := ring.Open(ask.Input.Workspace, scopedKey(ask), out.Sealed)
+	output, err := ring.Open(call.Input.Workspace, scopedKey(call), out.Sealed)
 	if err != nil {
 		return types.ServiceAnswer{}, fault.Fail(fault.OutcomeUnknown, "the stored answer cannot be opened").WithCause(err)
 	}
@@ -269,24 +271,24 @@
 
 // resolveUnknown probes the service for the outcome of an intent if the service has a probe
 // path. It never runs the call again.
-func (p *Plain) resolveUnknown(ctx context.Context, slot ident.Slot, ask ServiceCall, intent types.Intent) (types.ServiceAnswer, error) {
+func (p *Plain) resolveUnknown(ctx context.Context, slot ident.Slot, call ServiceCall, intent types.Intent) (types.ServiceAnswer, error) {
 	unknown := fault.Fail(fault.OutcomeUnknown, "the call was started and its outcome is not known")
-	if ask.Service.ProbePath == "" {
+	if call.Service.ProbePath == "" {
 		return types.ServiceAnswer{}, unknown
 	}
 	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
-	out, done, err := p.pools.Probe(ctx, ask.Service, ask.Input, intent.Key)
+	out, done, err := p.replicas.Probe(ctx, call.Service, call.Input, intent.Key)
 	if err != nil || !done {
 		return types.ServiceAnswer{}, unknown.WithCause(err)
 	}
-	sealed, err := p.seal(ask, out)
+	sealed, err := p.seal(call, out)
 	if err != nil {
 		return types.ServiceAnswer{}, err
 	}
 	outcome := types.Outcome{Key: intent.Key, Attempt: intent.Attempt, Status: 200, Sealed: sealed, At: time.Now()}
-	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, d *desk.OwnerState) ([]types.Record, error) {
-		return d.ResolveCall(outcome), nil
+	_, err = p.owner.Do(ctx, slot, desk.Finish, func(_ time.Time, s *desk.OwnerState) ([]types.Record, error) {
+		return s.ResolveCall(outcome), nil
 	})
 	if err != nil {
 		p.logger.Debug("plain: cannot log probed outcome", "attempt", intent.Attempt, "error", err)
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -19,7 +19,7 @@
 // Pools sends calls to the replicas of services and tracks their load and failures.
 type Pools struct {
 	zone   string
-	places PlacementPolicy
+	policy PlacementPolicy
 	counts Counts
 	http   *client.Client
 
@@ -63,9 +63,9 @@
 }
 
 // NewPools creates the pools of a box in zone.
-func NewPools(zone string, places PlacementPolicy, counts Counts) *Pools {
+func NewPools(zone string, policy PlacementPolicy, counts Counts) *Pools {
 	return &Pools{
-		zone: zone, places: places, counts: counts, http: client.New("plain", nil),
+		zone: zone, policy: policy, counts: counts, http: client.New("plain", nil),
 		replicas: map[string]*replica{}, ejector: limit.NewEjector(), retryBudgets: map[string]*limit.RetryBudget{},
 	}
 }
@@ -242,7 +242,7 @@
 // choice is a replica selected for a call.
 type choice struct {
 	replica *replica
-	// target is a copy from the time of selection, since UpdateTargets may replace the replica's.
+	// target is the replica's target when it was selected; UpdateTargets may replace the replica's.
 	target types.Target
 }
 
@@ -306,7 +306,7 @@
 
 func (p *Pools) allowed(r *replica, in types.RuleInput) bool {
 	in.Zone, in.Target, in.Use = r.target.Zone, r.target.Name, "run"
-	return p.places.Allowed(in)
+	return p.policy.Allowed(in)
 }
 
 func (p *Pools) expectedWait(r *replica) time.Duration {
