--- a/gate/engine/doc.go
+++ b/gate/engine/doc.go
@@ -1,3 +1,3 @@
 // Package engine is the client of model engines: it polls their load and cache events, runs
-// calls and resumes broken streams, and sends cache and model orders.
+// calls, resumes broken streams, and sends orders to change their caches and models.
 package engine
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -23,9 +23,9 @@
 	CachedPrograms() map[string][]string
 }
 
-// Lists notifies of updates to the platform's list.
+// Lists calls registered callbacks with each update of the platform's list.
 type Lists interface {
-	OnList(take func(types.PlatformList))
+	OnList(callback func(types.PlatformList))
 }
 
 // Counts receives metrics.
@@ -35,8 +35,9 @@
 
 // Timing holds the intervals of polling.
 type Timing struct {
-	// PollInterval is the polling interval of engines that run calls of this box, IdlePollInterval that of
-	// other engines, and SyncInterval the interval at which complete cache lists are read.
+	// PollInterval is the interval between polls of an engine that runs calls of this box,
+	// IdlePollInterval that of other engines, and SyncInterval the interval between reads of an
+	// engine's complete cache list.
 	PollInterval, IdlePollInterval, SyncInterval time.Duration
 	// SubsetSize is the maximum number of engines that a box uses in its own zone, and separately
 	// in all other zones together.
@@ -116,8 +117,8 @@
 	s.queue.Notify(lease.Targets{List: selected})
 }
 
-// selectEngines selects the engines that this box uses by rendezvous hashing, so that the cost
-// of polling does not grow with the fleet.
+// selectEngines selects at most SubsetSize engines in this box's zone and as many in other zones,
+// so that the cost of polling does not grow with the fleet.
 func (s *Engines) selectEngines(all []types.Target) []types.Target {
 	var sameZone, otherZones []types.Target
 	for _, t := range all {
@@ -132,6 +133,7 @@
 	return append(s.selectSubset(sameZone), s.selectSubset(otherZones)...)
 }
 
+// selectSubset returns at most SubsetSize of the targets, selected by rendezvous hashing.
 func (s *Engines) selectSubset(targets []types.Target) []types.Target {
 	if len(targets) <= s.timing.SubsetSize {
 		return targets
@@ -189,8 +191,8 @@
 	}
 }
 
-// pollInterval returns PollInterval for engines that run calls of this box and IdlePollInterval for others, so
-// that the cost of polling depends on this box's work and not on the number of engines.
+// pollInterval returns PollInterval for engines that run calls of this box and IdlePollInterval
+// for others, so that the cost of polling depends mostly on this box's work.
 func (s *Engines) pollInterval(name string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +231,7 @@
 	Held   bool `json:"held"`
 }
 
-// syncCache reads the engine's complete cache list, since events may be lost.
+// syncCache sends the engine's complete cache list to the queue, since events may be lost.
 func (s *Engines) syncCache(ctx context.Context, target types.Target) {
 	ctx, stop := context.WithTimeout(ctx, syncTimeout)
 	defer stop()
@@ -238,8 +240,8 @@
 		return
 	}
 	tokens := make(map[string]int, len(items))
-	for key, it := range items {
-		tokens[key] = it.Tokens
+	for key, item := range items {
+		tokens[key] = item.Tokens
 	}
 	s.queue.Notify(lease.CacheList{Target: target.Name, Tokens: tokens})
 }
@@ -298,7 +300,7 @@
 	s.queue.Notify(lease.Moved{Program: program, From: source.Name, To: destination.Name})
 }
 
-// Trim releases a program's older prefixes on all engines but the one to keep.
+// Trim releases a program's cache on all engines except keep.
 func (s *Engines) Trim(program, keep string) {
 	for _, name := range s.queue.EnginesCaching(program) {
 		if name != keep {
--- a/gate/engine/stream.go
+++ b/gate/engine/stream.go
@@ -124,7 +124,7 @@
 	return ev.End, nil
 }
 
-// Cancel cancels a stream that has no reader any more.
+// Cancel cancels an attempt whose stream is no longer read.
 func (s *Engines) Cancel(target types.Target, attempt string) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
