--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -13,7 +13,8 @@
 	"mulleingate.dev/gate/sched"
 )
 
-// PlacementPolicy is the policy on where a program's data may be used, and the workspaces' fair shares.
+// PlacementPolicy is the policy on where a program's data may be used and on the workspaces' fair
+// shares.
 type PlacementPolicy interface {
 	// Allowed reports whether the policy allows the use of the data.
 	Allowed(in types.RuleInput) bool
@@ -34,9 +35,9 @@
 	Order    sched.Order
 	// MaxWait is the expected wait above which new programs are refused.
 	MaxWait time.Duration
-	// StarvationAge is the wait after which a call goes ahead of all that have not waited as long as that.
+	// StarvationAge is the wait after which a call goes ahead of all calls with a shorter wait.
 	StarvationAge time.Duration
-	// HoldCaches makes engines keep a program's cache between turns where that pays.
+	// HoldCaches makes engines keep a program's cache between turns if that is expected to save work.
 	HoldCaches bool
 	// Seed makes random choices repeatable.
 	Seed uint64
@@ -44,7 +45,8 @@
 
 const (
 	inboxSize = 1024
-	// tickInterval bounds the delay until the end of an ejection takes effect, which no message announces.
+	// tickInterval is the time between attempts to dispatch when no message arrives, since no
+	// message announces the end of an ejection.
 	tickInterval       = 100 * time.Millisecond
 	initialLimit       = 4
 	limitHeadroom      = 4
@@ -83,7 +85,7 @@
 type cancelMsg struct{ req *request }
 
 // queryMsg runs a function in the event loop.
-type queryMsg struct{ run func(l *Scheduler) }
+type queryMsg struct{ run func(s *Scheduler) }
 
 func (acquireMsg) isMessage() {}
 func (finishMsg) isMessage()  {}
@@ -96,7 +98,7 @@
 type Scheduler struct {
 	zone    string
 	opts    Options
-	places  PlacementPolicy
+	policy  PlacementPolicy
 	counts  Counts
 	logger  *slog.Logger
 	inbox   chan message
@@ -117,130 +119,130 @@
 }
 
 // New returns a Scheduler for a box in the availability zone.
-func New(zone string, opts Options, places PlacementPolicy, counts Counts, logger *slog.Logger) *Scheduler {
+func New(zone string, opts Options, policy PlacementPolicy, counts Counts, logger *slog.Logger) *Scheduler {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Scheduler{
-		ctx: ctx, stop: stop, zone: zone, opts: opts, places: places, counts: counts, logger: logger,
+		ctx: ctx, stop: stop, zone: zone, opts: opts, policy: policy, counts: counts, logger: logger,
 		inbox: make(chan message, inboxSize), rng: rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		engines: map[string]*engine{}, remoteStreams: map[string]map[string]int{}, ejector: limit.NewEjector(),
-		turnStats: sched.NewTurnStats(), fairShare: sched.NewFairShare(places), serviceTime: initialServiceTime,
+		turnStats: sched.NewTurnStats(), fairShare: sched.NewFairShare(policy), serviceTime: initialServiceTime,
 		done: make(chan struct{}),
 	}
 }
 
 // Start starts the event loop.
-func (l *Scheduler) Start(context.Context) error {
-	go l.run()
+func (s *Scheduler) Start(context.Context) error {
+	go s.run()
 	return nil
 }
 
 // Stop refuses all queued calls and stops the event loop.
-func (l *Scheduler) Stop(context.Context) error {
-	l.stop()
-	<-l.done
+func (s *Scheduler) Stop(context.Context) error {
+	s.stop()
+	<-s.done
 	return nil
 }
 
 // Notify sends a message to the event loop. It drops the message once the loop is stopping.
-func (l *Scheduler) Notify(m lease.Message) {
-	l.send(updateMsg{m: m})
+func (s *Scheduler) Notify(m lease.Message) {
+	s.send(updateMsg{m: m})
 }
 
-func (l *Scheduler) send(m message) {
+func (s *Scheduler) send(m message) {
 	select {
-	case l.inbox <- m:
-	case <-l.ctx.Done():
+	case s.inbox <- m:
+	case <-s.ctx.Done():
 	}
 }
 
 // Acquire waits for a lease on an engine. It refuses at once calls that cannot be served in
 // time, and returns an error once ctx ends.
-func (l *Scheduler) Acquire(ctx context.Context, call lease.Request) (*lease.Lease, error) {
+func (s *Scheduler) Acquire(ctx context.Context, call lease.Request) (*lease.Lease, error) {
 	reply := make(chan acquireReply, 1)
-	l.send(acquireMsg{call: call, ctx: ctx, reply: reply})
+	s.send(acquireMsg{call: call, ctx: ctx, reply: reply})
 	select {
-	case a := <-reply:
-		return a.lease, a.err
-	case <-l.ctx.Done():
+	case r := <-reply:
+		return r.lease, r.err
+	case <-s.ctx.Done():
 		return nil, fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)
 	}
 }
 
-func (l *Scheduler) run() {
-	defer close(l.done)
+func (s *Scheduler) run() {
+	defer close(s.done)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-l.ctx.Done():
-			l.refuseAll()
+		case <-s.ctx.Done():
+			s.refuseAll()
 			return
-		case m := <-l.inbox:
-			l.handle(m)
+		case m := <-s.inbox:
+			s.handle(m)
 		case <-tick.C:
-			l.counts.Gauge("admit.queue", int64(len(l.queue)))
+			s.counts.Gauge("admit.queue", int64(len(s.queue)))
 		}
-		l.drainInbox()
-		l.dispatch()
+		s.drainInbox()
+		s.dispatch()
 	}
 }
 
 // drainInbox handles the messages that are waiting, so that the next decision uses them.
-func (l *Scheduler) drainInbox() {
+func (s *Scheduler) drainInbox() {
 	for range inboxSize {
 		select {
-		case m := <-l.inbox:
-			l.handle(m)
+		case m := <-s.inbox:
+			s.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-func (l *Scheduler) handle(m message) {
+func (s *Scheduler) handle(m message) {
 	switch m := m.(type) {
 	case acquireMsg:
-		l.enqueue(m)
+		s.enqueue(m)
 	case finishMsg:
-		l.finish(m)
+		s.finish(m)
 	case cancelMsg:
-		l.cancel(m.req)
+		s.cancel(m.req)
 	case updateMsg:
-		l.applyUpdate(m.m)
+		s.applyUpdate(m.m)
 	case queryMsg:
-		m.run(l)
+		m.run(s)
 	}
 }
 
-func (l *Scheduler) refuseAll() {
-	for _, req := range l.queue {
+func (s *Scheduler) refuseAll() {
+	for _, req := range s.queue {
 		req.respond(acquireReply{err: fault.Refuse(fault.Stopping, "box is stopping").WithRetryAfter(time.Second)})
 	}
-	l.queue = nil
+	s.queue = nil
 }
 
-func (l *Scheduler) applyUpdate(m lease.Message) {
+func (s *Scheduler) applyUpdate(m lease.Message) {
 	switch m := m.(type) {
 	case lease.Report:
-		l.applyReport(m)
+		s.applyReport(m)
 	case lease.Targets:
-		l.setTargets(m.List)
+		s.setTargets(m.List)
 	case lease.Leaving:
-		if e, ok := l.engines[m.Name]; ok {
+		if e, ok := s.engines[m.Name]; ok {
 			e.leaving = true
 		}
 	case lease.RemoteStreams:
-		l.remoteStreams[m.Box] = m.Streams
+		s.remoteStreams[m.Box] = m.Streams
 	case lease.Dropped:
-		if e, ok := l.engines[m.Target]; ok {
+		if e, ok := s.engines[m.Target]; ok {
 			delete(e.cached, m.Program)
 		}
 	case lease.Moved:
-		l.moveCache(m)
+		s.moveCache(m)
 	case lease.ForgetPrograms:
-		l.forgetPrograms(m.Programs)
+		s.forgetPrograms(m.Programs)
 	case lease.CacheList:
-		if e, ok := l.engines[m.Target]; ok {
+		if e, ok := s.engines[m.Target]; ok {
 			e.cached = m.Tokens
 		}
 	}
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -20,27 +20,27 @@
 // allowExceptZone is a policy that allows everything outside of one zone.
 type allowExceptZone struct{ zone string }
 
-func (e allowExceptZone) Allowed(in types.RuleInput) bool { return in.Zone != e.zone }
-func (e allowExceptZone) Share(string) int                { return 1 }
+func (p allowExceptZone) Allowed(in types.RuleInput) bool { return in.Zone != p.zone }
+func (p allowExceptZone) Share(string) int                { return 1 }
 
-func newLoop(t *testing.T, places PlacementPolicy) *Scheduler {
+func newTestScheduler(t *testing.T, policy PlacementPolicy) *Scheduler {
 	t.Helper()
 	opts := Options{Strategy: sched.Scored, Order: sched.Age, MaxWait: time.Second, StarvationAge: 2 * time.Second, Seed: 1}
-	l := New("a", opts, places, meter.New(), slog.New(slog.DiscardHandler))
-	if err := l.Start(t.Context()); err != nil {
+	s := New("a", opts, policy, meter.New(), slog.New(slog.DiscardHandler))
+	if err := s.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	var list []types.Target
 	for _, name := range []string{"e1", "e2"} {
 		list = append(list, types.Target{Name: name, Kind: types.Engine, Zone: "a", Models: []string{"m"}})
 	}
-	l.Notify(lease.Targets{List: list})
+	s.Notify(lease.Targets{List: list})
 	for _, name := range []string{"e1", "e2"} {
-		l.Notify(lease.Report{Load: types.LoadReport{
+		s.Notify(lease.Report{Load: types.LoadReport{
 			Name: name, At: time.Now(), MaxBatch: 2, PrefillRate: 1000, StepTime: types.Duration(time.Millisecond), Models: []string{"m"},
 		}})
 	}
-	return l
+	return s
 }
 
 func testRequest(program string) lease.Request {
@@ -52,15 +52,15 @@
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, allowExceptZone{})
-		defer func() { _ = l.Stop(t.Context()) }()
-		l.Notify(lease.Leaving{Name: "e1"})
+		s := newTestScheduler(t, allowExceptZone{})
+		defer func() { _ = s.Stop(t.Context()) }()
+		s.Notify(lease.Leaving{Name: "e1"})
 		// An outdated list does not revert the engine's state.
-		l.Notify(lease.Targets{List: []types.Target{
+		s.Notify(lease.Targets{List: []types.Target{
 			{Name: "e1", Kind: types.Engine, Zone: "a", Models: []string{"m"}}, {Name: "e2", Kind: types.Engine, Zone: "a", Models: []string{"m"}},
 		}})
 		for range 4 {
-			got, err := l.Acquire(t.Context(), testRequest("p"))
+			got, err := s.Acquire(t.Context(), testRequest("p"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -73,12 +73,12 @@
 
 func TestUnservableCallsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, allowExceptZone{zone: "a"})
-		defer func() { _ = l.Stop(t.Context()) }()
-		if _, err := l.Acquire(t.Context(), testRequest("p")); !fault.Is(err, fault.NoAllowedPlace) {
+		s := newTestScheduler(t, allowExceptZone{zone: "a"})
+		defer func() { _ = s.Stop(t.Context()) }()
+		if _, err := s.Acquire(t.Context(), testRequest("p")); !fault.Is(err, fault.NoAllowedPlace) {
 			t.Errorf("zone that the policy forbids: %v, want no_place", err)
 		}
-		permissive := newLoop(t, allowExceptZone{})
+		permissive := newTestScheduler(t, allowExceptZone{})
 		defer func() { _ = permissive.Stop(t.Context()) }()
 		otherModel := testRequest("p")
 		otherModel.Input.Model = "other"
@@ -113,18 +113,18 @@
 
 func TestFailingTargetIsEjectedAndReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, allowExceptZone{})
-		defer func() { _ = l.Stop(t.Context()) }()
+		s := newTestScheduler(t, allowExceptZone{})
+		defer func() { _ = s.Stop(t.Context()) }()
 		for i := range 24 {
 			program := strconv.Itoa(i)
-			got, err := l.Acquire(t.Context(), testRequest(program))
+			got, err := s.Acquire(t.Context(), testRequest(program))
 			if err != nil {
 				t.Fatal(err)
 			}
 			got.Finish(lease.Result{OK: got.Target.Name == "e2", Program: program, Usage: types.Usage{PromptTokens: 1, CompletionTokens: 1}})
 		}
 		ejected := func() (names []string) {
-			for _, st := range l.Status() {
+			for _, st := range s.Status() {
 				if st.Ejected {
 					names = append(names, st.Name)
 				}
@@ -143,11 +143,11 @@
 
 func TestStarvedCallsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoop(t, allowExceptZone{})
-		defer func() { _ = l.Stop(t.Context()) }()
+		s := newTestScheduler(t, allowExceptZone{})
+		defer func() { _ = s.Stop(t.Context()) }()
 		var busy []*lease.Lease
 		for range 8 {
-			got, err := l.Acquire(t.Context(), testRequest("busy"))
+			got, err := s.Acquire(t.Context(), testRequest("busy"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -155,10 +155,10 @@
 		}
 		order := make(chan string, 2)
 		enqueue := func(name string, priority int64) {
-			a := testRequest(name)
-			a.Progress.Priority = priority
+			req := testRequest(name)
+			req.Progress.Priority = priority
 			go func() {
-				if _, err := l.Acquire(t.Context(), a); err == nil {
+				if _, err := s.Acquire(t.Context(), req); err == nil {
 					order <- name
 				}
 			}()
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -18,8 +18,8 @@
 	reportedAt time.Time
 	// inFlight is the number of this box's calls at the engine.
 	inFlight int
-	// inFlightAtReport is inFlight when the engine made its last report, estimated as its value
-	// at the poll before.
+	// inFlightAtReport is the estimated value of inFlight when the engine made its last report:
+	// the value at the poll before the one that returned it.
 	inFlightAtReport int
 	// inFlightAtPoll is inFlight at the last poll.
 	inFlightAtPoll int
@@ -37,29 +37,29 @@
 
 // setTargets replaces the list of engines. An engine that is no longer listed is removed
 // if it has no calls of this box in flight, and marked as leaving otherwise.
-func (l *Scheduler) setTargets(list []types.Target) {
+func (s *Scheduler) setTargets(list []types.Target) {
 	listed := map[string]bool{}
 	for _, t := range list {
 		if t.Kind != types.Engine {
 			continue
 		}
 		listed[t.Name] = true
-		e, ok := l.engines[t.Name]
+		e, ok := s.engines[t.Name]
 		if !ok {
 			e = &engine{
 				slowdown: 1, cached: map[string]int{}, limit: limit.NewAdaptive(initialLimit, 1, initialLimit),
 				load: types.LoadReport{MaxBatch: initialLimit, PrefillRate: 10_000, StepTime: types.Duration(10 * time.Millisecond), Models: t.Models},
 			}
-			l.engines[t.Name] = e
+			s.engines[t.Name] = e
 		}
 		// The list may lag behind the engine's own report that it is leaving.
 		leaving := t.Leaving || (e.leaving && e.target.Addr == t.Addr)
 		e.target = t
 		e.leaving = leaving
 	}
-	for name, e := range l.engines {
+	for name, e := range s.engines {
 		if !listed[name] && e.inFlight == 0 {
-			delete(l.engines, name)
+			delete(s.engines, name)
 		} else if !listed[name] {
 			e.leaving = true
 		}
@@ -67,8 +67,8 @@
 }
 
 // applyReport updates an engine from its load report and cache events.
-func (l *Scheduler) applyReport(m lease.Report) {
-	e, ok := l.engines[m.Load.Name]
+func (s *Scheduler) applyReport(m lease.Report) {
+	e, ok := s.engines[m.Load.Name]
 	if !ok {
 		return
 	}
@@ -95,21 +95,21 @@
 }
 
 // forgetPrograms drops the cache estimates and turn statistics of programs.
-func (l *Scheduler) forgetPrograms(programs []string) {
-	for _, e := range l.engines {
+func (s *Scheduler) forgetPrograms(programs []string) {
+	for _, e := range s.engines {
 		for _, id := range programs {
 			delete(e.cached, id)
 		}
 	}
 	for _, id := range programs {
-		l.turnStats.ProgramEnded(id)
+		s.turnStats.ProgramEnded(id)
 	}
 }
 
 // moveCache records that a program's cache was moved to another engine.
-func (l *Scheduler) moveCache(m lease.Moved) {
-	from, okFrom := l.engines[m.From]
-	to, okTo := l.engines[m.To]
+func (s *Scheduler) moveCache(m lease.Moved) {
+	from, okFrom := s.engines[m.From]
+	to, okTo := s.engines[m.To]
 	if okFrom && okTo {
 		to.cached[m.Program] = from.cached[m.Program]
 		delete(from.cached, m.Program)
@@ -117,36 +117,36 @@
 }
 
 // usable reports whether the engine may take the call, apart from limits and ejection.
-func (l *Scheduler) usable(e *engine, call lease.Request) bool {
+func (s *Scheduler) usable(e *engine, call lease.Request) bool {
 	if e.leaving || slices.Contains(call.Exclude, e.target.Name) {
 		return false
 	}
 	if !slices.Contains(e.load.Models, call.Input.Model) {
 		return false
 	}
-	return l.permitted(e, call)
+	return s.permitted(e, call)
 }
 
 // permitted reports whether the policy allows the engine to run the call and hold its cache.
-func (l *Scheduler) permitted(e *engine, call lease.Request) bool {
+func (s *Scheduler) permitted(e *engine, call lease.Request) bool {
 	in := call.Input
 	in.Zone = e.target.Zone
 	in.Target = e.target.Name
 	in.Use = "run"
-	if !l.places.Allowed(in) {
+	if !s.policy.Allowed(in) {
 		return false
 	}
 	in.Use = "cache"
-	return l.places.Allowed(in)
+	return s.policy.Allowed(in)
 }
 
 // countEngines returns the number of engines that the policy allows and of those that are usable.
-func (l *Scheduler) countEngines(call lease.Request) (permitted, usable int) {
-	for _, e := range l.engines {
-		if l.permitted(e, call) {
+func (s *Scheduler) countEngines(call lease.Request) (permitted, usable int) {
+	for _, e := range s.engines {
+		if s.permitted(e, call) {
 			permitted++
 		}
-		if l.usable(e, call) {
+		if s.usable(e, call) {
 			usable++
 		}
 	}
@@ -181,52 +181,52 @@
 }
 
 // place grants the call a lease on an engine, or returns nil if no engine can take it now.
-func (l *Scheduler) place(now time.Time, req *request) *lease.Lease {
-	var cands []sched.Candidate
+func (s *Scheduler) place(now time.Time, req *request) *lease.Lease {
+	var candidates []sched.Candidate
 	var engines []*engine
-	for _, e := range l.sortedEngines() {
-		if !l.usable(e, req.call) || l.ejector.Ejected(now, e.target.Name) {
+	for _, e := range s.sortedEngines() {
+		if !s.usable(e, req.call) || s.ejector.Ejected(now, e.target.Name) {
 			continue
 		}
-		c := e.candidate(l.othersInFlight(e.target.Name), e.target.Zone != l.zone)
+		c := e.candidate(s.othersInFlight(e.target.Name), e.target.Zone != s.zone)
 		c.CachedTokens = min(e.cached[req.call.Program], req.call.PromptTokens)
-		cands = append(cands, c)
+		candidates = append(candidates, c)
 		engines = append(engines, e)
 	}
-	expected := l.turnStats.AnswerLength(req.call.Input.Kind, req.call.ExpectedTokens)
+	expected := s.turnStats.AnswerLength(req.call.Input.Kind, req.call.ExpectedTokens)
 	placement := sched.PlacementRequest{
 		Program: req.call.Program, PromptTokens: req.call.PromptTokens, ExpectedTokens: expected,
 	}
-	i, weighed := sched.Pick(l.opts.Strategy, placement, cands, l.rng)
+	i, scored := sched.Pick(s.opts.Strategy, placement, candidates, s.rng)
 	if i < 0 {
 		return nil
 	}
 	e := engines[i]
 	e.inFlight++
-	tokens := req.call.PromptTokens - cands[i].CachedTokens + expected
-	l.fairShare.Charge(req.call.Input.Workspace, int64(tokens))
+	tokens := req.call.PromptTokens - candidates[i].CachedTokens + expected
+	s.fairShare.Charge(req.call.Input.Workspace, int64(tokens))
 	granted := &lease.Lease{
-		Target: e.target, CachedTokens: cands[i].CachedTokens, Candidates: weighed, Waited: now.Sub(req.arrived), Rank: req.rank,
-		Started: now, OnFinish: func(p *lease.Lease, res lease.Result) { l.send(finishMsg{lease: p, res: res}) },
+		Target: e.target, CachedTokens: candidates[i].CachedTokens, Candidates: scored, Waited: now.Sub(req.arrived), Rank: req.rank,
+		Started: now, OnFinish: func(finished *lease.Lease, res lease.Result) { s.send(finishMsg{lease: finished, res: res}) },
 	}
-	next := l.turnStats.TurnStarted(now, req.call.Program, req.call.Input.Kind)
-	if l.opts.HoldCaches {
-		granted.KeepCache = l.shouldHold(req.call, cands[i], next)
+	next := s.turnStats.TurnStarted(now, req.call.Program, req.call.Input.Kind)
+	if s.opts.HoldCaches {
+		granted.KeepCache = s.shouldHold(req.call, candidates[i], next)
 	}
 	return granted
 }
 
 // shouldHold reports whether the engine should keep the cache of the call's program until
 // the next turn.
-func (l *Scheduler) shouldHold(call lease.Request, c sched.Candidate, next sched.NextTurn) bool {
+func (s *Scheduler) shouldHold(call lease.Request, c sched.Candidate, next sched.NextTurn) bool {
 	weight := 1 + float64(call.Input.Turn)/10
 	return sched.ShouldHold(sched.HoldRequest{Tokens: call.PromptTokens + call.ExpectedTokens, Pause: next.Pause, NextTurnProbability: next.Probability, Weight: weight}, c)
 }
 
 // sortedEngines returns the engines by name, so that a seed always gives the same choices.
-func (l *Scheduler) sortedEngines() []*engine {
-	out := make([]*engine, 0, len(l.engines))
-	for _, e := range l.engines {
+func (s *Scheduler) sortedEngines() []*engine {
+	out := make([]*engine, 0, len(s.engines))
+	for _, e := range s.engines {
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b *engine) int {
@@ -239,20 +239,20 @@
 }
 
 // othersInFlight returns the number of other boxes' streams in flight at the target.
-func (l *Scheduler) othersInFlight(target string) int {
+func (s *Scheduler) othersInFlight(target string) int {
 	n := 0
-	for _, streams := range l.remoteStreams {
+	for _, streams := range s.remoteStreams {
 		n += streams[target]
 	}
 	return n
 }
 
 // finish ends a lease and updates the engine's limit, ejection and cache estimate from its result.
-func (l *Scheduler) finish(m finishMsg) {
+func (s *Scheduler) finish(m finishMsg) {
 	now := time.Now()
 	name := m.lease.Target.Name
-	l.turnStats.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
-	e, ok := l.engines[name]
+	s.turnStats.TurnAnswered(now, m.res.Program, m.res.Usage.CompletionTokens)
+	e, ok := s.engines[name]
 	if !ok {
 		return
 	}
@@ -262,17 +262,17 @@
 		return
 	}
 	if !m.res.OK {
-		if l.ejector.Failure(now, name, len(l.engines)) {
-			l.counts.Count("admit.ejections", 1)
-			l.logger.Warn("admit: target ejected", "target", name)
+		if s.ejector.Failure(now, name, len(s.engines)) {
+			s.counts.Count("admit.ejections", 1)
+			s.logger.Warn("admit: target ejected", "target", name)
 		}
 		return
 	}
-	l.ejector.Success(name)
+	s.ejector.Success(name)
 	e.cached[m.res.Program] = m.res.Usage.PromptTokens + m.res.Usage.CompletionTokens
 	e.observe(m.res)
 	held := now.Sub(m.lease.Started)
-	l.serviceTime += time.Duration(serviceGain * float64(held-l.serviceTime))
+	s.serviceTime += time.Duration(serviceGain * float64(held-s.serviceTime))
 }
 
 // observe adapts the engine's slowdown and concurrency limit to a completed answer.
--- a/gate/admit/query.go
+++ b/gate/admit/query.go
@@ -9,13 +9,13 @@
 )
 
 // Status returns the status of every engine, by name.
-func (l *Scheduler) Status() []types.EngineStatus {
+func (s *Scheduler) Status() []types.EngineStatus {
 	var out []types.EngineStatus
-	l.query(func(l *Scheduler) {
+	s.query(func(s *Scheduler) {
 		now := time.Now()
-		for _, e := range l.sortedEngines() {
+		for _, e := range s.sortedEngines() {
 			out = append(out, types.EngineStatus{
-				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: l.ejector.Ejected(now, e.target.Name),
+				Name: e.target.Name, Zone: e.target.Zone, Leaving: e.leaving, Ejected: s.ejector.Ejected(now, e.target.Name),
 				InFlight: e.inFlight, Limit: e.limit.Limit(), Running: e.load.Running, Queued: e.load.Queued, Slowdown: e.slowdown,
 				CachedPrograms: len(e.cached), ReportAge: now.Sub(e.reportedAt),
 			})
@@ -25,10 +25,10 @@
 }
 
 // InFlight returns the number of this box's streams in flight by target.
-func (l *Scheduler) InFlight() map[string]int {
+func (s *Scheduler) InFlight() map[string]int {
 	out := map[string]int{}
-	l.query(func(l *Scheduler) {
-		for name, e := range l.engines {
+	s.query(func(s *Scheduler) {
+		for name, e := range s.engines {
 			out[name] = e.inFlight
 		}
 	})
@@ -36,10 +36,10 @@
 }
 
 // LeavingEngines returns the names of the engines that take no new work, sorted.
-func (l *Scheduler) LeavingEngines() []string {
+func (s *Scheduler) LeavingEngines() []string {
 	var out []string
-	l.query(func(l *Scheduler) {
-		for name, e := range l.engines {
+	s.query(func(s *Scheduler) {
+		for name, e := range s.engines {
 			if e.leaving {
 				out = append(out, name)
 			}
@@ -50,10 +50,10 @@
 }
 
 // CachedPrograms returns the programs that each engine is estimated to cache, by engine.
-func (l *Scheduler) CachedPrograms() map[string][]string {
+func (s *Scheduler) CachedPrograms() map[string][]string {
 	out := map[string][]string{}
-	l.query(func(l *Scheduler) {
-		for name, e := range l.engines {
+	s.query(func(s *Scheduler) {
+		for name, e := range s.engines {
 			for program := range e.cached {
 				out[name] = append(out[name], program)
 			}
@@ -63,10 +63,10 @@
 }
 
 // EnginesCaching returns the engines that are estimated to cache the program.
-func (l *Scheduler) EnginesCaching(program string) []string {
+func (s *Scheduler) EnginesCaching(program string) []string {
 	var out []string
-	l.query(func(l *Scheduler) {
-		for name, e := range l.engines {
+	s.query(func(s *Scheduler) {
+		for name, e := range s.engines {
 			if _, ok := e.cached[program]; ok {
 				out = append(out, name)
 			}
@@ -77,24 +77,24 @@
 
 // query runs a function in the event loop and waits for it. The function does not run if
 // the loop has stopped.
-func (l *Scheduler) query(run func(l *Scheduler)) {
+func (s *Scheduler) query(run func(s *Scheduler)) {
 	done := make(chan struct{})
-	l.send(queryMsg{run: func(l *Scheduler) {
-		run(l)
+	s.send(queryMsg{run: func(s *Scheduler) {
+		run(s)
 		close(done)
 	}})
 	select {
 	case <-done:
-	case <-l.done:
+	case <-s.done:
 	}
 }
 
 // EvacuationTarget returns the usable engine with the most free cache, to which a cache can be moved.
-func (l *Scheduler) EvacuationTarget(call lease.Request) (types.Target, bool) {
+func (s *Scheduler) EvacuationTarget(call lease.Request) (types.Target, bool) {
 	var best *engine
-	l.query(func(l *Scheduler) {
-		for _, e := range l.sortedEngines() {
-			if l.usable(e, call) && (best == nil || e.freeCache() > best.freeCache()) {
+	s.query(func(s *Scheduler) {
+		for _, e := range s.sortedEngines() {
+			if s.usable(e, call) && (best == nil || e.freeCache() > best.freeCache()) {
 				best = e
 			}
 		}
--- a/gate/admit/queue.go
+++ b/gate/admit/queue.go
@@ -25,41 +25,41 @@
 }
 
 // respond sends the reply, unless one was sent.
-func (r *request) respond(a acquireReply) {
+func (r *request) respond(reply acquireReply) {
 	if r.replied {
 		return
 	}
 	r.replied = true
 	r.stop()
-	r.reply <- a
+	r.reply <- reply
 }
 
 // enqueue queues a call or refuses it at once.
-func (l *Scheduler) enqueue(m acquireMsg) {
+func (s *Scheduler) enqueue(m acquireMsg) {
 	now := time.Now()
-	if err := l.checkAdmission(now, m.call); err != nil {
-		l.counts.Count("admit.refused", 1)
+	if err := s.checkAdmission(now, m.call); err != nil {
+		s.counts.Count("admit.refused", 1)
 		m.reply <- acquireReply{err: err}
 		return
 	}
-	req := &request{call: m.call, rank: sched.Rank(l.opts.Order, m.call.Progress), arrived: now, reply: m.reply}
-	req.stop = context.AfterFunc(m.ctx, func() { l.send(cancelMsg{req: req}) })
-	l.queue = append(l.queue, req)
+	req := &request{call: m.call, rank: sched.Rank(s.opts.Order, m.call.Progress), arrived: now, reply: m.reply}
+	req.stop = context.AfterFunc(m.ctx, func() { s.send(cancelMsg{req: req}) })
+	s.queue = append(s.queue, req)
 }
 
 // checkAdmission refuses calls that have no usable engine or would wait too long.
-func (l *Scheduler) checkAdmission(now time.Time, call lease.Request) error {
-	permitted, usable := l.countEngines(call)
-	if permitted == 0 && len(l.engines) > 0 {
+func (s *Scheduler) checkAdmission(now time.Time, call lease.Request) error {
+	permitted, usable := s.countEngines(call)
+	if permitted == 0 && len(s.engines) > 0 {
 		return fault.Refuse(fault.NoAllowedPlace, "the policy allows no target for the data")
 	}
 	if usable == 0 {
 		return fault.Refuse(fault.NoTarget, "no allowed target currently serves the model").WithRetryAfter(time.Second)
 	}
-	if len(l.queue) >= maxQueue {
+	if len(s.queue) >= maxQueue {
 		return fault.Refuse(fault.Overloaded, "the queue is full").WithRetryAfter(time.Second)
 	}
-	decision, after := l.queueFor(call).Decide(now, call.Deadline, call.NewProgram, l.opts.MaxWait)
+	decision, after := s.queueFor(call).Decide(now, call.Deadline, call.NewProgram, s.opts.MaxWait)
 	switch decision {
 	case sched.RejectNewProgram:
 		return fault.Refuse(fault.Overloaded, "no new programs are accepted under the current load").WithRetryAfter(after)
@@ -71,17 +71,17 @@
 }
 
 // queueFor returns the state of the queue as the call would find it on arrival.
-func (l *Scheduler) queueFor(call lease.Request) sched.Queue {
-	q := sched.Queue{ServiceTime: l.serviceTime, Backlog: time.Duration(math.MaxInt64)}
-	for _, e := range l.engines {
-		if !l.usable(e, call) {
+func (s *Scheduler) queueFor(call lease.Request) sched.Queue {
+	q := sched.Queue{ServiceTime: s.serviceTime, Backlog: time.Duration(math.MaxInt64)}
+	for _, e := range s.engines {
+		if !s.usable(e, call) {
 			continue
 		}
 		q.Slots += max(1, e.limit.Limit())
 		q.Backlog = min(q.Backlog, e.backlog())
 	}
-	rank := sched.Rank(l.opts.Order, call.Progress)
-	for _, req := range l.queue {
+	rank := sched.Rank(s.opts.Order, call.Progress)
+	for _, req := range s.queue {
 		if req.rank >= rank {
 			q.Ahead++
 		}
@@ -89,53 +89,54 @@
 	return q
 }
 
-// cancel removes a call whose caller has gone or whose time is up from the queue.
-func (l *Scheduler) cancel(req *request) {
-	if i := slices.Index(l.queue, req); i >= 0 {
-		l.queue = slices.Delete(l.queue, i, i+1)
-		l.counts.Count("admit.timed_out", 1)
+// cancel removes a call from the queue after its context has ended.
+func (s *Scheduler) cancel(req *request) {
+	if i := slices.Index(s.queue, req); i >= 0 {
+		s.queue = slices.Delete(s.queue, i, i+1)
+		s.counts.Count("admit.timed_out", 1)
 	}
-	req.respond(acquireReply{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").WithRetryAfter(l.serviceTime)})
+	req.respond(acquireReply{err: fault.Refuse(fault.DeadlineMissed, "no target was free in time").WithRetryAfter(s.serviceTime)})
 }
 
 // dispatch places as many queued calls as it can, in order.
-func (l *Scheduler) dispatch() {
-	if len(l.queue) == 0 {
+func (s *Scheduler) dispatch() {
+	if len(s.queue) == 0 {
 		return
 	}
 	now := time.Now()
-	l.sortQueue(now)
-	remaining := l.queue[:0]
+	s.sortQueue(now)
+	remaining := s.queue[:0]
 	failed := 0
-	for i, req := range l.queue {
+	for i, req := range s.queue {
 		if failed > maxFailedPlacements {
-			remaining = append(remaining, l.queue[i:]...)
+			remaining = append(remaining, s.queue[i:]...)
 			break
 		}
-		granted := l.place(now, req)
+		granted := s.place(now, req)
 		if granted == nil {
 			failed++
 			remaining = append(remaining, req)
 			continue
 		}
-		l.counts.Time("admit.wait", granted.Waited)
+		s.counts.Time("admit.wait", granted.Waited)
 		req.respond(acquireReply{lease: granted})
 	}
-	clear(l.queue[len(remaining):])
-	l.queue = remaining
+	clear(s.queue[len(remaining):])
+	s.queue = remaining
 }
 
-// maxFailedPlacements bounds the calls in one pass over the queue that no engine can take.
+// maxFailedPlacements bounds the number of calls that one pass over the queue tries to place
+// without success.
 const maxFailedPlacements = 32
 
 // sortQueue orders the queue: starved calls first, then by priority, fair share and rank.
-func (l *Scheduler) sortQueue(now time.Time) {
-	sort.SliceStable(l.queue, func(i, j int) bool {
-		return sched.Before(now, l.opts.StarvationAge, l.waitingCall(l.queue[i]), l.waitingCall(l.queue[j]))
+func (s *Scheduler) sortQueue(now time.Time) {
+	sort.SliceStable(s.queue, func(i, j int) bool {
+		return sched.Before(now, s.opts.StarvationAge, s.waitingCall(s.queue[i]), s.waitingCall(s.queue[j]))
 	})
 }
 
 // waitingCall returns the properties of a request that determine its order.
-func (l *Scheduler) waitingCall(r *request) sched.WaitingCall {
-	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Progress.Priority, Served: l.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
+func (s *Scheduler) waitingCall(r *request) sched.WaitingCall {
+	return sched.WaitingCall{Arrived: r.arrived, Priority: r.call.Progress.Priority, Served: s.fairShare.Level(r.call.Input.Workspace), Rank: r.rank}
 }
