--- a/gate/front/forward.go
+++ b/gate/front/forward.go
@@ -39,13 +39,13 @@
 		if err == nil {
 			return nil
 		}
-		p := fault.From(err)
-		if !search.retryable(c, p) {
-			return search.finalError(p)
+		failure := fault.From(err)
+		if !search.retryable(c, failure) {
+			return search.finalError(failure)
 		}
 		select {
 		case <-ctx.Done():
-			return search.finalError(p)
+			return search.finalError(failure)
 		case <-time.After(pause):
 		}
 	}
@@ -74,25 +74,25 @@
 
 // retryable reports whether another attempt may succeed and is safe. Forwarded requests are
 // not retried; the box that received them from the caller does that.
-func (s *ownerSearch) retryable(c *call, p *fault.Fault) bool {
-	if p.NotRun {
-		return otherBoxMayServe(p) && c.hops == 0
+func (s *ownerSearch) retryable(c *call, failure *fault.Fault) bool {
+	if failure.NotRun {
+		return otherBoxMayServe(failure) && c.hops == 0
 	}
 	s.mayHaveRun = true
-	return !s.local && p.Kind == fault.PeerUnreachable && c.hops == 0
+	return !s.local && failure.Kind == fault.PeerUnreachable && c.hops == 0
 }
 
 // otherBoxMayServe reports whether another box, or the next owner, may serve the request.
-func otherBoxMayServe(p *fault.Fault) bool {
-	return p.Kind == fault.NotOwner || p.Kind == fault.OwnerUnavailable || p.Kind == fault.Stopping || p.Kind == fault.PeerUnreachable
+func otherBoxMayServe(failure *fault.Fault) bool {
+	return failure.Kind == fault.NotOwner || failure.Kind == fault.OwnerUnavailable || failure.Kind == fault.Stopping || failure.Kind == fault.PeerUnreachable
 }
 
 // finalError returns the failure to report to the caller. It is marked as not run only if no
 // attempt may have run the request.
-func (s *ownerSearch) finalError(p *fault.Fault) error {
-	out := *p
-	out.NotRun = p.NotRun && !s.mayHaveRun
-	if p.Kind == fault.PeerUnreachable || p.Kind == fault.NotOwner {
+func (s *ownerSearch) finalError(failure *fault.Fault) error {
+	out := *failure
+	out.NotRun = failure.NotRun && !s.mayHaveRun
+	if failure.Kind == fault.PeerUnreachable || failure.Kind == fault.NotOwner {
 		out.Kind, out.Detail = fault.OwnerUnavailable, "the owner of the program or key could not be reached"
 		out.RetryAfter = time.Second
 	}
@@ -142,11 +142,11 @@
 	return ctx, stop
 }
 
-// peerLost returns the error as a failure to reach the other box.
+// peerLost converts the error to a failure to reach the other box.
 func peerLost(err error) error {
-	p := *fault.From(err)
-	p.Kind = fault.PeerUnreachable
-	return &p
+	failure := *fault.From(err)
+	failure.Kind = fault.PeerUnreachable
+	return &failure
 }
 
 // streamResponse copies the response to the caller. After a broken stream, the response of
--- a/gate/front/front.go
+++ b/gate/front/front.go
@@ -21,7 +21,7 @@
 // Programs runs programs on this box.
 type Programs interface {
 	Begin(ctx context.Context, begin types.Begin, parent string) (types.ProgramState, error)
-	Turn(ctx context.Context, ask prog.TurnCall) (*prog.Run, error)
+	Turn(ctx context.Context, call prog.TurnCall) (*prog.Run, error)
 	State(ctx context.Context, workspace, id, token string) (types.ProgramState, error)
 	End(ctx context.Context, workspace, id string) (types.ProgramState, error)
 	Continuation(workspace, program, token string) (*types.Continuation, error)
@@ -29,7 +29,7 @@
 
 // Calls runs calls of services on this box.
 type Calls interface {
-	Call(ctx context.Context, slot ident.Slot, ask plain.ServiceCall) (types.ServiceAnswer, error)
+	Call(ctx context.Context, slot ident.Slot, call plain.ServiceCall) (types.ServiceAnswer, error)
 }
 
 // Owners finds the box that owns a slot.
@@ -192,9 +192,9 @@
 // writeError reports the failure to the caller. It cuts the connection if the response has
 // started, since the status can no longer change.
 func (f *Front) writeError(c *call, err error) {
-	p := fault.From(err)
-	f.counts.Count("front.failed."+string(p.Kind), 1)
-	f.logger.Debug("front: request refused", "request", c.id, "kind", string(p.Kind), "not_run", p.NotRun, "error", err)
+	failure := fault.From(err)
+	f.counts.Count("front.failed."+string(failure.Kind), 1)
+	f.logger.Debug("front: request refused", "request", c.id, "kind", string(failure.Kind), "not_run", failure.NotRun, "error", err)
 	if c.responseStarted {
 		server.CloseConnection(c.w)
 		return
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -49,18 +49,18 @@
 	if body.DataClass == "" || len(body.DataClass) > ident.MaxLen || len(body.Kind) > ident.MaxLen {
 		return types.Begin{}, fault.Refuse(fault.BadRequest, "data_class is missing, or a name is too long")
 	}
-	lim := body.Limits
-	if body.Deadline < 0 || body.Budget < 0 || lim.Turns < 0 || lim.Depth < 0 || lim.FanOut < 0 || lim.Idle < 0 {
+	limits := body.Limits
+	if body.Deadline < 0 || body.Budget < 0 || limits.Turns < 0 || limits.Depth < 0 || limits.FanOut < 0 || limits.Idle < 0 {
 		return types.Begin{}, fault.Refuse(fault.BadRequest, "a limit is negative")
 	}
-	def := f.policies.Defaults()
+	defaults := f.policies.Defaults()
 	now := time.Now()
 	begin := types.Begin{
 		Workspace: workspace, Model: body.Model, DataClass: body.DataClass, Kind: body.Kind, Created: now,
-		Deadline: now.Add(time.Duration(boundedDuration(body.Deadline, def.Deadline))),
+		Deadline: now.Add(time.Duration(boundedDuration(body.Deadline, defaults.Deadline))),
 		Limits: types.Limits{
-			Turns: boundedLimit(lim.Turns, def.Turns), Depth: boundedLimit(lim.Depth, def.Depth),
-			FanOut: boundedLimit(lim.FanOut, def.FanOut), Idle: boundedDuration(lim.Idle, def.Idle),
+			Turns: boundedLimit(limits.Turns, defaults.Turns), Depth: boundedLimit(limits.Depth, defaults.Depth),
+			FanOut: boundedLimit(limits.FanOut, defaults.FanOut), Idle: boundedDuration(limits.Idle, defaults.Idle),
 		},
 	}
 	return begin, nil
@@ -86,8 +86,8 @@
 		return fault.Refuse(fault.BadRequest, "budget is missing")
 	}
 	begin.Budget = requested
-	bound := f.policies.BudgetLimit(ruleInput(*begin))
-	begin.Budget = min(requested, bound)
+	maxBudget := f.policies.BudgetLimit(ruleInput(*begin))
+	begin.Budget = min(requested, maxBudget)
 	if begin.Budget <= 0 {
 		return fault.Refuse(fault.BudgetSpent, "the policy gives the program no budget")
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// newID returns an id in a slot whose zone the policy allows: a slot of this box if possible,
-// else one of this zone, else any. A forwarded request keeps its id.
+// newID returns an id in a slot whose zone the policy allows: preferably a slot of this box, then
+// one of this zone, then any. A forwarded request keeps its id.
 func (f *Front) newID(c *call, begin types.Begin) (string, error) {
 	if id := c.r.URL.Query().Get("id"); c.peer && id != "" {
 		return id, nil
