--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -43,8 +43,8 @@
 
 // Timing holds the intervals of a Store.
 type Timing struct {
-	// PollInterval is the interval between a box's reads of the stream. It is longer in a large fleet;
-	// see targetPollers.
+	// PollInterval is the interval between a box's reads of the stream. It is longer in a large
+	// fleet; see targetPollers.
 	PollInterval time.Duration
 	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
@@ -52,11 +52,11 @@
 
 const (
 	pageSize = 200
-	// copyAgeDiv sets the age at which a revision is copied, as a fraction of Retention.
-	copyAgeDiv  = 3
-	callTimeout = 2 * time.Second
-	// targetPollers is about the number of reads of the stream per PollInterval in a large fleet. Each
-	// box then reads less often and learns of new revisions from heartbeats.
+	// copyAgeDivisor sets the age at which a revision is copied, as a fraction of Retention.
+	copyAgeDivisor = 3
+	callTimeout    = 2 * time.Second
+	// targetPollers is the approximate number of reads of the stream per PollInterval in a large
+	// fleet. Each box then reads less often and learns of new revisions from heartbeats.
 	targetPollers = 16
 )
 
@@ -71,13 +71,13 @@
 	timing  Timing
 	logger  *slog.Logger
 	current atomic.Pointer[State]
-	// confirmed is when the stream was last read to its end or a peer's newer revision was
-	// accepted, in Unix nanoseconds.
+	// confirmed is the time, in Unix nanoseconds, at which the stream was last read to its end or
+	// a newer revision from another box was accepted.
 	confirmed atomic.Int64
 
 	// mu guards fold, lastAppended and hooks.
-	mu   sync.Mutex
-	fold *revs.StreamState
+	mu     sync.Mutex
+	stream *revs.StreamState
 	// lastAppended is when the stream's newest entry with the current revision was read.
 	lastAppended time.Time
 	hooks        []func(*State)
@@ -85,14 +85,14 @@
 	newerPeers chan netip.AddrPort
 	ctx        context.Context
 	stop       context.CancelFunc
-	done       sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
 // New returns a Store that accepts revisions signed with one of the operators' public keys.
-func New(self string, root *seal.RootKey, keys []ed25519.PublicKey, log Log, fetch Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
+func New(self string, root *seal.RootKey, keys []ed25519.PublicKey, log Log, fetcher Fetcher, view View, timing Timing, logger *slog.Logger) *Store {
 	return &Store{
-		self: self, root: root, log: log, fetcher: fetch, view: view, timing: timing, logger: logger,
-		fold: revs.New(keys), newerPeers: make(chan netip.AddrPort, 1),
+		self: self, root: root, log: log, fetcher: fetcher, view: view, timing: timing, logger: logger,
+		stream: revs.New(keys), newerPeers: make(chan netip.AddrPort, 1),
 	}
 }
 
@@ -108,14 +108,14 @@
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.view.AddToHeartbeat(func(beat *wire.BeatRequest) { beat.Revision = s.RevisionNumber() })
 	s.view.OnHeartbeat(s.onHeartbeat)
-	s.done.Go(s.run)
+	s.goroutines.Go(s.run)
 	return nil
 }
 
 // Stop stops following and waits for the goroutine that reads the stream.
 func (s *Store) Stop(context.Context) error {
 	s.stop()
-	s.done.Wait()
+	s.goroutines.Wait()
 	return nil
 }
 
@@ -129,7 +129,7 @@
 }
 
 // Fresh returns the current state like Current, but also fails if the state has not been
-// confirmed for longer than the policy's MaxStale.
+// confirmed for longer than the policy's MaxStale. A MaxStale of 0 means no limit.
 func (s *Store) Fresh() (*State, error) {
 	st, err := s.Current()
 	if err != nil {
@@ -172,8 +172,8 @@
 	return time.Duration(1<<63 - 1)
 }
 
-// NewerRevision returns the current revision as JSON, marked as a copy, if it is newer than have, and
-// nil otherwise.
+// NewerRevision returns the current revision as JSON, marked as a copy, if its number is higher
+// than have, and nil otherwise.
 func (s *Store) NewerRevision(have int64) []byte {
 	st := s.current.Load()
 	if st == nil || st.Revision.Number <= have {
@@ -229,7 +229,7 @@
 	defer stop()
 	for {
 		s.mu.Lock()
-		from := s.fold.Next
+		from := s.stream.Next
 		s.mu.Unlock()
 		page, err := s.log.Read(ctx, revs.Stream, from, pageSize)
 		if err != nil {
@@ -249,10 +249,10 @@
 func (s *Store) applyPage(page types.LogPage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fold.Next = max(s.fold.Next, page.First)
+	s.stream.Next = max(s.stream.Next, page.First)
 	for _, entry := range page.Entries {
-		rev, verdict := s.fold.Apply(entry)
-		if s.fold.CurrentOffset == entry.Offset {
+		rev, verdict := s.stream.Apply(entry)
+		if s.stream.CurrentOffset == entry.Offset {
 			s.lastAppended = time.Now()
 		}
 		s.logger.Debug("policy: entry read", "revision", rev.Number, "verdict", string(verdict))
@@ -263,7 +263,7 @@
 // apply makes the newest accepted revision the current one and calls the hooks. The caller
 // holds mu.
 func (s *Store) apply() {
-	rev := s.fold.Current
+	rev := s.stream.Current
 	if rev == nil || rev.Number <= s.RevisionNumber() {
 		return
 	}
@@ -294,7 +294,7 @@
 	rev.IsCopy = true
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.fold.ApplyRevision(rev)
+	verdict := s.stream.ApplyRevision(rev)
 	if verdict == revs.Accepted {
 		s.confirmed.Store(time.Now().UnixNano())
 	}
@@ -306,17 +306,17 @@
 // copy is overdue. Several copies do no harm.
 func (s *Store) appendCopy(ctx context.Context) {
 	s.mu.Lock()
-	rev := s.fold.Current
+	rev := s.stream.Current
 	age := time.Since(s.lastAppended)
 	s.mu.Unlock()
-	if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDiv {
+	if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDivisor {
 		return
 	}
 	var names []string
 	for _, m := range s.view.Live() {
 		names = append(names, m.Name)
 	}
-	overdue := age > 2*s.timing.Retention/copyAgeDiv
+	overdue := age > 2*s.timing.Retention/copyAgeDivisor
 	if ident.Rendezvous(revs.Stream, names) != s.self && !overdue {
 		return
 	}
--- a/gate/policy/rules.go
+++ b/gate/policy/rules.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	in.Region = st.Region(in.Zone)
-	// The place rule does not see these fields; clearing them lets equal verdicts share a cache entry.
+	// The place rule does not use these fields, so they are left out of the cache key.
 	in.Depth, in.Turn, in.Budget = 0, 0, 0
 	if verdict, ok := st.verdicts.Load(in); ok {
 		return verdict.(bool)
@@ -42,7 +42,7 @@
 	return verdict
 }
 
-// Priority returns the policy's priority of a call, 0 before the first revision.
+// Priority returns the policy's priority for a call, 0 before the first revision.
 func (s *Store) Priority(in types.RuleInput) int64 {
 	if st := s.current.Load(); st != nil {
 		return st.Rules.Order(in)
