--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -20,7 +20,7 @@
 	Report() types.Metrics
 }
 
-// StepFinder finds the recorded decision steps of a program or request.
+// StepFinder finds the recorded scheduling events of a program or request.
 type StepFinder interface {
 	Find(id string) []types.TraceEvent
 }
