--- a/gate/cmds/check.go
+++ b/gate/cmds/check.go
@@ -29,11 +29,11 @@
 }
 
 func (c *check) Execute(_ context.Context, out io.Writer, _ []string) error {
-	set, err := conf.Load(c.settings)
+	settings, err := conf.Load(c.settings)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(out, "settings of box %s in zone %s are valid\n", set.Box.Name, set.Box.Zone)
+	_, _ = fmt.Fprintf(out, "settings of box %s in zone %s are valid\n", settings.Box.Name, settings.Box.Zone)
 	return nil
 }
 
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -56,9 +56,9 @@
 	startedAt := time.Now()
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: conf.Log{Level: d.level}.SlogLevel()}))
 	slog.SetDefault(logger)
-	shape := sample.Ghent()
+	deployment := sample.Ghent()
 	platform, err := plat.New(plat.Spec{
-		Zones: shape.Zones, Engines: engineCount, Model: shape.Models[0], ListLag: 200 * time.Millisecond,
+		Zones: deployment.Zones, Engines: engineCount, Model: deployment.Models[0], ListLag: 200 * time.Millisecond,
 		Services: map[string]int{"booking": 1, "calendar": 1},
 	})
 	if err != nil {
@@ -66,29 +66,29 @@
 	}
 	defer platform.Stop()
 	keys := sample.NewKeys("dev")
-	if err := publishConfig(ctx, platform, shape, keys); err != nil {
+	if err := publishConfig(ctx, platform, deployment, keys); err != nil {
 		return err
 	}
-	boxes, sets, err := startBoxes(ctx, platform, shape, keys, logger)
+	boxes, allSettings, err := startBoxes(ctx, platform, deployment, keys, logger)
 	defer stopBoxes(boxes)
 	if err != nil {
 		return err
 	}
-	if err := waitReady(ctx, sets); err != nil {
+	if err := waitReady(ctx, allSettings); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "ready in %d ms\n", time.Since(startedAt).Milliseconds())
 	if d.once {
-		return runSampleProgram(ctx, out, sets)
+		return runSampleProgram(ctx, out, allSettings)
 	}
-	printExamples(out, sets)
+	printExamples(out, allSettings)
 	<-ctx.Done()
 	return nil
 }
 
 // publishConfig publishes the first revision of the sample configuration to the log.
-func publishConfig(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys) error {
-	cfg, err := sample.Config(shape, keys)
+func publishConfig(ctx context.Context, platform *plat.Platform, deployment sample.Deployment, keys sample.Keys) error {
+	cfg, err := sample.Config(deployment, keys)
 	if err != nil {
 		return err
 	}
@@ -100,53 +100,53 @@
 
 // startBoxes starts one box per zone. On an error it also returns the boxes that it started,
 // which the caller must stop.
-func startBoxes(ctx context.Context, platform *plat.Platform, shape sample.Deployment, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
-	ports, err := plat.FreePorts(portsPerBox * len(shape.Zones))
+func startBoxes(ctx context.Context, platform *plat.Platform, deployment sample.Deployment, keys sample.Keys, logger *slog.Logger) ([]*parts.Box, []conf.Settings, error) {
+	ports, err := plat.FreePorts(portsPerBox * len(deployment.Zones))
 	if err != nil {
 		return nil, nil, err
 	}
 	var boxes []*parts.Box
-	var sets []conf.Settings
-	for i, zone := range shape.Zones {
-		set := devSettings(platform, keys, fmt.Sprintf("box-%d", i), zone, ports[portsPerBox*i:])
-		platform.AddBox(types.Member{Name: set.Box.Name, Zone: zone, Peer: set.Listen.Peers})
-		sets = append(sets, set)
+	var allSettings []conf.Settings
+	for i, zone := range deployment.Zones {
+		settings := devSettings(platform, keys, fmt.Sprintf("box-%d", i), zone, ports[portsPerBox*i:])
+		platform.AddBox(types.Member{Name: settings.Box.Name, Zone: zone, Peer: settings.Listen.Peers})
+		allSettings = append(allSettings, settings)
 	}
-	for _, set := range sets {
-		box := parts.New(set, logger)
+	for _, settings := range allSettings {
+		box := parts.New(settings, logger)
 		if err := box.Start(ctx); err != nil {
-			return boxes, sets, err
+			return boxes, allSettings, err
 		}
 		boxes = append(boxes, box)
 	}
-	return boxes, sets, nil
+	return boxes, allSettings, nil
 }
 
 // devSettings returns settings with short intervals, so that the fleet is ready quickly.
 func devSettings(platform *plat.Platform, keys sample.Keys, name, zone string, ports []netip.AddrPort) conf.Settings {
-	set := conf.Defaults()
-	set.Box = conf.Box{Name: name, Zone: zone}
-	set.Listen = conf.Listen{Callers: ports[0], Peers: ports[1], Admin: ports[2]}
-	set.Platform.Log, set.Platform.List = platform.LogAddr, platform.ListAddr
-	set.Security = conf.Security{RootKey: keys.Root, OperatorKeys: [][]byte{keys.Public()}, InsecureLoopback: true}
-	set.Member.HeartbeatInterval = types.Duration(100 * time.Millisecond)
-	set.Member.SuspectTimeout = types.Duration(500 * time.Millisecond)
-	set.Member.ListInterval = types.Duration(100 * time.Millisecond)
-	set.Slots.CheckInterval = types.Duration(50 * time.Millisecond)
-	return set
+	settings := conf.Defaults()
+	settings.Box = conf.Box{Name: name, Zone: zone}
+	settings.Listen = conf.Listen{Callers: ports[0], Peers: ports[1], Admin: ports[2]}
+	settings.Platform.Log, settings.Platform.List = platform.LogAddr, platform.ListAddr
+	settings.Security = conf.Security{RootKey: keys.Root, OperatorKeys: [][]byte{keys.Public()}, InsecureLoopback: true}
+	settings.Member.HeartbeatInterval = types.Duration(100 * time.Millisecond)
+	settings.Member.SuspectTimeout = types.Duration(500 * time.Millisecond)
+	settings.Member.ListInterval = types.Duration(100 * time.Millisecond)
+	settings.Slots.CheckInterval = types.Duration(50 * time.Millisecond)
+	return settings
 }
 
 // waitReady waits until every box is ready and all slots are owned, at most readyTimeout.
-func waitReady(ctx context.Context, sets []conf.Settings) error {
+func waitReady(ctx context.Context, allSettings []conf.Settings) error {
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	cli := client.New("dev", nil)
 	for {
 		owned := 0
-		for _, set := range sets {
-			owned += countOwnedSlots(ctx, cli, set)
+		for _, settings := range allSettings {
+			owned += countOwnedSlots(ctx, cli, settings)
 		}
-		if owned == len(sets)*sample.Ghent().Slots {
+		if owned == len(allSettings)*sample.Ghent().Slots {
 			return nil
 		}
 		select {
@@ -158,9 +158,9 @@
 }
 
 // countOwnedSlots returns the number of slots that a box owns, or 0 while it is not ready.
-func countOwnedSlots(ctx context.Context, cli *client.Client, set conf.Settings) int {
+func countOwnedSlots(ctx context.Context, cli *client.Client, settings conf.Settings) int {
 	var status types.BoxStatus
-	url := "http://" + set.Listen.Admin.String() + "/status"
+	url := "http://" + settings.Listen.Admin.String() + "/status"
 	if err := cli.Call(ctx, http.MethodGet, url, nil, &status); err != nil || !status.Ready {
 		return 0
 	}
@@ -184,8 +184,8 @@
 }
 
 // printExamples prints commands to try against the fleet.
-func printExamples(out io.Writer, sets []conf.Settings) {
-	url := "http://" + sets[0].Listen.Callers.String()
+func printExamples(out io.Writer, allSettings []conf.Settings) {
+	url := "http://" + allSettings[0].Listen.Callers.String()
 	auth := "-H 'Authorization: Bearer " + sample.Token("flanders") + "'"
 	_, _ = fmt.Fprintf(out, `
 Create a program:
@@ -197,5 +197,5 @@
 Show a box's status:
   curl -s http://%[3]s/status
 Stop with Ctrl-C.
-`, url, auth, sets[0].Listen.Admin)
+`, url, auth, allSettings[0].Listen.Admin)
 }
--- a/gate/cmds/run.go
+++ b/gate/cmds/run.go
@@ -31,13 +31,13 @@
 }
 
 func (r *run) Execute(ctx context.Context, _ io.Writer, _ []string) error {
-	set, err := conf.Load(r.settings)
+	settings, err := conf.Load(r.settings)
 	if err != nil {
 		return err
 	}
-	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: set.Log.SlogLevel()}))
+	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: settings.Log.SlogLevel()}))
 	slog.SetDefault(logger)
-	box := parts.New(set, logger)
+	box := parts.New(settings, logger)
 	if err := box.Start(ctx); err != nil {
 		return err
 	}
