--- a/gate/parts/box.go
+++ b/gate/parts/box.go
@@ -32,15 +32,15 @@
 	Log         *logc.Client
 }
 
-// partBuilder returns the description of a service. Box.Start sets its name.
-type partBuilder func(env *Env) kernel.ServiceSpec
+// serviceBuilder returns the description of a service. Box.Start sets its name.
+type serviceBuilder func(env *Env) kernel.ServiceSpec
 
-// partBuilders holds the builder of each service by the service's name.
-var partBuilders = map[string]partBuilder{}
+// serviceBuilders holds the builder of each service by the service's name.
+var serviceBuilders = map[string]serviceBuilder{}
 
 // register adds a service under the name by which other services find it.
-func register(name string, build partBuilder) {
-	partBuilders[name] = build
+func register(name string, build serviceBuilder) {
+	serviceBuilders[name] = build
 }
 
 // Box runs all services of a box.
@@ -50,29 +50,29 @@
 }
 
 // New returns a box with the settings. Start starts its services.
-func New(set conf.Settings, logger *slog.Logger) *Box {
+func New(settings conf.Settings, logger *slog.Logger) *Box {
 	env := &Env{
-		Settings: set, Logger: logger.With("box", set.Box.Name), Incarnation: ident.RandomID(),
-		Self: types.Member{Name: set.Box.Name, Zone: set.Box.Zone, Peer: set.Listen.Peers},
-		Log:  logc.New(set.Platform.Log, time.Duration(set.Platform.LogTimeout)),
+		Settings: settings, Logger: logger.With("box", settings.Box.Name), Incarnation: ident.RandomID(),
+		Self: types.Member{Name: settings.Box.Name, Zone: settings.Box.Zone, Peer: settings.Listen.Peers},
+		Log:  logc.New(settings.Platform.Log, time.Duration(settings.Platform.LogTimeout)),
 	}
 	return &Box{env: env, kernel: kernel.New(env.Logger)}
 }
 
 // Start creates and starts all services in dependency order.
 func (b *Box) Start(ctx context.Context) error {
-	names := make([]string, 0, len(partBuilders))
-	for name := range partBuilders {
+	names := make([]string, 0, len(serviceBuilders))
+	for name := range serviceBuilders {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	parts := make([]kernel.ServiceSpec, 0, len(names))
+	specs := make([]kernel.ServiceSpec, 0, len(names))
 	for _, name := range names {
-		part := partBuilders[name](b.env)
-		part.Name = name
-		parts = append(parts, part)
+		spec := serviceBuilders[name](b.env)
+		spec.Name = name
+		specs = append(specs, spec)
 	}
-	if err := b.kernel.Start(ctx, parts); err != nil {
+	if err := b.kernel.Start(ctx, specs); err != nil {
 		return err
 	}
 	b.env.Logger.Info("box: started", "zone", b.env.Self.Zone, "callers", b.env.Settings.Listen.Callers.String())
--- a/gate/parts/engine.go
+++ b/gate/parts/engine.go
@@ -17,12 +17,12 @@
 func init() {
 	register("admit", func(env *Env) kernel.ServiceSpec {
 		return kernel.ServiceSpec{DependsOn: []string{"policy", "meter", "member"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			set := env.Settings.Admit
+			settings := env.Settings.Admit
 			seed := fnv.New64a()
 			_, _ = seed.Write([]byte(env.Self.Name))
 			opts := admit.Options{
-				Strategy: set.Strategy, Order: set.Order, MaxWait: time.Duration(set.MaxWait),
-				StarvationAge: time.Duration(set.StarvationAge), HoldCaches: set.HoldCaches, Seed: seed.Sum64(),
+				Strategy: settings.Strategy, Order: settings.Order, MaxWait: time.Duration(settings.MaxWait),
+				StarvationAge: time.Duration(settings.StarvationAge), HoldCaches: settings.HoldCaches, Seed: seed.Sum64(),
 			}
 			queue := admit.New(env.Self.Zone, opts, k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger)
 			exchangeEngineState(queue, k.Find("member").(*member.View))
@@ -31,8 +31,8 @@
 	})
 	register("engine", func(env *Env) kernel.ServiceSpec {
 		return kernel.ServiceSpec{DependsOn: []string{"admit", "member", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			set := env.Settings.Engines
-			timing := engine.Timing{PollInterval: time.Duration(set.PollInterval), IdlePollInterval: time.Duration(set.IdlePollInterval), SyncInterval: time.Duration(set.SyncInterval), SubsetSize: set.SubsetSize}
+			settings := env.Settings.Engines
+			timing := engine.Timing{PollInterval: time.Duration(settings.PollInterval), IdlePollInterval: time.Duration(settings.IdlePollInterval), SyncInterval: time.Duration(settings.SyncInterval), SubsetSize: settings.SubsetSize}
 			return engine.New(env.Self.Name, env.Self.Zone, k.Find("admit").(*admit.Scheduler),
 				k.Find("member").(*member.View), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
 		}}
--- a/gate/parts/errors_test.go
+++ b/gate/parts/errors_test.go
@@ -77,7 +77,7 @@
 	time.Sleep(5 * time.Millisecond)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			for i := range p.sets {
+			for i := range p.settings {
 				code, _, problem := p.send(i, c.req)
 				want := fault.Problem{Type: "urn:mulleingate:problem:" + string(c.kind), Title: string(c.kind), Status: fault.Status(c.kind), NotRun: true}
 				ignore := cmpopts.IgnoreFields(fault.Problem{}, "Detail", "RequestID", "Head", "RetryAfter")
@@ -109,13 +109,13 @@
 func (p *boxPair) checkNoContentLeak() {
 	p.t.Helper()
 	sources := map[string]string{"logs": p.logs.text(), "problems": p.problems.String()}
-	for _, set := range p.sets {
+	for _, settings := range p.settings {
 		for _, path := range []string{"/metrics", "/status"} {
 			var out json.RawMessage
-			if err := p.cli.Call(p.t.Context(), http.MethodGet, "http://"+set.Listen.Admin.String()+path, nil, &out); err != nil {
+			if err := p.cli.Call(p.t.Context(), http.MethodGet, "http://"+settings.Listen.Admin.String()+path, nil, &out); err != nil {
 				p.t.Fatal(err)
 			}
-			sources[set.Box.Name+path] = string(out)
+			sources[settings.Box.Name+path] = string(out)
 		}
 	}
 	page, err := p.platform.Log.Read(p.t.Context(), "slot.hall-gent.0", 0, 1000)
@@ -164,7 +164,7 @@
 	p := startPair(t, nil)
 	prog := p.createProgram(programBody)
 	continuation := prog.Continuation
-	root, err := p.sets[0].Security.LoadRootKey()
+	root, err := p.settings[0].Security.LoadRootKey()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,13 +188,13 @@
 	p.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		ready := 0
-		for _, set := range p.sets {
+		for _, settings := range p.settings {
 			var st types.BoxStatus
-			if p.cli.Call(p.t.Context(), http.MethodGet, "http://"+set.Listen.Admin.String()+"/status", nil, &st) == nil && st.Revision >= number {
+			if p.cli.Call(p.t.Context(), http.MethodGet, "http://"+settings.Listen.Admin.String()+"/status", nil, &st) == nil && st.Revision >= number {
 				ready++
 			}
 		}
-		if ready == len(p.sets) {
+		if ready == len(p.settings) {
 			return
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/gate/parts/fleet_test.go
+++ b/gate/parts/fleet_test.go
@@ -51,7 +51,7 @@
 type boxPair struct {
 	t        *testing.T
 	platform *plat.Platform
-	sets     []conf.Settings
+	settings []conf.Settings
 	cli      *client.Client
 	logs     *logBuffer
 	cfg      types.Config
@@ -62,18 +62,18 @@
 
 // startPair starts the platform and both boxes and waits until they are ready. edit, unless it
 // is nil, may change the configuration and the settings of each box.
-func startPair(t *testing.T, edit func(cfg *types.Config, set *conf.Settings)) *boxPair {
+func startPair(t *testing.T, edit func(cfg *types.Config, settings *conf.Settings)) *boxPair {
 	t.Helper()
-	shape := sample.Ghent()
-	shape.Zones = shape.Zones[:1]
+	deployment := sample.Ghent()
+	deployment.Zones = deployment.Zones[:1]
 	p := &boxPair{t: t, cli: client.New("test", nil), logs: &logBuffer{}, keys: sample.NewKeys("test")}
 	var err error
-	p.platform, err = plat.New(plat.Spec{Zones: shape.Zones, Engines: 1, Model: "planner", Services: map[string]int{"booking": 1, "calendar": 1}})
+	p.platform, err = plat.New(plat.Spec{Zones: deployment.Zones, Engines: 1, Model: "planner", Services: map[string]int{"booking": 1, "calendar": 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.platform.Stop)
-	p.cfg, err = sample.Config(shape, p.keys)
+	p.cfg, err = sample.Config(deployment, p.keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,24 +82,24 @@
 		t.Fatal(err)
 	}
 	for i, name := range []string{"box-a", "box-b"} {
-		set := conf.Defaults()
-		set.Box = conf.Box{Name: name, Zone: shape.Zones[0]}
-		set.Listen = conf.Listen{Callers: ports[3*i], Peers: ports[3*i+1], Admin: ports[3*i+2]}
-		set.Platform.Log, set.Platform.List = p.platform.LogAddr, p.platform.ListAddr
-		set.Security = conf.Security{RootKey: p.keys.Root, OperatorKeys: [][]byte{p.keys.Public()}, InsecureLoopback: true}
-		set.Member.HeartbeatInterval, set.Member.SuspectTimeout = types.Duration(100*time.Millisecond), types.Duration(1500*time.Millisecond)
-		set.Limits.MaxBodyBytes, set.Limits.BodyTimeout = 64<<10, types.Duration(200*time.Millisecond)
-		set.Slots.CheckInterval = types.Duration(20 * time.Millisecond)
+		settings := conf.Defaults()
+		settings.Box = conf.Box{Name: name, Zone: deployment.Zones[0]}
+		settings.Listen = conf.Listen{Callers: ports[3*i], Peers: ports[3*i+1], Admin: ports[3*i+2]}
+		settings.Platform.Log, settings.Platform.List = p.platform.LogAddr, p.platform.ListAddr
+		settings.Security = conf.Security{RootKey: p.keys.Root, OperatorKeys: [][]byte{p.keys.Public()}, InsecureLoopback: true}
+		settings.Member.HeartbeatInterval, settings.Member.SuspectTimeout = types.Duration(100*time.Millisecond), types.Duration(1500*time.Millisecond)
+		settings.Limits.MaxBodyBytes, settings.Limits.BodyTimeout = 64<<10, types.Duration(200*time.Millisecond)
+		settings.Slots.CheckInterval = types.Duration(20 * time.Millisecond)
 		if edit != nil {
-			edit(&p.cfg, &set)
+			edit(&p.cfg, &settings)
 		}
-		p.platform.AddBox(types.Member{Name: name, Zone: set.Box.Zone, Peer: set.Listen.Peers})
-		p.sets = append(p.sets, set)
+		p.platform.AddBox(types.Member{Name: name, Zone: settings.Box.Zone, Peer: settings.Listen.Peers})
+		p.settings = append(p.settings, settings)
 	}
 	p.publish(0)
 	logger := slog.New(slog.NewTextHandler(p.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	for _, set := range p.sets {
-		box := parts.New(set, logger)
+	for _, settings := range p.settings {
+		box := parts.New(settings, logger)
 		if err := box.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -127,9 +127,9 @@
 	p.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		owned := 0
-		for _, set := range p.sets {
+		for _, settings := range p.settings {
 			var st types.BoxStatus
-			err := p.cli.Call(p.t.Context(), http.MethodGet, "http://"+set.Listen.Admin.String()+"/status", nil, &st)
+			err := p.cli.Call(p.t.Context(), http.MethodGet, "http://"+settings.Listen.Admin.String()+"/status", nil, &st)
 			if err == nil && st.Ready {
 				owned += len(st.Slots)
 			}
@@ -150,7 +150,7 @@
 // send sends r to box i and returns the status, the body and, for an error, the decoded problem.
 func (p *boxPair) send(i int, r request) (int, []byte, fault.Problem) {
 	p.t.Helper()
-	req, err := http.NewRequestWithContext(p.t.Context(), r.method, "http://"+p.sets[i].Listen.Callers.String()+r.path, strings.NewReader(r.body))
+	req, err := http.NewRequestWithContext(p.t.Context(), r.method, "http://"+p.settings[i].Listen.Callers.String()+r.path, strings.NewReader(r.body))
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/gate/parts/front.go
+++ b/gate/parts/front.go
@@ -62,8 +62,8 @@
 func makeFront(env *Env) kernel.ServiceSpec {
 	needs := []string{"prog", "plain", "slots", "dialer", "policy", "meter"}
 	return kernel.ServiceSpec{DependsOn: needs, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-		set := env.Settings.Limits
-		opts := front.Options{Zone: env.Self.Zone, MaxBodyBytes: set.MaxBodyBytes, BodyTimeout: time.Duration(set.BodyTimeout), OwnerTimeout: time.Duration(set.OwnerTimeout)}
+		settings := env.Settings.Limits
+		opts := front.Options{Zone: env.Self.Zone, MaxBodyBytes: settings.MaxBodyBytes, BodyTimeout: time.Duration(settings.BodyTimeout), OwnerTimeout: time.Duration(settings.OwnerTimeout)}
 		return front.New(opts, k.Find("prog").(*prog.Prog), k.Find("plain").(*plain.Plain), k.Find("slots").(*slots.Slots),
 			k.Find("dialer").(dialerService), k.Find("policy").(*policy.Store), k.Find("meter").(*meter.Meter), env.Logger), nil
 	}}
--- a/gate/parts/member.go
+++ b/gate/parts/member.go
@@ -54,9 +54,9 @@
 func init() {
 	register("member", func(env *Env) kernel.ServiceSpec {
 		return kernel.ServiceSpec{DependsOn: []string{"dialer"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			set := env.Settings.Member
+			settings := env.Settings.Member
 			timing := member.Timing{
-				HeartbeatInterval: time.Duration(set.HeartbeatInterval), SuspectTimeout: time.Duration(set.SuspectTimeout), ListInterval: time.Duration(set.ListInterval), Fanout: set.Fanout,
+				HeartbeatInterval: time.Duration(settings.HeartbeatInterval), SuspectTimeout: time.Duration(settings.SuspectTimeout), ListInterval: time.Duration(settings.ListInterval), Fanout: settings.Fanout,
 			}
 			list := &lister{addr: env.Settings.Platform.List, http: client.New("list", nil)}
 			return member.New(env.Self, env.Incarnation, list, k.Find("dialer").(dialerService), timing, env.Logger), nil
--- a/gate/parts/policy.go
+++ b/gate/parts/policy.go
@@ -15,8 +15,8 @@
 			if err != nil {
 				return nil, err
 			}
-			plat := env.Settings.Platform
-			timing := policy.Timing{PollInterval: time.Duration(plat.ConfigPollInterval), Retention: time.Duration(plat.Retention)}
+			platform := env.Settings.Platform
+			timing := policy.Timing{PollInterval: time.Duration(platform.ConfigPollInterval), Retention: time.Duration(platform.Retention)}
 			return policy.New(env.Self.Name, root, env.Settings.Security.OperatorPublicKeys(), env.Log,
 				k.Find("dialer").(dialerService), k.Find("member").(*member.View), timing, env.Logger), nil
 		}}
--- a/gate/parts/slots.go
+++ b/gate/parts/slots.go
@@ -13,10 +13,10 @@
 func init() {
 	register("slots", func(env *Env) kernel.ServiceSpec {
 		return kernel.ServiceSpec{DependsOn: []string{"member", "policy", "meter"}, Make: func(k *kernel.Kernel) (kernel.Service, error) {
-			set, plat := env.Settings.Slots, env.Settings.Platform
+			settings, platform := env.Settings.Slots, env.Settings.Platform
 			timing := slots.Timing{
-				CheckInterval: time.Duration(set.CheckInterval), FlushDelay: time.Duration(set.FlushDelay), AdoptionDelay: time.Duration(set.AdoptionDelay),
-				Retention: time.Duration(plat.Retention), AppendRate: plat.AppendShare(), MaxQueued: set.MaxQueuedRecords,
+				CheckInterval: time.Duration(settings.CheckInterval), FlushDelay: time.Duration(settings.FlushDelay), AdoptionDelay: time.Duration(settings.AdoptionDelay),
+				Retention: time.Duration(platform.Retention), AppendRate: platform.AppendShare(), MaxQueued: settings.MaxQueuedRecords,
 			}
 			return slots.New(env.Self, env.Incarnation, env.Log, k.Find("member").(*member.View),
 				k.Find("policy").(*policy.Store), timing, k.Find("meter").(*meter.Meter), env.Logger), nil
--- a/gate/parts/slow_test.go
+++ b/gate/parts/slow_test.go
@@ -16,7 +16,7 @@
 // with an error or close the connection, and must still serve other callers.
 func TestSlowCallersAreDisconnected(t *testing.T) {
 	p := startPair(t, nil)
-	addr := p.sets[0].Listen.Callers.String()
+	addr := p.settings[0].Listen.Callers.String()
 	head := "POST /v1/programs HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + sample.Token("flanders") + "\r\n"
 	for name, text := range map[string]string{
 		"header": head,
--- a/gate/parts/tls.go
+++ b/gate/parts/tls.go
@@ -26,8 +26,8 @@
 	pool      *x509.CertPool
 }
 
-func newCertReloader(set conf.Cert) (*certReloader, error) {
-	r := &certReloader{files: set}
+func newCertReloader(files conf.Cert) (*certReloader, error) {
+	r := &certReloader{files: files}
 	_, _, err := r.get()
 	return r, err
 }
@@ -86,11 +86,11 @@
 }
 
 // callerTLS returns the server configuration for callers, or nil if no certificate is set.
-func callerTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.IsSet() {
+func callerTLS(files conf.Cert) (*tls.Config, error) {
+	if !files.IsSet() {
 		return nil, nil
 	}
-	r, err := newCertReloader(set)
+	r, err := newCertReloader(files)
 	if err != nil {
 		return nil, err
 	}
@@ -102,11 +102,11 @@
 
 // peerServerTLS returns the server configuration for other boxes, or nil if no certificate is
 // set. It accepts only clients with a certificate signed by the CA.
-func peerServerTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.IsSet() {
+func peerServerTLS(files conf.Cert) (*tls.Config, error) {
+	if !files.IsSet() {
 		return nil, nil
 	}
-	r, err := newCertReloader(set)
+	r, err := newCertReloader(files)
 	if err != nil {
 		return nil, err
 	}
@@ -125,11 +125,11 @@
 // peerClientTLS returns the client configuration for other boxes, or nil if no certificate is
 // set. It presents this box's certificate and requires that the server's is signed by the CA.
 // It does not verify the host name, because boxes are addressed by IP address.
-func peerClientTLS(set conf.Cert) (*tls.Config, error) {
-	if !set.IsSet() {
+func peerClientTLS(files conf.Cert) (*tls.Config, error) {
+	if !files.IsSet() {
 		return nil, nil
 	}
-	r, err := newCertReloader(set)
+	r, err := newCertReloader(files)
 	if err != nil {
 		return nil, err
 	}
--- a/gate/parts/tls_test.go
+++ b/gate/parts/tls_test.go
@@ -49,43 +49,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &testCA{t: t, cert: cert, key: key, dir: t.TempDir()}
-	a.write("ca.crt", "CERTIFICATE", der)
-	return a
+	ca := &testCA{t: t, cert: cert, key: key, dir: t.TempDir()}
+	ca.write("ca.crt", "CERTIFICATE", der)
+	return ca
 }
 
 // write writes a PEM file of the given block type to the CA's directory.
-func (a *testCA) write(name, kind string, der []byte) {
-	a.t.Helper()
+func (ca *testCA) write(name, kind string, der []byte) {
+	ca.t.Helper()
 	raw := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
-	if err := os.WriteFile(filepath.Join(a.dir, name), raw, 0o600); err != nil {
-		a.t.Fatal(err)
+	if err := os.WriteFile(filepath.Join(ca.dir, name), raw, 0o600); err != nil {
+		ca.t.Fatal(err)
 	}
 }
 
 // issue writes a certificate and key that are valid until expiry and returns their paths.
-func (a *testCA) issue(name string, expiry time.Time) conf.Cert {
-	a.t.Helper()
+func (ca *testCA) issue(name string, expiry time.Time) conf.Cert {
+	ca.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
 	tmpl := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-2 * time.Hour),
 		NotAfter: expiry, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, tmpl, ca.cert, &key.PublicKey, ca.key)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
 	raw, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
-	a.write(name+".crt", "CERTIFICATE", der)
-	a.write(name+".key", "EC PRIVATE KEY", raw)
-	path := func(n string) string { return filepath.Join(a.dir, n) }
+	ca.write(name+".crt", "CERTIFICATE", der)
+	ca.write(name+".key", "EC PRIVATE KEY", raw)
+	path := func(n string) string { return filepath.Join(ca.dir, n) }
 	return conf.Cert{Cert: path(name + ".crt"), Key: path(name + ".key"), CA: path("ca.crt")}
 }
 
