--- a/gate/fold/fold_test.go
+++ b/gate/fold/fold_test.go
@@ -39,7 +39,7 @@
 	}
 	want := []Result{Claimed, Applied, Duplicate, Claimed, Stale, Applied}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("verdicts (-want +got):\n%s", diff)
+		t.Errorf("results (-want +got):\n%s", diff)
 	}
 	var ids []string
 	for _, id := range []string{"p", "copy", "stale", "q"} {
@@ -59,7 +59,7 @@
 	s.ApplyLogEntry(logEntry(t, 3, claimEntry("b")))
 	want := &types.TreeBudget{Root: "p", Budget: 100, Granted: 30, Spent: 30}
 	if diff := cmp.Diff(want, s.Purses["p"]); diff != "" {
-		t.Errorf("purse (-want +got):\n%s", diff)
+		t.Errorf("tree budget (-want +got):\n%s", diff)
 	}
 }
 
@@ -88,7 +88,7 @@
 	second := chainedTurn(2, "two")
 	s.ApplyRecord(types.Record{Turn: &second})
 	if diff := cmp.Diff(2, LastTurn(prog)); diff != "" {
-		t.Errorf("head (-want +got):\n%s", diff)
+		t.Errorf("last turn (-want +got):\n%s", diff)
 	}
 }
 
