--- a/gate/limit/adapt.go
+++ b/gate/limit/adapt.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Adaptive limits the calls that this box has in flight at one target. The limit grows by about
-// one per limit's worth of good calls and shrinks by a factor when the target is overloaded. It
-// is not safe for concurrent use.
+// Adaptive limits the calls that this box has in flight at one target. At a limit of n, n
+// successful calls raise it by about one; an overload multiplies it by decreaseFactor. It is not
+// safe for concurrent use.
 type Adaptive struct {
 	// Min and Max are the bounds of the limit; 1 <= Min <= Max.
 	Min, Max float64
