--- a/gate/policy/policy.go
+++ b/gate/policy/policy.go
@@ -52,7 +52,7 @@
 
 const (
 	pageSize = 200
-	// copyAgeDivisor sets the age at which a revision is copied, as a fraction of Retention.
+	// A copy of the revision is appended at the age of Retention / copyAgeDivisor.
 	copyAgeDivisor = 3
 	callTimeout    = 2 * time.Second
 	// targetPollers is the approximate number of reads of the stream per PollInterval in a large
