--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -93,7 +93,7 @@
 	Order sched.Order `json:"order"`
 	// MaxWait is the longest expected wait at which a new program is still accepted.
 	MaxWait types.Duration `json:"max_wait"`
-	// StarvationAge is the wait after which a call runs before all others.
+	// StarvationAge is the wait after which a call goes ahead of all calls with a shorter wait.
 	StarvationAge types.Duration `json:"starve"`
 	// HoldCaches enables keeping a program's cache during its pauses.
 	HoldCaches bool `json:"holds"`
