--- a/bench/mutant/list.go
+++ b/bench/mutant/list.go
@@ -51,11 +51,11 @@
 		},
 		{
 			Name: "cold_for_each_box", Property: "a cold replica gets few calls", File: "gate/sched/cold.go", TestPackage: "./sched",
-			Old: "float64(doubt*max(zones, 1))", New: "float64(max(zones, 1))",
+			Old: "float64(sendersPerZone*max(zones, 1))", New: "float64(max(zones, 1))",
 		},
 		{
 			Name: "stale_source_tells", Property: "shared state reaches every box in time", File: "gate/mirror/copy.go", TestPackage: "./mirror",
-			Old: "if age > staleAfter {", New: "if age > time.Hour {",
+			Old: "if age > maxCopyAge {", New: "if age > time.Hour {",
 		},
 		{
 			Name: "old_page_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
@@ -67,11 +67,11 @@
 		},
 		{
 			Name: "reborn_replica_believed", Property: "a restarted replica starts without earlier state", File: "gate/target/target.go", TestPackage: "./target",
-			Old: "case load.Born.After(s.Born):", New: "case load.Born.After(s.Born.Add(1 << 62)):",
+			Old: "case load.StartedAt.After(s.StartedAt):", New: "case load.StartedAt.After(s.StartedAt.Add(1 << 62)):",
 		},
 		{
 			Name: "names_shared", Property: "workspaces are isolated from each other", File: "gate/work/space.go", TestPackage: platformTests,
-			Old: "return owner + ownerMark + name", New: "return name",
+			Old: "return prefix + workspaceSeparator + name", New: "return name",
 		},
 		{
 			Name: "whole_quota_in_each_zone", Property: "no workspace exceeds its quota", File: "gate/quota/part.go", TestPackage: "./quota",
@@ -79,7 +79,7 @@
 		},
 		{
 			Name: "programs_not_planned", Property: "started programs can finish within the quota", File: "gate/quota/part.go", TestPackage: "./quota",
-			Old: "p.plan.left -= p.need()", New: "p.plan.left--",
+			Old: "p.plan.tokens -= p.callsPerProgram()", New: "p.plan.tokens--",
 		},
 	}
 }
@@ -90,12 +90,12 @@
 	return []Mutant{
 		{
 			Name: "claim_bounded_in_all", Property: "every program has an owner", File: "gate/shard/claim.go", TestPackage: shardTests,
-			Old: "next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, load.take)",
-			New: "whole, end := context.WithTimeout(s.ctx, callTimeout+handoverWait)\n\tdefer end()\n\tnext, err := work.AllNewest(whole, s.log, shard, callTimeout, load.take)",
+			Old: "next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)",
+			New: "whole, end := context.WithTimeout(s.ctx, callTimeout+handoverTimeout)\n\tdefer end()\n\tnext, err := work.AllNewest(whole, s.log, shard, callTimeout, loader.apply)",
 		},
 		{
 			Name: "claim_without_tail", Property: "history is never lost", File: "gate/shard/claim.go", TestPackage: shardTests,
-			Old: "if err := s.catchUp(ctx, shard, next, load); err != nil {", New: "if err := ctx.Err(); err != nil || next < 0 {",
+			Old: "if err := s.catchUp(ctx, shard, next, loader); err != nil {", New: "if err := ctx.Err(); err != nil || next < 0 {",
 		},
 		{
 			Name: "records_not_forwarded", Property: "a planned stop interrupts no call", File: "gate/shard/slot.go", TestPackage: shardTests,
@@ -107,19 +107,19 @@
 		},
 		{
 			Name: "shared_epochs", Property: "one writer per slot", File: "gate/shard/claim.go", TestPackage: shardTests,
-			Old: "return count<<markBits | mark", New: "return count<<markBits | mark&1",
+			Old: "return count<<claimantBits | claimant", New: "return count<<claimantBits | claimant&1",
 		},
 		{
 			Name: "open_turns_free", Property: "no program exceeds its budget", File: "gate/chain/chain.go", TestPackage: shardTests,
-			Old: "sum += res.most", New: "sum += res.most - res.most",
+			Old: "sum += res.maxTokens", New: "sum += res.maxTokens - res.maxTokens",
 		},
 		{
 			Name: "reservation_freed_early", Property: "no program exceeds its budget", File: "gate/chain/chain.go", TestPackage: shardTests,
-			Old: "res.phase = ended", New: "res.phase = free",
+			Old: "res.phase = phaseFinished", New: "res.phase = phaseFree",
 		},
 		{
 			Name: "grant_budget_not_asked", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
-			Old: "budget >= 0 && used+o.Most > budget", New: "budget >= 0 && used > budget",
+			Old: "budget >= 0 && used+o.MaxTokens > budget", New: "budget >= 0 && used > budget",
 		},
 		{
 			Name: "grant_spent_unconfirmed", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: "./chain",
@@ -131,15 +131,15 @@
 		},
 		{
 			Name: "broken_turn_not_counted", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
-			Old: "prog.grant.spent += tokens", New: "prog.grant.spent += tokens / o.Most * o.Most",
+			Old: "prog.grant.spent += tokens", New: "prog.grant.spent += tokens / o.MaxTokens * o.MaxTokens",
 		},
 		{
 			Name: "grant_settled_under_turns", Property: "no program exceeds its budget", File: "gate/chain/grant.go", TestPackage: shardTests,
-			Old: "for id, most := range g.drawn {\n\t\trecs", New: "for id, most := range map[string]int{} {\n\t\trecs",
+			Old: "for id, maxTokens := range g.active {\n\t\trecs", New: "for id, maxTokens := range map[string]int{} {\n\t\trecs",
 		},
 		{
 			Name: "sequence_skips", Property: "one writer per slot", File: "gate/shard/slot.go", TestPackage: shardTests,
-			Old: "writer := work.Writer{Epoch: s.epoch, Number: s.sent}", New: "writer := work.Writer{Epoch: s.epoch, Number: 2 * s.sent}",
+			Old: "writer := work.Writer{Epoch: s.epoch, Number: s.appendNumber}", New: "writer := work.Writer{Epoch: s.epoch, Number: 2 * s.appendNumber}",
 		},
 	}
 }
@@ -149,7 +149,7 @@
 	return []Mutant{
 		{
 			Name: "no_gap_check", Property: "one writer per slot", File: "gate/slots/write.go",
-			Old: "if foreign(m.sent.gap) {", New: "if false && foreign(m.sent.gap) {",
+			Old: "if containsClaim(m.result.gap) {", New: "if false && containsClaim(m.result.gap) {",
 		},
 		{
 			Name: "no_epoch_check", Property: "one writer per slot", File: "gate/fold/fold.go",
@@ -162,7 +162,7 @@
 		},
 		{
 			Name: "dispatch_for_nobody", Property: "a call reported as not run has not run", File: "gate/plain/flight.go",
-			Old: "f.dispatched = f.callers > 0", New: "f.dispatched = true",
+			Old: "r.dispatched = r.callers > 0", New: "r.dispatched = true",
 		},
 		{
 			Name: "run_unknown_again", Property: "keyed calls run at most once", File: "gate/desk/call.go",
@@ -170,7 +170,7 @@
 		},
 		{
 			Name: "any_turn", Property: "turns of a program run in order", File: "gate/desk/turn.go",
-			Old: "if ask.Turn != head+1 {", New: "if ask.Turn <= head {",
+			Old: "if req.Turn != head+1 {", New: "if req.Turn <= head {",
 		},
 		{
 			Name: "no_tail", Property: "history is never lost", File: "gate/desk/adopt.go",
@@ -186,11 +186,11 @@
 		},
 		{
 			Name: "no_snapshots", Property: "history survives the retention of the log", File: "gate/slots/owner.go",
-			Old: "if keep := o.svc.timing.Retention; keep > 0 && o.desk.LogUp {", New: "if keep := o.svc.timing.Retention; false && keep > 0 {",
+			Old: "if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogAvailable {", New: "if retention := o.svc.timing.Retention; false && retention > 0 {",
 		},
 		{
 			Name: "no_sweep", Property: "memory of ended programs is released", File: "gate/prog/prog.go",
-			Old: "return mine && !live[id]", New: "return false && mine && !live[id]",
+			Old: "return owned && !live[id]", New: "return false && owned && !live[id]",
 		},
 		{
 			Name: "release_over_running_calls", Property: "a planned stop interrupts no call", File: "gate/slots/owner.go",
@@ -212,11 +212,11 @@
 		},
 		{
 			Name: "spend_unconfirmed_grants", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
-			Old: "return ok && purse.Spent+d.reserved[root] <= d.confirmed[root]", New: "return ok && purse != nil",
+			Old: "return ok && tree.Spent+d.reserved[root] <= d.confirmed[root]", New: "return ok && tree != nil",
 		},
 		{
 			Name: "no_reservation", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
-			Old: "d.reserved[purse.Root] += need", New: "d.reserved[purse.Root] += 0",
+			Old: "d.reserved[tree.Root] += need", New: "d.reserved[tree.Root] += 0",
 		},
 		{
 			Name: "free_broken_attempts", Property: "no program exceeds its budget", File: "gate/desk/turn.go",
@@ -234,15 +234,15 @@
 	return []Mutant{
 		{
 			Name: "take_older_carry", Property: "configuration never reverts to an older revision", File: "base/revs/fold.go",
-			Old: "if rev.Number <= have {\n\t\treturn Known", New: "if rev.Number == have {\n\t\treturn Known",
+			Old: "if rev.Number <= currentNumber {\n\t\treturn AlreadyKnown", New: "if rev.Number == currentNumber {\n\t\treturn AlreadyKnown",
 		},
 		{
 			Name: "no_compare_and_set", Property: "exactly one of concurrent publishers succeeds", File: "base/revs/fold.go",
-			Old: "if rev.Base != have || rev.Number != have+1 {", New: "if rev.Base > have {",
+			Old: "if rev.Base != currentNumber || rev.Number != currentNumber+1 {", New: "if rev.Base > currentNumber {",
 		},
 		{
 			Name: "no_carry", Property: "configuration survives the retention of the log", File: "gate/policy/policy.go",
-			Old: "if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/carryDiv {", New: "if s.timing.Retention > 0 {",
+			Old: "if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDiv {", New: "if s.timing.Retention > 0 {",
 		},
 	}
 }
