--- a/bench/mutant/list.go
+++ b/bench/mutant/list.go
@@ -9,8 +9,8 @@
 	Property string
 	File     string
 	Old, New string
-	// FuzzPackage is the package, relative to gate, whose property tests must fail. If FuzzPackage and TestPackage are
-	// empty, those of ./desk or ./proof must.
+	// FuzzPackage is the package, relative to gate, whose property tests must fail. If both FuzzPackage
+	// and TestPackage are empty, those of ./desk or ./proof must.
 	FuzzPackage string
 	// TestPackage is the package, relative to gate, whose tests must fail. They run without a fixed seed.
 	TestPackage string
--- a/bench/mutant/run.go
+++ b/bench/mutant/run.go
@@ -42,7 +42,7 @@
 	Took       time.Duration
 }
 
-// Run copies the checkout once, tests each mutant in the copy and calls each with its result. It
+// Run copies the checkout once, tests each mutant in the copy and calls report with its result. It
 // fails if a mutant's old text does not occur exactly once in its file.
 func Run(ctx context.Context, opts Options, mutants []Mutant, report func(Result)) error {
 	dir, err := os.MkdirTemp("", "mutants")
