--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -47,10 +47,10 @@
 	line       probe.Line
 }
 
-func (s *linearFit) add(x, y float64) {
-	s.x = append(s.x, x)
-	s.y = append(s.y, y)
-	s.line = probe.Fit(s.x, s.y)
+func (f *linearFit) add(x, y float64) {
+	f.x = append(f.x, x)
+	f.y = append(f.y, y)
+	f.line = probe.Fit(f.x, f.y)
 }
 
 // capacityFits holds all measurements from which deriveTable computes the capacity table.
@@ -79,9 +79,9 @@
 	}
 }
 
-func (s *capacityFits) all() []*linearFit {
+func (f *capacityFits) all() []*linearFit {
 	return []*linearFit{
-		&s.heartbeatCPU, &s.heartbeatBytes, &s.pollCPU, &s.pollBytes, &s.tokenCPU, &s.programMemory, &s.historyMemory, &s.revisionCPU, &s.revisionBytes,
+		&f.heartbeatCPU, &f.heartbeatBytes, &f.pollCPU, &f.pollBytes, &f.tokenCPU, &f.programMemory, &f.historyMemory, &f.revisionCPU, &f.revisionBytes,
 	}
 }
 
@@ -101,10 +101,10 @@
 		printReadings(out, fits)
 	}
 	table := report.Table{Header: []string{"slope", "value", "base", "range of x", "R²"}}
-	for _, s := range fits.all() {
+	for _, fit := range fits.all() {
 		table.Rows = append(table.Rows, []string{
-			s.name, fmt.Sprintf("%.3f %s", s.line.Slope, s.unit), fmt.Sprintf("%.2f", s.line.Intercept),
-			fmt.Sprintf("%.0f to %.0f", s.x[0], s.x[len(s.x)-1]), fmt.Sprintf("%.3f", s.line.R2),
+			fit.name, fmt.Sprintf("%.3f %s", fit.line.Slope, fit.unit), fmt.Sprintf("%.2f", fit.line.Intercept),
+			fmt.Sprintf("%.0f to %.0f", fit.x[0], fit.x[len(fit.x)-1]), fmt.Sprintf("%.3f", fit.line.R2),
 		})
 	}
 	table.Markdown(out)
@@ -115,9 +115,9 @@
 
 // printReadings prints the readings so far, since a full run takes minutes.
 func printReadings(out io.Writer, fits *capacityFits) {
-	for _, s := range fits.all() {
-		if len(s.x) > 0 {
-			_, _ = fmt.Fprintf(out, "# %s: x %v, y %.2f\n", s.name, s.x, s.y)
+	for _, fit := range fits.all() {
+		if len(fit.x) > 0 {
+			_, _ = fmt.Fprintf(out, "# %s: x %v, y %.2f\n", fit.name, fit.x, fit.y)
 		}
 	}
 }
--- a/bench/cmds/derive.go
+++ b/bench/cmds/derive.go
@@ -27,10 +27,11 @@
 	proposedBusyEngines = 4
 	proposedPoll        = 0.5
 	proposedIdlePoll    = 10.0
-	// defaultHeartbeat and defaultPoll are the default intervals, with which the slopes are taken.
+	// defaultHeartbeat and defaultPoll are the default intervals, at which the slopes are measured.
 	defaultHeartbeat = 0.3
 	defaultPoll      = 0.1
-	// listBytes is the size of the list of boxes and replicas, listChanges its changes per day.
+	// listBytes is the size of the list of boxes and replicas, listChanges the number of its changes
+	// per day.
 	listBytes   = (refBoxes + refReplicas) * 110
 	listChanges = 600.0
 )
--- a/bench/cmds/takeover.go
+++ b/bench/cmds/takeover.go
@@ -158,8 +158,8 @@
 	return measureIntents(ctx, f, cli, table)
 }
 
-// toggleLog takes the log down and up by turns until stop is closed, if on is set. It closes done at
-// its end.
+// toggleLog alternately takes the log down and brings it up again until stop is closed. It does
+// nothing if on is false. It closes done when it returns.
 func toggleLog(f *fleet.Fleet, on bool, stop, done chan struct{}) {
 	defer close(done)
 	down := false
