--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -18,11 +18,11 @@
 
 // caller sends the calls of one program and retries those that fail with a retryable fault.
 type caller struct {
-	http    *client.Client
-	entries Balancer
-	token   string
-	rng     *rand.Rand
-	stats   *Stats
+	http     *client.Client
+	balancer Balancer
+	token    string
+	rng      *rand.Rand
+	stats    *Stats
 }
 
 const (
@@ -71,7 +71,7 @@
 func (c *caller) attempt(ctx context.Context, method, path, key string, in, out any) error {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	return c.http.CallAs(ctx, client.Auth{Token: c.token, Key: key}, method, c.entries.Entry(c.rng)+path, in, out)
+	return c.http.CallAs(ctx, client.Auth{Token: c.token, Key: key}, method, c.balancer.Entry(c.rng)+path, in, out)
 }
 
 func (c *caller) post(ctx context.Context, path, key string, in, out any) error {
--- a/bench/load/plan.go
+++ b/bench/load/plan.go
@@ -19,8 +19,8 @@
 // StepKind is the kind of a program's step.
 type StepKind int
 
-// A program's step is a turn with the model, a call of the repeatable service, a call of the
-// service that may not be repeated, or a sub-agent.
+// The kinds of step: a turn with the model, a call of the service that may be repeated, a call of
+// the service that may not, and a sub-agent.
 const (
 	TurnStep StepKind = iota
 	LookupStep
@@ -48,8 +48,9 @@
 	Seed uint64
 }
 
-// shape is the distribution from which programs of one kind are drawn: ranges with both ends
-// included, and the probabilities that a turn is followed by each other kind of step.
+// shape is the distribution from which programs of one kind are drawn: ranges, which include both
+// ends except for the upper one of pause, and the probabilities that a turn is followed by each
+// other kind of step.
 type shape struct {
 	kind                                  string
 	long                                  bool
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -49,7 +49,7 @@
 		group.Go(func() {
 			rng := rand.New(rand.NewPCG(plan.Seed, 11))
 			workspace := spec.Workspaces[i%len(spec.Workspaces)]
-			c := &caller{http: shared, entries: spec.Balancer, token: sample.Token(workspace), rng: rng, stats: stats}
+			c := &caller{http: shared, balancer: spec.Balancer, token: sample.Token(workspace), rng: rng, stats: stats}
 			r := &runner{spec: spec, caller: c, plan: plan, stats: stats, workspace: workspace}
 			err := r.runProgram(ctx)
 			r.recordOutcome(err, start)
@@ -101,7 +101,7 @@
 	token   string
 	turn    int
 	history []types.Message
-	// computedTokens is the number of tokens that are computed so far, those of the last answer included.
+	// computedTokens is the number of tokens of the last turn's prompt and answer.
 	computedTokens int
 }
 
@@ -148,13 +148,13 @@
 }
 
 func (r *runner) sendTurn(ctx context.Context, conv *conversation, step Step) error {
-	ask := []types.Message{{Role: "user", Content: questionText(r.plan.Seed, conv.turn, step.Words, step.Tokens)}}
-	body := types.TurnRequest{Turn: conv.turn + 1, Messages: ask, MaxTokens: maxTokens, Continuation: conv.token}
+	question := []types.Message{{Role: "user", Content: questionText(r.plan.Seed, conv.turn, step.Words, step.Tokens)}}
+	body := types.TurnRequest{Turn: conv.turn + 1, Messages: question, MaxTokens: maxTokens, Continuation: conv.token}
 	var answer types.TurnAnswer
 	if err := r.caller.post(ctx, "/v1/programs/"+conv.id+"/turns", "", body, &answer); err != nil {
 		return err
 	}
-	conv.history = append(conv.history, ask...)
+	conv.history = append(conv.history, question...)
 	want := strings.Join(model.AnswerWords(conv.history, maxTokens), " ")
 	got := answer.Choices[0].Message.Content
 	if got != want || answer.Turn != conv.turn+1 || answer.Program != conv.id {
