--- a/bench/fleet/config.go
+++ b/bench/fleet/config.go
@@ -18,11 +18,11 @@
 // Republish publishes the current configuration as a new revision and returns its number.
 func (f *Fleet) Republish(ctx context.Context) (int64, error) {
 	log := logc.New(f.Platform.LogAddr, callTimeout)
-	fold, _, err := revs.History(ctx, log, revs.Keys(f.Keys.Public()))
+	state, _, err := revs.History(ctx, log, revs.Keys(f.Keys.Public()))
 	if err != nil {
 		return 0, err
 	}
-	rev, err := f.Publish(ctx, fold.Current.Number, fold.Current.Config)
+	rev, err := f.Publish(ctx, state.Current.Number, state.Current.Config)
 	return rev.Number, err
 }
 
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -35,7 +35,7 @@
 	Dir      string
 	// EditSettings changes the settings of each box before it starts; may be nil.
 	EditSettings func(set *conf.Settings)
-	// Proxied puts a proxy on every link between boxes and to the log. Cuts of links need it.
+	// Proxied puts a proxy on every link between boxes and to the log. Partitions need it.
 	Proxied bool
 	// Env holds variables, as NAME=VALUE, that are added to the environment of every box.
 	Env []string
@@ -339,9 +339,9 @@
 
 // Metrics returns the metrics that box i reports.
 func (f *Fleet) Metrics(ctx context.Context, i int) (types.Metrics, error) {
-	var rep types.Metrics
-	err := f.getAdmin(ctx, i, "/metrics", &rep)
-	return rep, err
+	var metrics types.Metrics
+	err := f.getAdmin(ctx, i, "/metrics", &metrics)
+	return metrics, err
 }
 
 func (f *Fleet) getAdmin(ctx context.Context, i int, path string, out any) error {
