--- a/base/types/config.go
+++ b/base/types/config.go
@@ -35,7 +35,8 @@
 	Name    string `json:"name"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// MinWarm is the minimum number of replicas kept warm in each pool.
+	// MinWarm is the minimum number of engines on which the boxes keep the model loaded. If it is 0,
+	// they send no orders for the model.
 	MinWarm int `json:"min_warm,omitempty"`
 }
 
@@ -102,7 +103,7 @@
 	Idle      Duration `json:"idle"`
 	Deadline  Duration `json:"deadline"`
 	MaxTokens int      `json:"max_tokens"`
-	// GrantChunk is the number of tokens by which a program's grant is raised at a time.
+	// GrantChunk is the minimum increase of a program tree's grant, in tokens. The budget limits it.
 	GrantChunk int64 `json:"grant_chunk"`
 	// TailBytes bounds a program's answered turns that the log has not confirmed, in bytes.
 	TailBytes int `json:"tail_bytes"`
--- a/base/types/record.go
+++ b/base/types/record.go
@@ -71,8 +71,8 @@
 	// TreeSpent is what the whole program tree had spent when the turn was answered, in tokens.
 	TreeSpent int64     `json:"spent"`
 	At        time.Time `json:"at"`
-	// Replaces is true if the turn replaces the last one, on which no caller continued: two owners
-	// answered the same turn, and the caller continues from this answer.
+	// Replaces is true if the turn replaces the last one, from which no caller continued: two owners
+	// answered the same turn, and the caller continued from this answer.
 	Replaces bool `json:"instead,omitempty"`
 }
 
@@ -82,8 +82,8 @@
 	Total int64  `json:"total"`
 }
 
-// Settle lowers the granted total of a purse to the amount spent, at a planned release of the
-// slot.
+// Settle lowers the granted total of a program tree to the amount spent, at a planned release of
+// the slot.
 type Settle struct {
 	Root  string `json:"root"`
 	Spent int64  `json:"spent"`
--- a/base/types/status.go
+++ b/base/types/status.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// BoxStatus is the state of a box, as its admin address reports it.
+// BoxStatus is the state of a box, as its admin address reports it. RevisionAge is the time since the
+// configuration was last confirmed to be the newest.
 type BoxStatus struct {
 	Box            string         `json:"box"`
 	Zone           string         `json:"zone"`
