--- a/base/fault/fault.go
+++ b/base/fault/fault.go
@@ -110,7 +110,7 @@
 	NotRun bool
 	// RetryAfter is the advised delay before a retry; zero if none is advised.
 	RetryAfter time.Duration
-	// Head is the number of the last answered turn in a turn conflict; otherwise 0.
+	// Head is the number of the program's last answered turn in faults that report it; otherwise 0.
 	Head int
 
 	// cause is the underlying error. Callers never see it.
@@ -133,7 +133,7 @@
 	return f
 }
 
-// WithHead sets the last answered turn of a turn conflict.
+// WithHead sets the number of the program's last answered turn.
 func (f *Fault) WithHead(head int) *Fault {
 	f.Head = head
 	return f
