--- a/base/revs/fold.go
+++ b/base/revs/fold.go
@@ -14,8 +14,8 @@
 // Verdict is the result of applying a revision.
 type Verdict string
 
-// The verdicts. LostRace means that the revision is not based on the current one, AlreadyKnown that it is
-// in force already or, for a copy, that it is no newer than the current one.
+// The verdicts. LostRace means that the revision is not based on the current one. AlreadyKnown means
+// that it is in force already or, for a copy, that it is no newer than the current one.
 const (
 	Accepted     Verdict = "accepted"
 	LostRace     Verdict = "lost_race"
@@ -43,64 +43,64 @@
 }
 
 // Apply applies one entry of the stream and returns its revision and the verdict on it.
-func (f *StreamState) Apply(entry types.LogEntry) (types.Revision, Verdict) {
-	f.Next = max(f.Next, entry.Offset+1)
+func (s *StreamState) Apply(entry types.LogEntry) (types.Revision, Verdict) {
+	s.Next = max(s.Next, entry.Offset+1)
 	var rev types.Revision
 	if json.Unmarshal(entry.Data, &rev) != nil {
 		return rev, Invalid
 	}
-	verdict := f.ApplyRevision(rev)
-	if f.Current != nil && rev.ID == f.Current.ID && (verdict == Accepted || verdict == AlreadyKnown) {
-		f.CurrentOffset = entry.Offset
+	verdict := s.ApplyRevision(rev)
+	if s.Current != nil && rev.ID == s.Current.ID && (verdict == Accepted || verdict == AlreadyKnown) {
+		s.CurrentOffset = entry.Offset
 	}
 	return rev, verdict
 }
 
 // ApplyRevision applies a revision from the log, or one that another box has accepted, which has IsCopy
 // set.
-func (f *StreamState) ApplyRevision(rev types.Revision) Verdict {
-	if !f.verify(rev) {
+func (s *StreamState) ApplyRevision(rev types.Revision) Verdict {
+	if !s.verify(rev) {
 		return BadSignature
 	}
 	currentNumber := int64(0)
-	if f.Current != nil {
-		currentNumber = f.Current.Number
+	if s.Current != nil {
+		currentNumber = s.Current.Number
 	}
 	if rev.IsCopy {
-		return f.applyCopy(rev, currentNumber)
+		return s.applyCopy(rev, currentNumber)
 	}
-	if f.Current != nil && rev.ID == f.Current.ID {
+	if s.Current != nil && rev.ID == s.Current.ID {
 		return AlreadyKnown
 	}
 	if rev.Base != currentNumber || rev.Number != currentNumber+1 {
 		return LostRace
 	}
-	return f.accept(rev)
+	return s.accept(rev)
 }
 
 // applyCopy applies a copy of an accepted revision. A copy needs no matching base.
-func (f *StreamState) applyCopy(rev types.Revision, currentNumber int64) Verdict {
+func (s *StreamState) applyCopy(rev types.Revision, currentNumber int64) Verdict {
 	if rev.Number <= currentNumber {
 		return AlreadyKnown
 	}
-	return f.accept(rev)
+	return s.accept(rev)
 }
 
 // accept makes the revision current if its configuration is valid.
-func (f *StreamState) accept(rev types.Revision) Verdict {
+func (s *StreamState) accept(rev types.Revision) Verdict {
 	if Check(rev.Config) != nil {
 		return Invalid
 	}
-	f.Current = &rev
+	s.Current = &rev
 	return Accepted
 }
 
-func (f *StreamState) verify(rev types.Revision) bool {
+func (s *StreamState) verify(rev types.Revision) bool {
 	body, err := signedBytes(rev)
 	if err != nil {
 		return false
 	}
-	for _, key := range f.keys {
+	for _, key := range s.keys {
 		if ed25519.Verify(key, body, rev.Signature) {
 			return true
 		}
--- a/base/revs/publish.go
+++ b/base/revs/publish.go
@@ -32,20 +32,20 @@
 
 // History reads the whole stream. It returns its state and every retained entry.
 func History(ctx context.Context, log Log, keys []ed25519.PublicKey) (*StreamState, []HistoryEntry, error) {
-	fold := New(keys)
+	state := New(keys)
 	var all []HistoryEntry
 	for {
-		page, err := log.Read(ctx, Stream, fold.Next, pageSize)
+		page, err := log.Read(ctx, Stream, state.Next, pageSize)
 		if err != nil {
 			return nil, nil, err
 		}
 		for _, entry := range page.Entries {
-			rev, verdict := fold.Apply(entry)
+			rev, verdict := state.Apply(entry)
 			all = append(all, HistoryEntry{Offset: entry.Offset, Revision: rev, Verdict: verdict})
 		}
-		fold.Next = max(fold.Next, page.First)
-		if fold.Next >= page.Next {
-			return fold, all, nil
+		state.Next = max(state.Next, page.First)
+		if state.Next >= page.Next {
+			return state, all, nil
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // findVerdict returns the verdict on the revision, and whether the stream shows one. A revision
 // that is missing counts as LostRace once one with the same or a higher number is in force.
 func findVerdict(ctx context.Context, log Log, keys []ed25519.PublicKey, rev types.Revision) (Verdict, bool, error) {
-	fold, all, err := History(ctx, log, keys)
+	state, all, err := History(ctx, log, keys)
 	if err != nil {
 		return "", false, err
 	}
@@ -112,7 +112,7 @@
 			return seen.Verdict, true, nil
 		}
 	}
-	current := fold.Current
+	current := state.Current
 	if current != nil && current.Number >= rev.Number {
 		return LostRace, true, nil
 	}
--- a/base/revs/revs_test.go
+++ b/base/revs/revs_test.go
@@ -117,11 +117,11 @@
 		if !fault.Is(err, fault.RevisionConflict) {
 			t.Errorf("second Publish on the same base: got error %v, want a conflict", err)
 		}
-		fold, _, err := History(ctx, log, keys)
+		state, _, err := History(ctx, log, keys)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff("a", fold.Current.Author); diff != "" {
+		if diff := cmp.Diff("a", state.Current.Author); diff != "" {
 			t.Errorf("author of the current revision (-want +got):\n%s", diff)
 		}
 	})
@@ -131,22 +131,22 @@
 // on old numbers and on a gap.
 func TestForgedAndOldRevisionsAreIgnored(t *testing.T) {
 	cfg := example(t, "ghent")
-	sign := func(n int64, k ed25519.PrivateKey, carry bool) types.Revision {
+	sign := func(n int64, k ed25519.PrivateKey, isCopy bool) types.Revision {
 		rev, err := Sign(types.Revision{Number: n, Base: n - 1, ID: string(rune('a' + n)), Config: cfg}, k)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rev.IsCopy = carry
+		rev.IsCopy = isCopy
 		return rev
 	}
-	fold := New(Keys(public(key(1))))
+	state := New(Keys(public(key(1))))
 	got := []Verdict{
-		fold.ApplyRevision(sign(1, key(2), false)),
-		fold.ApplyRevision(sign(5, key(1), true)),
-		fold.ApplyRevision(sign(4, key(1), true)),
-		fold.ApplyRevision(sign(5, key(1), false)),
-		fold.ApplyRevision(sign(6, key(1), false)),
-		fold.ApplyRevision(sign(8, key(1), false)),
+		state.ApplyRevision(sign(1, key(2), false)),
+		state.ApplyRevision(sign(5, key(1), true)),
+		state.ApplyRevision(sign(4, key(1), true)),
+		state.ApplyRevision(sign(5, key(1), false)),
+		state.ApplyRevision(sign(6, key(1), false)),
+		state.ApplyRevision(sign(8, key(1), false)),
 	}
 	want := []Verdict{BadSignature, Accepted, AlreadyKnown, AlreadyKnown, Accepted, LostRace}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -154,11 +154,11 @@
 	}
 }
 
-func FuzzFold(f *testing.F) {
+func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"number":1,"config":{}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		fold := New(Keys(public(key(1))))
-		if _, verdict := fold.Apply(types.LogEntry{Offset: 1, Data: raw}); verdict == Accepted {
+		state := New(Keys(public(key(1))))
+		if _, verdict := state.Apply(types.LogEntry{Offset: 1, Data: raw}); verdict == Accepted {
 			t.Error("an unsigned entry was accepted")
 		}
 	})
