--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -99,8 +99,9 @@
 	return ranked(count, func(i int) float64 { return uniform(key, name(i)) }, n)
 }
 
-// WeightedRendezvousTop is RendezvousTop for names with shares, which must be above 0: each name comes first for a part
-// of the keys in proportion to its share. Adding or removing a name moves no key between two others.
+// WeightedRendezvousTop is RendezvousTop for names with shares, which must be above 0: each name comes
+// first for a part of the keys in proportion to its share. Adding or removing a name moves no key
+// between two others.
 func WeightedRendezvousTop(key string, count int, name func(i int) (string, float64), n int) []int {
 	return ranked(count, func(i int) float64 {
 		name, share := name(i)
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClosest compares RendezvousTop with a full sort by weight, and its first name with Rendezvous.
-func TestClosest(t *testing.T) {
+// TestRendezvousTop compares RendezvousTop with a full sort by weight, and its first name with Rendezvous.
+func TestRendezvousTop(t *testing.T) {
 	var names []string
 	for i := range 40 {
 		names = append(names, "box-"+strconv.Itoa(i))
@@ -23,18 +23,18 @@
 				got = append(got, names[i])
 			}
 			if diff := cmp.Diff(append([]string(nil), want[:min(n, len(want))]...), got); diff != "" {
-				t.Errorf("Closest with n = %d for key %s (-want +got):\n%s", n, key, diff)
+				t.Errorf("RendezvousTop with n = %d for key %s (-want +got):\n%s", n, key, diff)
 			}
 		}
 		if got := Rendezvous(key, names); got != want[0] {
-			t.Errorf("Winner for key %s is %s, want %s", key, got, want[0])
+			t.Errorf("Rendezvous for key %s is %s, want %s", key, got, want[0])
 		}
 	}
 }
 
-// TestShared checks that names get keys in proportion to their shares, that with equal shares WeightedRendezvousTop
-// agrees with RendezvousTop, and that removing a name moves only its own keys.
-func TestShared(t *testing.T) {
+// TestWeightedRendezvousTop checks that names get keys in proportion to their shares, that equal
+// shares give the result of RendezvousTop, and that removing a name moves only its own keys.
+func TestWeightedRendezvousTop(t *testing.T) {
 	var names []string
 	for i := range 40 {
 		names = append(names, "box-"+strconv.Itoa(i))
@@ -55,7 +55,7 @@
 			first++
 		}
 		if diff := cmp.Diff(RendezvousTop(key, len(names), func(i int) string { return names[i] }, 3), WeightedRendezvousTop(key, len(names), equal, 3)); diff != "" {
-			t.Fatalf("Shared for key %s with equal shares (-want +got):\n%s", key, diff)
+			t.Fatalf("WeightedRendezvousTop for key %s with equal shares (-want +got):\n%s", key, diff)
 		}
 		without := WeightedRendezvousTop(key, len(names)-1, unequal, 1)[0]
 		if ranks[0] != len(names)-1 && without != ranks[0] {
