--- a/base/client/client.go
+++ b/base/client/client.go
@@ -28,8 +28,8 @@
 	svc httpc.Service
 }
 
-// New returns a client. Its name identifies it to go-zero and must be unique to its purpose. A nil
-// transport stands for a new one from Transport.
+// New returns a client. The name identifies it to go-zero; clients for different purposes need
+// different names. If transport is nil, the client uses a new one from Transport.
 func New(name string, transport *http.Transport) *Client {
 	if transport == nil {
 		transport = Transport()
