--- a/base/serve/serve.go
+++ b/base/serve/serve.go
@@ -50,50 +50,50 @@
 // calls ended if the server ends other than by Stop. It overwrites the server's ErrorLog and
 // ConnState.
 func Run(srv *http.Server, ln net.Listener, logger *slog.Logger, ended func(cause error)) *Server {
-	r := &Server{http: srv, ln: ln, serveReturned: make(chan struct{}), unused: map[net.Conn]time.Time{}}
+	s := &Server{http: srv, ln: ln, serveReturned: make(chan struct{}), unused: map[net.Conn]time.Time{}}
 	srv.ErrorLog = slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
-	srv.ConnState = r.trackConn
-	srv.RegisterOnShutdown(r.closeUnused)
+	srv.ConnState = s.trackConn
+	srv.RegisterOnShutdown(s.closeUnused)
 	go func() {
-		defer close(r.serveReturned)
-		if err := srv.Serve(ln); !r.stopping.Load() {
+		defer close(s.serveReturned)
+		if err := srv.Serve(ln); !s.stopping.Load() {
 			ended(err)
 		}
 	}()
-	return r
+	return s
 }
 
 // trackConn updates the unused connections. A connection counts as used once the header of its
 // first request has been read.
-func (r *Server) trackConn(conn net.Conn, state http.ConnState) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (s *Server) trackConn(conn net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if state == http.StateNew {
-		r.unused[conn] = time.Now()
+		s.unused[conn] = time.Now()
 		return
 	}
-	delete(r.unused, conn)
+	delete(s.unused, conn)
 }
 
 // Stop waits for requests in flight until ctx ends, then closes their connections. Unused
 // connections delay it by at most firstRequestTimeout: http.Server.Shutdown alone waits several
 // seconds for them and drops requests that they send meanwhile.
-func (r *Server) Stop(ctx context.Context) error {
-	r.stopping.Store(true)
-	_ = r.ln.Close() // it may be closed already
-	<-r.serveReturned
-	r.awaitFirstRequests(ctx)
-	if err := r.http.Shutdown(ctx); err != nil {
-		return errors.CombineErrors(err, r.http.Close())
+func (s *Server) Stop(ctx context.Context) error {
+	s.stopping.Store(true)
+	_ = s.ln.Close() // it may be closed already
+	<-s.serveReturned
+	s.awaitFirstRequests(ctx)
+	if err := s.http.Shutdown(ctx); err != nil {
+		return errors.CombineErrors(err, s.http.Close())
 	}
 	return nil
 }
 
 // awaitFirstRequests waits until no unused connection is younger than firstRequestTimeout, or
 // until ctx ends.
-func (r *Server) awaitFirstRequests(ctx context.Context) {
+func (s *Server) awaitFirstRequests(ctx context.Context) {
 	for waiting := true; waiting; {
-		waiting = r.hasRecentUnused(time.Now())
+		waiting = s.hasRecentUnused(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -103,10 +103,10 @@
 }
 
 // hasRecentUnused reports whether any unused connection is younger than firstRequestTimeout.
-func (r *Server) hasRecentUnused(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, accepted := range r.unused {
+func (s *Server) hasRecentUnused(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, accepted := range s.unused {
 		if now.Sub(accepted) < firstRequestTimeout {
 			return true
 		}
@@ -116,10 +116,10 @@
 
 // closeUnused closes the connections that are still unused. Once Shutdown has begun, the server
 // runs no requests from them.
-func (r *Server) closeUnused() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for conn := range r.unused {
+func (s *Server) closeUnused() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn := range s.unused {
 		_ = conn.Close() // the caller sees that the connection is closed
 	}
 }
