--- a/base/shell/signals.go
+++ b/base/shell/signals.go
@@ -63,16 +63,16 @@
 }
 
 // Reload requests a reload from Serve.
-func (c ReloadRequests) Reload() {
+func (r ReloadRequests) Reload() {
 	select {
-	case c.pending <- struct{}{}:
+	case r.pending <- struct{}{}:
 	default:
 	}
 }
 
 // Serve calls reload on each request until the command has stopped, and returns the error of stop.
 // It calls stop when ctx ends, with a context that is not cancelled; reloads continue meanwhile.
-func (c ReloadRequests) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
+func (r ReloadRequests) Serve(ctx context.Context, reload func(), stop func(context.Context) error) error {
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
@@ -82,7 +82,7 @@
 		select {
 		case err := <-stopped:
 			return err
-		case <-c.pending:
+		case <-r.pending:
 			reload()
 		}
 	}
