--- a/base/rules/rules.go
+++ b/base/rules/rules.go
@@ -32,7 +32,7 @@
 }
 
 // Compile compiles the three programs of a policy and checks its samples. If only a sample fails, it
-// returns both the set and an error.
+// returns both the compiled policy and an error.
 func Compile(policy types.Policy) (*Policy, error) {
 	place, err := compile("place", policy.Place, defaultPlace, cel.BoolType, placeVars())
 	if err != nil {
@@ -46,8 +46,8 @@
 	if err != nil {
 		return nil, err
 	}
-	set := &Policy{place: place, order: order, spend: spend}
-	return set, set.checkSamples(policy.Samples)
+	compiled := &Policy{place: place, order: order, spend: spend}
+	return compiled, compiled.checkSamples(policy.Samples)
 }
 
 // placeVars declares the variables of place programs.
@@ -98,8 +98,8 @@
 }
 
 // Place reports whether the policy allows the use; false if the program fails.
-func (s *Policy) Place(in types.RuleInput) bool {
-	val, err := eval(s.place, in)
+func (p *Policy) Place(in types.RuleInput) bool {
+	val, err := eval(p.place, in)
 	if err != nil {
 		return false
 	}
@@ -108,13 +108,13 @@
 }
 
 // Order returns the priority, where higher goes first; 0 if the program fails.
-func (s *Policy) Order(in types.RuleInput) int64 {
-	return evalInt(s.order, in, 0)
+func (p *Policy) Order(in types.RuleInput) int64 {
+	return evalInt(p.order, in, 0)
 }
 
 // Spend returns the maximum budget of a new program in tokens; 0 if the policy program fails.
-func (s *Policy) Spend(in types.RuleInput) int64 {
-	return evalInt(s.spend, in, 0)
+func (p *Policy) Spend(in types.RuleInput) int64 {
+	return evalInt(p.spend, in, 0)
 }
 
 // evalInt evaluates a program with an integer result; it returns fallback if that fails.
@@ -144,16 +144,16 @@
 }
 
 // checkSamples returns an error for the first sample whose result is not as expected.
-func (s *Policy) checkSamples(samples []types.Sample) error {
+func (p *Policy) checkSamples(samples []types.Sample) error {
 	for i, sample := range samples {
 		at := "policy.samples[" + strconv.Itoa(i) + "] " + sample.Name
-		if want := sample.Want.Place; want != nil && s.Place(sample.Input) != *want {
+		if want := sample.Want.Place; want != nil && p.Place(sample.Input) != *want {
 			return fault.Refuse(fault.BadConfig, at+": place is not as expected")
 		}
-		if want := sample.Want.Order; want != nil && s.Order(sample.Input) != *want {
+		if want := sample.Want.Order; want != nil && p.Order(sample.Input) != *want {
 			return fault.Refuse(fault.BadConfig, at+": order is not as expected")
 		}
-		if want := sample.Want.Spend; want != nil && s.Spend(sample.Input) != *want {
+		if want := sample.Want.Spend; want != nil && p.Spend(sample.Input) != *want {
 			return fault.Refuse(fault.BadConfig, at+": spend is not as expected")
 		}
 	}
