--- a/base/logc/logc.go
+++ b/base/logc/logc.go
@@ -27,11 +27,11 @@
 
 // Append appends data to the stream and returns its offset. If a fault has NotRun set, nothing was
 // appended; after any other fault the data may have been appended.
-func (l *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	ctx, stop := context.WithTimeout(ctx, l.timeout)
+func (c *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+	ctx, stop := context.WithTimeout(ctx, c.timeout)
 	defer stop()
 	var appended types.LogOffset
-	err := l.http.Call(ctx, http.MethodPost, l.streamURL(stream), types.LogAppend{Data: data}, &appended)
+	err := c.http.Call(ctx, http.MethodPost, c.streamURL(stream), types.LogAppend{Data: data}, &appended)
 	if err != nil {
 		return 0, unavailableFault(err)
 	}
@@ -39,19 +39,19 @@
 }
 
 // Read returns up to limit entries, starting at the offset from.
-func (l *Client) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
-	ctx, stop := context.WithTimeout(ctx, l.timeout)
+func (c *Client) Read(ctx context.Context, stream string, from int64, limit int) (types.LogPage, error) {
+	ctx, stop := context.WithTimeout(ctx, c.timeout)
 	defer stop()
 	query := "?from=" + strconv.FormatInt(from, 10) + "&limit=" + strconv.Itoa(limit)
 	var page types.LogPage
-	if err := l.http.Call(ctx, http.MethodGet, l.streamURL(stream)+query, nil, &page); err != nil {
+	if err := c.http.Call(ctx, http.MethodGet, c.streamURL(stream)+query, nil, &page); err != nil {
 		return page, unavailableFault(err)
 	}
 	return page, nil
 }
 
-func (l *Client) streamURL(stream string) string {
-	return l.baseURL + "/v1/streams/" + url.PathEscape(stream)
+func (c *Client) streamURL(stream string) string {
+	return c.baseURL + "/v1/streams/" + url.PathEscape(stream)
 }
 
 // unavailableFault converts the error of a call to a LogUnavailable fault, or Overloaded if the log
