--- a/stand/applog/store.go
+++ b/stand/applog/store.go
@@ -24,7 +24,7 @@
 	// LateAppends is how many of the next appends fail and then take effect after LateDelay.
 	LateAppends int            `json:"late_appends"`
 	LateDelay   types.Duration `json:"late"`
-	// AppendsPerSecond is in appends per second over all streams; 0 means no limit.
+	// AppendsPerSecond limits the appends per second over all streams; 0 means no limit.
 	AppendsPerSecond int `json:"limit"`
 	// Retention is the retention of entries; 0 keeps them forever.
 	Retention types.Duration `json:"keep"`
--- a/stand/model/engine.go
+++ b/stand/model/engine.go
@@ -76,7 +76,7 @@
 	Tokens int64 `json:"tokens"`
 	// ChargedTokens counts prompt and output tokens by cache key.
 	ChargedTokens map[string]int64 `json:"charged"`
-	// Items is the number of cached items, Held the number of those that can't be evicted.
+	// Held is the number of cached items that can't be evicted, Items that of all cached items.
 	Held  int `json:"held"`
 	Items int `json:"items"`
 	// EvictedTokens counts the tokens of evicted items.
--- a/stand/proxy/proxy.go
+++ b/stand/proxy/proxy.go
@@ -34,7 +34,8 @@
 	ResetAfter int64 `json:"reset_after"`
 }
 
-// Link proxies the connections to one listening address to a target. It is safe for concurrent use.
+// Link forwards the connections that it accepts on one address to a target. It is safe for
+// concurrent use.
 type Link struct {
 	ln     net.Listener
 	target netip.AddrPort
--- a/stand/roster/roster.go
+++ b/stand/roster/roster.go
@@ -46,15 +46,15 @@
 }
 
 // List returns the list as it was lag ago, or the oldest version kept if all are newer.
-func (l *Roster) List() (types.PlatformList, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.down {
+func (r *Roster) List() (types.PlatformList, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.down {
 		return types.PlatformList{}, fault.Refuse(fault.TargetFailed, "platform list is down")
 	}
-	cutoff := time.Now().Add(-l.lag)
-	visible := l.versions[0]
-	for _, v := range l.versions {
+	cutoff := time.Now().Add(-r.lag)
+	visible := r.versions[0]
+	for _, v := range r.versions {
 		if !v.At.After(cutoff) {
 			visible = v
 		}
@@ -63,21 +63,21 @@
 }
 
 // Update adds a version that edit makes from the newest one; readers see it after the lag.
-func (l *Roster) Update(edit func(list *types.PlatformList)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	last := l.versions[len(l.versions)-1]
+func (r *Roster) Update(edit func(list *types.PlatformList)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last := r.versions[len(r.versions)-1]
 	next := types.PlatformList{At: time.Now(), Boxes: slices.Clone(last.Boxes), Targets: slices.Clone(last.Targets)}
 	edit(&next)
-	l.versions = append(l.versions, next)
-	if len(l.versions) > maxVersions {
-		l.versions = l.versions[len(l.versions)-maxVersions:]
+	r.versions = append(r.versions, next)
+	if len(r.versions) > maxVersions {
+		r.versions = r.versions[len(r.versions)-maxVersions:]
 	}
 }
 
 // MarkLeaving marks a box or target as leaving.
-func (l *Roster) MarkLeaving(name string) {
-	l.Update(func(list *types.PlatformList) {
+func (r *Roster) MarkLeaving(name string) {
+	r.Update(func(list *types.PlatformList) {
 		for i := range list.Boxes {
 			list.Boxes[i].Leaving = list.Boxes[i].Leaving || list.Boxes[i].Name == name
 		}
@@ -88,62 +88,62 @@
 }
 
 // Remove removes a box or target from the list.
-func (l *Roster) Remove(name string) {
-	l.Update(func(list *types.PlatformList) {
+func (r *Roster) Remove(name string) {
+	r.Update(func(list *types.PlatformList) {
 		list.Boxes = slices.DeleteFunc(list.Boxes, func(m types.Member) bool { return m.Name == name })
 		list.Targets = slices.DeleteFunc(list.Targets, func(t types.Target) bool { return t.Name == name })
 	})
 }
 
 // Routes returns the HTTP routes of the list and of its control.
-func (l *Roster) Routes() []rest.Route {
+func (r *Roster) Routes() []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodGet, Path: "/v1/list", Handler: l.serveList},
-		{Method: http.MethodPut, Path: "/control", Handler: l.serveControl},
+		{Method: http.MethodGet, Path: "/v1/list", Handler: r.serveList},
+		{Method: http.MethodPut, Path: "/control", Handler: r.serveControl},
 	}
 }
 
-func (l *Roster) serveList(w http.ResponseWriter, r *http.Request) {
-	list, err := l.List()
+func (r *Roster) serveList(w http.ResponseWriter, req *http.Request) {
+	list, err := r.List()
 	if err != nil {
 		server.WriteProblem(w, "", err)
 		return
 	}
 	tag := strconv.Quote(strconv.FormatInt(list.At.UnixNano(), 36))
 	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	if req.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	server.WriteJSON(w, http.StatusOK, list)
 }
 
-func (l *Roster) serveControl(w http.ResponseWriter, r *http.Request) {
+func (r *Roster) serveControl(w http.ResponseWriter, req *http.Request) {
 	var in Control
-	if err := server.ReadJSON(w, r, maxBodyBytes, &in); err != nil {
+	if err := server.ReadJSON(w, req, maxBodyBytes, &in); err != nil {
 		server.WriteProblem(w, "", err)
 		return
 	}
-	l.apply(in)
+	r.apply(in)
 	server.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-func (l *Roster) apply(in Control) {
-	l.mu.Lock()
+func (r *Roster) apply(in Control) {
+	r.mu.Lock()
 	if in.Lag != nil {
-		l.lag = time.Duration(*in.Lag)
+		r.lag = time.Duration(*in.Lag)
 	}
 	if in.Down != nil {
-		l.down = *in.Down
+		r.down = *in.Down
 	}
-	l.mu.Unlock()
+	r.mu.Unlock()
 	if in.List != nil {
-		l.Update(func(list *types.PlatformList) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
+		r.Update(func(list *types.PlatformList) { list.Boxes, list.Targets = in.List.Boxes, in.List.Targets })
 	}
 	if in.Leave != "" {
-		l.MarkLeaving(in.Leave)
+		r.MarkLeaving(in.Leave)
 	}
 	if in.Remove != "" {
-		l.Remove(in.Remove)
+		r.Remove(in.Remove)
 	}
 }
