--- a/ctl/cmds/explain.go
+++ b/ctl/cmds/explain.go
@@ -54,8 +54,8 @@
 			unreachable++
 			continue
 		}
-		for _, s := range boxEvents {
-			events = append(events, boxEvent{Box: box.String(), TraceEvent: s})
+		for _, event := range boxEvents {
+			events = append(events, boxEvent{Box: box.String(), TraceEvent: event})
 		}
 	}
 	sort.Slice(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
@@ -63,8 +63,8 @@
 		_, _ = fmt.Fprintf(out, "# %d of %d boxes did not answer\n", unreachable, len(settings.Boxes))
 	}
 	return e.print(out, events, "AT\tBOX\tREQUEST\tWHAT\tWHY\tTARGET\tWEIGHED", func(w io.Writer) {
-		for _, s := range events {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.At.Format("15:04:05.000"), s.Box, s.Request, s.Event, s.Reason, s.Target, formatCandidates(s.Candidates))
+		for _, event := range events {
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", event.At.Format("15:04:05.000"), event.Box, event.Request, event.Event, event.Reason, event.Target, formatCandidates(event.Candidates))
 		}
 	})
 }
--- a/ctl/cmds/publish.go
+++ b/ctl/cmds/publish.go
@@ -71,8 +71,9 @@
 	return p.submit(ctx, out, settings, rev.Number, cfg)
 }
 
-// submit publishes cfg as the successor of the --base revision, or of current without that flag,
-// and prints the result. It creates the first data key if cfg has none.
+// submit publishes cfg as the successor of the revision that --base names, or of the revision
+// numbered current without that flag, and prints the result. It creates the first data key if cfg
+// has none.
 func (p *publish) submit(ctx context.Context, out io.Writer, settings conn.Settings, current int64, cfg types.Config) error {
 	key, err := settings.PrivateKey()
 	if err != nil {
--- a/ctl/main.go
+++ b/ctl/main.go
@@ -1,4 +1,4 @@
-// Command mgctl is the command-line tool that operators manage mulleingate with.
+// Command mgctl is the command-line tool with which operators manage mulleingate.
 package main
 
 import (
