--- a/base/seal/ring.go
+++ b/base/seal/ring.go
@@ -74,32 +74,32 @@
 	aeads map[string]cipher.AEAD
 }
 
-// NewKeyring decrypts the data keys with the root. There must be at least one.
+// NewKeyring decrypts the data keys with the root key. There must be at least one data key.
 func NewKeyring(root *RootKey, keys []types.DataKey) (*Keyring, error) {
-	ring := &Keyring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
+	keyring := &Keyring{keys: map[string][]byte{}, aeads: map[string]cipher.AEAD{}}
 	for _, key := range keys {
 		plain, err := root.decryptKey(key)
 		if err != nil {
 			return nil, err
 		}
-		ring.keys[key.ID] = plain
-		ring.current = key.ID
+		keyring.keys[key.ID] = plain
+		keyring.current = key.ID
 	}
-	if ring.current == "" {
+	if keyring.current == "" {
 		return nil, fault.Refuse(fault.BadKey, "no data keys")
 	}
-	return ring, nil
+	return keyring, nil
 }
 
 // Seal encrypts plain for the workspace and binds it to place; Open needs the same values.
-func (r *Keyring) Seal(workspace, place string, plain []byte) ([]byte, error) {
-	aead, err := r.aead(r.current, workspace)
+func (k *Keyring) Seal(workspace, place string, plain []byte) ([]byte, error) {
+	aead, err := k.aead(k.current, workspace)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]byte, 0, headerLen+len(r.current)+aead.NonceSize()+len(plain)+aead.Overhead())
-	out = append(out, version, byte(len(r.current)))
-	out = append(out, r.current...)
+	out := make([]byte, 0, headerLen+len(k.current)+aead.NonceSize()+len(plain)+aead.Overhead())
+	out = append(out, version, byte(len(k.current)))
+	out = append(out, k.current...)
 	nonce := make([]byte, aead.NonceSize())
 	_, _ = rand.Read(nonce)
 	out = append(out, nonce...)
@@ -108,7 +108,7 @@
 
 // Open decrypts data that Seal encrypted for the same workspace and place. It returns a
 // BadContinuation fault if that fails.
-func (r *Keyring) Open(workspace, place string, sealed []byte) ([]byte, error) {
+func (k *Keyring) Open(workspace, place string, sealed []byte) ([]byte, error) {
 	if len(sealed) < headerLen || sealed[0] != version {
 		return nil, fault.Refuse(fault.BadContinuation, "unknown sealed format")
 	}
@@ -116,7 +116,7 @@
 	if len(sealed) < end {
 		return nil, fault.Refuse(fault.BadContinuation, "sealed data is cut short")
 	}
-	aead, err := r.aead(string(sealed[headerLen:end]), workspace)
+	aead, err := k.aead(string(sealed[headerLen:end]), workspace)
 	if err != nil {
 		return nil, err
 	}
@@ -132,37 +132,37 @@
 }
 
 // SealText is Seal with the result in unpadded URL-safe base64.
-func (r *Keyring) SealText(workspace, place string, plain []byte) (string, error) {
-	sealed, err := r.Seal(workspace, place, plain)
+func (k *Keyring) SealText(workspace, place string, plain []byte) (string, error) {
+	sealed, err := k.Seal(workspace, place, plain)
 	return base64.RawURLEncoding.EncodeToString(sealed), err
 }
 
 // OpenText decrypts text that SealText returned.
-func (r *Keyring) OpenText(workspace, place, text string) ([]byte, error) {
+func (k *Keyring) OpenText(workspace, place, text string) ([]byte, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
 		return nil, fault.Refuse(fault.BadContinuation, "continuation is not base64url").WithCause(err)
 	}
-	return r.Open(workspace, place, sealed)
+	return k.Open(workspace, place, sealed)
 }
 
 // aead returns the cipher for a workspace under the data key with the ID.
-func (r *Keyring) aead(id, workspace string) (cipher.AEAD, error) {
-	key, ok := r.keys[id]
+func (k *Keyring) aead(id, workspace string) (cipher.AEAD, error) {
+	key, ok := k.keys[id]
 	if !ok {
 		return nil, fault.Refuse(fault.BadContinuation, "sealed with an unknown or expired key")
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	name := id + "\x00" + workspace
-	if aead, ok := r.aeads[name]; ok {
+	if aead, ok := k.aeads[name]; ok {
 		return aead, nil
 	}
 	aead, err := newAEAD(key, dataInfo+workspace)
 	if err != nil {
 		return nil, err
 	}
-	r.aeads[name] = aead
+	k.aeads[name] = aead
 	return aead, nil
 }
 
--- a/base/seal/seal_test.go
+++ b/base/seal/seal_test.go
@@ -8,8 +8,8 @@
 	"mulleingate.dev/base/types"
 )
 
-// newRing returns a ring of new data keys with the given IDs.
-func newRing(t testing.TB, ids ...string) *Keyring {
+// newKeyring returns a keyring of new data keys with the given IDs.
+func newKeyring(t testing.TB, ids ...string) *Keyring {
 	t.Helper()
 	root, err := NewRootKey(make([]byte, KeySize))
 	if err != nil {
@@ -19,47 +19,47 @@
 	for _, id := range ids {
 		keys = append(keys, root.NewKey(id))
 	}
-	r, err := NewKeyring(root, keys)
+	keyring, err := NewKeyring(root, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return keyring
 }
 
 // TestOnlyTheSameWorkspaceAndPlaceOpen checks that Open rejects data of another workspace, another
 // place or an expired key.
 func TestOnlyTheSameWorkspaceAndPlaceOpen(t *testing.T) {
-	r := newRing(t, "a", "b")
-	sealed, err := r.Seal("one", "turn p", []byte("text"))
+	keyring := newKeyring(t, "a", "b")
+	sealed, err := keyring.Seal("one", "turn p", []byte("text"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, err := r.Open("one", "turn p", sealed)
+	plain, err := keyring.Open("one", "turn p", sealed)
 	if err != nil || !bytes.Equal(plain, []byte("text")) {
 		t.Fatalf("Open returned %q and error %v, want \"text\"", plain, err)
 	}
-	if _, err := r.Open("two", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
+	if _, err := keyring.Open("two", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
 		t.Errorf("Open for another workspace: got error %v, want BadContinuation", err)
 	}
-	if _, err := r.Open("one", "turn q", sealed); !fault.Is(err, fault.BadContinuation) {
+	if _, err := keyring.Open("one", "turn q", sealed); !fault.Is(err, fault.BadContinuation) {
 		t.Errorf("Open for another place: got error %v, want BadContinuation", err)
 	}
-	if _, err := newRing(t, "c").Open("one", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
+	if _, err := newKeyring(t, "c").Open("one", "turn p", sealed); !fault.Is(err, fault.BadContinuation) {
 		t.Errorf("Open with an expired key: got error %v, want BadContinuation", err)
 	}
 }
 
 // FuzzOpen checks that altered data is never decrypted and that every error is BadContinuation.
 func FuzzOpen(f *testing.F) {
-	r := newRing(f, "a")
-	sealed, err := r.Seal("one", "p", []byte("text"))
+	keyring := newKeyring(f, "a")
+	sealed, err := keyring.Seal("one", "p", []byte("text"))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(sealed)
 	f.Add([]byte{1, 200})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		plain, err := r.Open("one", "p", raw)
+		plain, err := keyring.Open("one", "p", raw)
 		if err == nil && !bytes.Equal(raw, sealed) {
 			t.Errorf("Open decrypted altered data: %q", plain)
 		}
