--- a/base/client/stream.go
+++ b/base/client/stream.go
@@ -33,9 +33,9 @@
 
 // Next returns the data of the next event, which is valid until the next call, or io.EOF at the
 // event FinalEvent. A stream that ends without that event is a fault.
-func (e *EventReader) Next() ([]byte, error) {
-	for e.scan.Scan() {
-		data, ok := bytes.CutPrefix(e.scan.Bytes(), []byte(dataPrefix))
+func (r *EventReader) Next() ([]byte, error) {
+	for r.scan.Scan() {
+		data, ok := bytes.CutPrefix(r.scan.Bytes(), []byte(dataPrefix))
 		if !ok {
 			continue
 		}
@@ -44,7 +44,7 @@
 		}
 		return data, nil
 	}
-	return nil, fault.Fail(fault.TargetFailed, "stream ended without its final event").WithCause(e.scan.Err())
+	return nil, fault.Fail(fault.TargetFailed, "stream ended without its final event").WithCause(r.scan.Err())
 }
 
 // asOpError is errors.As for a network error.
