--- a/bench/cmds/derive.go
+++ b/bench/cmds/derive.go
@@ -27,7 +27,7 @@
 	proposedBusyEngines = 4
 	proposedPoll        = 0.5
 	proposedIdlePoll    = 10.0
-	// defaultHeartbeat and defaultPoll are the default intervals, at which the slopes are measured.
+	// defaultHeartbeat and defaultPoll are the default intervals, to which the slopes apply.
 	defaultHeartbeat = 0.3
 	defaultPoll      = 0.1
 	// listBytes is the size of the list of boxes and replicas, listChanges the number of its changes
