--- a/base/client/auth.go
+++ b/base/client/auth.go
@@ -12,7 +12,7 @@
 
 // CallAs is Call with the bearer token and, if set, the idempotency key of auth.
 func (c *Client) CallAs(ctx context.Context, auth Auth, method, url string, in, out any) error {
-	req, err := Request(ctx, method, url, in)
+	req, err := NewRequest(ctx, method, url, in)
 	if err != nil {
 		return err
 	}
--- a/base/client/client.go
+++ b/base/client/client.go
@@ -66,7 +66,7 @@
 // Call sends in as JSON and decodes the response into out; both may be nil. An error response is
 // returned as a fault.
 func (c *Client) Call(ctx context.Context, method, url string, in, out any) error {
-	req, err := Request(ctx, method, url, in)
+	req, err := NewRequest(ctx, method, url, in)
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	return Decode(resp, out)
 }
 
-// Request creates a request with in as its JSON body; in may be nil.
-func Request(ctx context.Context, method, url string, in any) (*http.Request, error) {
+// NewRequest creates a request with in as its JSON body; in may be nil.
+func NewRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -50,8 +50,8 @@
 	return Slot{Zone: zone, Number: n}, nil
 }
 
-// NewProgram returns a new program ID in the slot.
-func NewProgram(slot Slot) string {
+// NewProgramID returns a new program ID in the slot.
+func NewProgramID(slot Slot) string {
 	return slot.String() + "." + RandomID()
 }
 
--- a/base/types/platform.go
+++ b/base/types/platform.go
@@ -18,8 +18,8 @@
 
 // The kinds of target.
 const (
-	Engine TargetKind = "engine"
-	Plain  TargetKind = "service"
+	Engine       TargetKind = "engine"
+	PlainService TargetKind = "service"
 )
 
 // Target is a model engine or a service replica on the platform's list.
--- a/bench/cmds/experiment.go
+++ b/bench/cmds/experiment.go
@@ -229,7 +229,7 @@
 			set.Strategy = sched.Strategy(part)
 		case part == "noholds":
 			set.HoldCaches = false
-		case part == string(sched.Age), part == string(sched.Attained), part == string(sched.Fifo):
+		case part == string(sched.OldestProgram), part == string(sched.Attained), part == string(sched.Fifo):
 			set.Order = sched.Order(part)
 		default:
 			return set, fault.Refuse(fault.BadRequest, "scheduling variant "+text+" is unknown")
--- a/bench/cmds/latency.go
+++ b/bench/cmds/latency.go
@@ -67,7 +67,7 @@
 	text := []types.Message{{Role: "user", Content: fmt.Sprintf("some words len=%d", latencyTokens)}}
 	direct := newEnginePath("directly", func(ctx context.Context) (*http.Request, error) {
 		call := types.EngineCall{Attempt: ident.RandomID(), Model: "planner", Messages: text, MaxTokens: 64, CacheKey: ident.RandomID()}
-		return client.Request(ctx, http.MethodPost, engine+"/v1/chat/completions", call)
+		return client.NewRequest(ctx, http.MethodPost, engine+"/v1/chat/completions", call)
 	})
 	through := func(url string) func(ctx context.Context) (*http.Request, error) {
 		return func(ctx context.Context) (*http.Request, error) {
@@ -76,7 +76,7 @@
 				return nil, err
 			}
 			body := types.TurnRequest{Turn: 1, Messages: text, MaxTokens: 64, Stream: true, Continuation: s.token}
-			req, err := client.Request(ctx, http.MethodPost, url+"/v1/programs/"+s.id+"/turns", body)
+			req, err := client.NewRequest(ctx, http.MethodPost, url+"/v1/programs/"+s.id+"/turns", body)
 			if err == nil {
 				req.Header.Set("Authorization", "Bearer "+sample.Token("flanders"))
 			}
--- a/bench/fleet/entry.go
+++ b/bench/fleet/entry.go
@@ -26,8 +26,8 @@
 	b.outOfService[i] = out
 }
 
-// Entry returns the URL of a random running box in service, or of any box if there is none.
-func (b *Balancer) Entry(rng *rand.Rand) string {
+// BoxURL returns the URL of a random running box in service, or of any box if there is none.
+func (b *Balancer) BoxURL(rng *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := len(b.fleet.boxes)
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -13,7 +13,7 @@
 
 // Balancer picks the box that receives each call, as the platform's load balancer does.
 type Balancer interface {
-	Entry(rng *rand.Rand) string
+	BoxURL(rng *rand.Rand) string
 }
 
 // caller sends the calls of one program and retries those that fail with a retryable fault.
@@ -71,7 +71,7 @@
 func (c *caller) attempt(ctx context.Context, method, path, key string, in, out any) error {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	return c.http.CallAs(ctx, client.Auth{Token: c.token, Key: key}, method, c.balancer.Entry(c.rng)+path, in, out)
+	return c.http.CallAs(ctx, client.Auth{Token: c.token, Key: key}, method, c.balancer.BoxURL(c.rng)+path, in, out)
 }
 
 func (c *caller) post(ctx context.Context, path, key string, in, out any) error {
--- a/bench/recap/recap.go
+++ b/bench/recap/recap.go
@@ -18,10 +18,10 @@
 	From time.Duration
 	// Answered, Refused and Failed count calls. A refused one has not run, a failed one may have.
 	Answered, Refused, Failed int
-	// Placed, First, Events and Confirm are sums over the answered turns of consecutive times: from
+	// PlacementTime, FirstEventTime, StreamTime and ConfirmTime are sums over the answered turns of consecutive times: from
 	// arrival until sent to a replica, to the first event, to the last event, and until confirmed
-	// by the log. Took is the sum of the total times of all answered calls.
-	Placed, First, Events, Confirm, Took time.Duration
+	// by the log. TotalTime is the sum of the total times of all answered calls.
+	PlacementTime, FirstEventTime, StreamTime, ConfirmTime, TotalTime time.Duration
 	// Causes counts the refused and failed calls by kind of fault or other cause.
 	Causes map[string]int
 }
@@ -53,15 +53,15 @@
 		row := r.rowOf(l)
 		placed, first, took, confirm := l.Duration("placed"), l.Duration("first"), l.Duration("took"), l.Duration("confirm")
 		row.Answered++
-		row.Placed += placed
-		row.First += first - placed
-		row.Confirm += confirm
-		row.Events += took - first - confirm
-		row.Took += took
+		row.PlacementTime += placed
+		row.FirstEventTime += first - placed
+		row.ConfirmTime += confirm
+		row.StreamTime += took - first - confirm
+		row.TotalTime += took
 	case "relay: call answered", "relay: answer passed on":
 		row := r.rowOf(l)
 		row.Answered++
-		row.Took += l.Duration("took")
+		row.TotalTime += l.Duration("took")
 	case "turns: turn failed":
 		r.rowOf(l).countFailure(l.Text("kind"), !l.Bool("ran"))
 	case "relay: call failed":
@@ -122,7 +122,7 @@
 		}
 		table.Rows = append(table.Rows, []string{
 			row.Route, fmt.Sprintf("%.1f", row.From.Seconds()), fmt.Sprint(row.Answered), fmt.Sprint(row.Refused), fmt.Sprint(row.Failed),
-			mean(row.Placed), mean(row.First), mean(row.Events), mean(row.Confirm), mean(row.Took), row.causes(),
+			mean(row.PlacementTime), mean(row.FirstEventTime), mean(row.StreamTime), mean(row.ConfirmTime), mean(row.TotalTime), row.causes(),
 		})
 	}
 	return table
--- a/gate/access/access_test.go
+++ b/gate/access/access_test.go
@@ -24,7 +24,7 @@
 	for _, key := range keys {
 		space.KeyDigests = append(space.KeyDigests, ident.KeyDigest(key))
 	}
-	conf.Callers = work.NewCallers([]work.Workspace{space})
+	conf.Callers = work.NewWorkspaceIndex([]work.Workspace{space})
 	return conf
 }
 
--- a/gate/admin/admin.go
+++ b/gate/admin/admin.go
@@ -20,8 +20,8 @@
 	Report() types.Metrics
 }
 
-// StepFinder finds the recorded scheduling events of a program or request.
-type StepFinder interface {
+// TraceFinder finds the recorded scheduling events of a program or request.
+type TraceFinder interface {
 	Find(id string) []types.TraceEvent
 }
 
@@ -61,7 +61,7 @@
 	self      types.Member
 	version   string
 	metrics   MetricsReporter
-	trail     StepFinder
+	trail     TraceFinder
 	owners    Owners
 	view      View
 	policies  Policies
@@ -70,7 +70,7 @@
 }
 
 // New returns an Admin that reports on the box self.
-func New(self types.Member, version string, metrics MetricsReporter, trail StepFinder, owners Owners, view View, policies Policies, targets Targets) *Admin {
+func New(self types.Member, version string, metrics MetricsReporter, trail TraceFinder, owners Owners, view View, policies Policies, targets Targets) *Admin {
 	return &Admin{
 		self: self, version: version, metrics: metrics, trail: trail, owners: owners, view: view,
 		policies: policies, targets: targets, startedAt: time.Now(),
--- a/gate/admit/admit.go
+++ b/gate/admit/admit.go
@@ -227,17 +227,17 @@
 		s.applyReport(m)
 	case lease.Targets:
 		s.setTargets(m.List)
-	case lease.Leaving:
+	case lease.EngineLeaving:
 		if e, ok := s.engines[m.Name]; ok {
 			e.leaving = true
 		}
 	case lease.RemoteStreams:
 		s.remoteStreams[m.Box] = m.Streams
-	case lease.Dropped:
+	case lease.CacheDropped:
 		if e, ok := s.engines[m.Target]; ok {
 			delete(e.cached, m.Program)
 		}
-	case lease.Moved:
+	case lease.CacheMoved:
 		s.moveCache(m)
 	case lease.ForgetPrograms:
 		s.forgetPrograms(m.Programs)
--- a/gate/admit/admit_test.go
+++ b/gate/admit/admit_test.go
@@ -25,7 +25,7 @@
 
 func newTestScheduler(t *testing.T, policy PlacementPolicy) *Scheduler {
 	t.Helper()
-	opts := Options{Strategy: sched.Scored, Order: sched.Age, MaxWait: time.Second, StarvationAge: 2 * time.Second, Seed: 1}
+	opts := Options{Strategy: sched.Scored, Order: sched.OldestProgram, MaxWait: time.Second, StarvationAge: 2 * time.Second, Seed: 1}
 	s := New("a", opts, policy, meter.New(), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestScheduler(t, allowExceptZone{})
 		defer func() { _ = s.Stop(t.Context()) }()
-		s.Notify(lease.Leaving{Name: "e1"})
+		s.Notify(lease.EngineLeaving{Name: "e1"})
 		// An outdated list does not revert the engine's state.
 		s.Notify(lease.Targets{List: []types.Target{
 			{Name: "e1", Kind: types.Engine, Zone: "a", Models: []string{"m"}}, {Name: "e2", Kind: types.Engine, Zone: "a", Models: []string{"m"}},
--- a/gate/admit/engine.go
+++ b/gate/admit/engine.go
@@ -107,7 +107,7 @@
 }
 
 // moveCache records that a program's cache was moved to another engine.
-func (s *Scheduler) moveCache(m lease.Moved) {
+func (s *Scheduler) moveCache(m lease.CacheMoved) {
 	from, okFrom := s.engines[m.From]
 	to, okTo := s.engines[m.To]
 	if okFrom && okTo {
--- a/gate/chain/chain.go
+++ b/gate/chain/chain.go
@@ -25,9 +25,9 @@
 	// event of its answer, each followed by a line feed.
 	Text []byte
 
-	// RanOn identifies the run of the replica that answered the turn (see work.Replica.RunID); empty if the
+	// ReplicaRun identifies the run of the replica that answered the turn (see work.Replica.RunID); empty if the
 	// turn ended at another owner.
-	RanOn string
+	ReplicaRun string
 	// CachedTokens is the number of tokens of the chain that the replica held in its cache after the turn.
 	CachedTokens int
 }
--- a/gate/chain/chain_test.go
+++ b/gate/chain/chain_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestSettleDropsFreeReservations checks that ReleaseUnused drops free reservations, so that a planned
+// TestReleaseUnusedDropsFreeReservations checks that ReleaseUnused drops free reservations, so that a planned
 // handover costs a program none of its budget.
-func TestSettleDropsFreeReservations(t *testing.T) {
+func TestReleaseUnusedDropsFreeReservations(t *testing.T) {
 	s, nextOwner := New(), New()
 	recs := answerTurn(t, s, open("a", "", 60), "one")
 	for _, rec := range append(recs, s.ReleaseUnused()...) {
--- a/gate/conf/timing.go
+++ b/gate/conf/timing.go
@@ -101,7 +101,7 @@
 
 func admitDefaults() Admit {
 	return Admit{
-		Strategy: sched.Scored, Order: sched.Age, MaxWait: types.Duration(2 * time.Second),
+		Strategy: sched.Scored, Order: sched.OldestProgram, MaxWait: types.Duration(2 * time.Second),
 		StarvationAge: types.Duration(5 * time.Second), HoldCaches: true,
 	}
 }
@@ -112,7 +112,7 @@
 		validStrategy = validStrategy || s == a.Strategy
 	}
 	rep.require(validStrategy, "admit.strategy", "not one of scored, random, least, sticky")
-	validOrder := a.Order == sched.Age || a.Order == sched.Attained || a.Order == sched.Fifo
+	validOrder := a.Order == sched.OldestProgram || a.Order == sched.Attained || a.Order == sched.Fifo
 	rep.require(validOrder, "admit.order", "not one of age, attained, fifo")
 	rep.require(a.MaxWait > 0, "admit.max_wait", "not positive")
 	rep.require(a.StarvationAge > 0, "admit.starve", "not positive")
@@ -124,8 +124,8 @@
 	MaxBodyBytes int64 `json:"body_bytes"`
 	// BodyTimeout is how long a caller may take to send a request body.
 	BodyTimeout types.Duration `json:"body_timeout"`
-	// TrailSteps is the number of recent scheduling events that are kept for operators.
-	TrailSteps int `json:"trail_steps"`
+	// MaxTraceEvents is the number of recent scheduling events that are kept for operators.
+	MaxTraceEvents int `json:"trail_steps"`
 	// StopTimeout bounds a graceful stop, OwnerTimeout the attempts to reach a slot's owner.
 	StopTimeout  types.Duration `json:"stop_wait"`
 	OwnerTimeout types.Duration `json:"owner_wait"`
@@ -133,7 +133,7 @@
 
 func limitsDefaults() Limits {
 	return Limits{
-		MaxBodyBytes: 8 << 20, BodyTimeout: types.Duration(15 * time.Second), TrailSteps: 8192,
+		MaxBodyBytes: 8 << 20, BodyTimeout: types.Duration(15 * time.Second), MaxTraceEvents: 8192,
 		StopTimeout: types.Duration(2 * time.Minute), OwnerTimeout: types.Duration(10 * time.Second),
 	}
 }
@@ -141,7 +141,7 @@
 func (l Limits) check(rep *report) {
 	rep.require(l.MaxBodyBytes > 0, "limits.body_bytes", "not positive")
 	rep.require(l.BodyTimeout > 0, "limits.body_timeout", "not positive")
-	rep.require(l.TrailSteps > 0, "limits.trail_steps", "not positive")
+	rep.require(l.MaxTraceEvents > 0, "limits.trail_steps", "not positive")
 	rep.require(l.StopTimeout > 0, "limits.stop_wait", "not positive")
 	rep.require(l.OwnerTimeout > 0, "limits.owner_wait", "not positive")
 }
--- a/gate/desk/desk.go
+++ b/gate/desk/desk.go
@@ -73,7 +73,7 @@
 	for id, prog := range state.Programs {
 		s.logged[id] = fold.LastTurn(prog)
 	}
-	for root, tree := range state.Purses {
+	for root, tree := range state.TreeBudgets {
 		s.confirmed[root] = tree.Granted
 	}
 	return s
--- a/gate/desk/purse.go
+++ b/gate/desk/purse.go
@@ -30,21 +30,21 @@
 // Covered reports whether the confirmed grant of a root program covers all that is
 // reserved and spent.
 func (s *OwnerState) Covered(root string) bool {
-	tree, ok := s.State.Purses[root]
+	tree, ok := s.State.TreeBudgets[root]
 	return ok && tree.Spent+s.reserved[root] <= s.confirmed[root]
 }
 
 // settle ends a reservation of which spent tokens were used.
 func (s *OwnerState) settle(root string, reserved, spent int64) {
 	s.reserved[root] -= reserved
-	if tree, ok := s.State.Purses[root]; ok {
+	if tree, ok := s.State.TreeBudgets[root]; ok {
 		tree.Spent = min(tree.Spent+spent, tree.Granted)
 	}
 }
 
 // treeBudget returns the budget of the tree that the program belongs to.
 func (s *OwnerState) treeBudget(prog *types.Program) (*types.TreeBudget, error) {
-	tree, ok := s.State.Purses[prog.Begin.Root]
+	tree, ok := s.State.TreeBudgets[prog.Begin.Root]
 	if !ok {
 		return nil, fault.Refuse(fault.BudgetSpent, "the budget of the program's tree is unknown")
 	}
@@ -54,7 +54,7 @@
 // Spent returns the tokens that the program's tree has spent and the tree's budget. Both
 // are 0 if the budget is unknown.
 func (s *OwnerState) Spent(prog *types.Program) (spent, budget int64) {
-	tree, ok := s.State.Purses[prog.Begin.Root]
+	tree, ok := s.State.TreeBudgets[prog.Begin.Root]
 	if !ok {
 		return 0, 0
 	}
@@ -65,7 +65,7 @@
 // release. Trees with reservations are left out.
 func (s *OwnerState) SettleGrants() []types.Record {
 	var recs []types.Record
-	for root, tree := range s.State.Purses {
+	for root, tree := range s.State.TreeBudgets {
 		if s.reserved[root] == 0 && tree.Spent < tree.Granted {
 			recs = append(recs, types.Record{Settle: &types.Settle{Root: root, Spent: tree.Spent}})
 		}
--- a/gate/desk/status.go
+++ b/gate/desk/status.go
@@ -11,7 +11,7 @@
 			st.Programs++
 		}
 	}
-	for _, tree := range s.State.Purses {
+	for _, tree := range s.State.TreeBudgets {
 		st.Budget += tree.Budget
 		st.Granted += tree.Granted
 		st.Spent += tree.Spent
--- a/gate/desk/sweep.go
+++ b/gate/desk/sweep.go
@@ -14,7 +14,7 @@
 	EndedByIdle     = "idle"
 	EndedByTurns    = "turn_limit"
 	EndedByBudget   = "budget"
-	EndedWithRoot   = "root_ended"
+	EndedWithParent = "root_ended"
 )
 
 const (
@@ -37,7 +37,7 @@
 		if p.Begin.Parent != id || p.Ended != "" {
 			continue
 		}
-		endedIDs, childRecs := s.End(now, child, EndedWithRoot)
+		endedIDs, childRecs := s.End(now, child, EndedWithParent)
 		ids = append(ids, endedIDs...)
 		recs = append(recs, childRecs...)
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	delete(s.State.Programs, id)
-	delete(s.State.Purses, id)
+	delete(s.State.TreeBudgets, id)
 	delete(s.logged, id)
 	delete(s.confirmed, id)
 	delete(s.reserved, id)
@@ -158,7 +158,7 @@
 	snap := *prog
 	snap.Turns = nil
 	recs := []types.Record{{Program: &snap}}
-	if tree, ok := s.State.Purses[prog.Begin.ID]; ok {
+	if tree, ok := s.State.TreeBudgets[prog.Begin.ID]; ok {
 		copied := *tree
 		recs = append(recs, types.Record{TreeBudget: &copied})
 	}
--- a/gate/desk/sweep_test.go
+++ b/gate/desk/sweep_test.go
@@ -41,8 +41,8 @@
 		{time.Second, map[string]string{"0": "", "1": "", "2": "", "c": ""}},
 		// Program 0 has a recently active sub-agent, program 1 has a turn in flight.
 		{70 * time.Second, map[string]string{"0": "", "1": "", "2": EndedByIdle, "c": ""}},
-		{2 * time.Minute, map[string]string{"0": EndedByIdle, "1": "", "2": EndedByIdle, "c": EndedWithRoot}},
-		{time.Hour, map[string]string{"0": EndedByIdle, "1": EndedByDeadline, "c": EndedWithRoot}},
+		{2 * time.Minute, map[string]string{"0": EndedByIdle, "1": "", "2": EndedByIdle, "c": EndedWithParent}},
+		{time.Hour, map[string]string{"0": EndedByIdle, "1": EndedByDeadline, "c": EndedWithParent}},
 	}
 	for _, step := range steps {
 		s.Sweep(testTime.Add(step.after), time.Hour)
--- a/gate/engine/engine.go
+++ b/gate/engine/engine.go
@@ -297,7 +297,7 @@
 		return
 	}
 	s.counts.Count("engine.moved", 1)
-	s.queue.Notify(lease.Moved{Program: program, From: source.Name, To: destination.Name})
+	s.queue.Notify(lease.CacheMoved{Program: program, From: source.Name, To: destination.Name})
 }
 
 // Trim releases a program's cache on all engines except keep.
@@ -312,5 +312,5 @@
 // Drop releases a program's cache on one engine.
 func (s *Engines) Drop(program, name string) {
 	s.releaseOn(name, []string{program})
-	s.queue.Notify(lease.Dropped{Program: program, Target: name})
+	s.queue.Notify(lease.CacheDropped{Program: program, Target: name})
 }
--- a/gate/engine/stream.go
+++ b/gate/engine/stream.go
@@ -29,7 +29,7 @@
 	s.addCalls(target.Name, 1)
 	defer s.addCalls(target.Name, -1)
 	reader := &streamReader{attempt: call.Attempt, emit: emit, counts: s.counts}
-	req, err := client.Request(ctx, http.MethodPost, url(target, "/v1/chat/completions"), call)
+	req, err := client.NewRequest(ctx, http.MethodPost, url(target, "/v1/chat/completions"), call)
 	if err != nil {
 		return types.EngineEvent{}, err
 	}
@@ -59,7 +59,7 @@
 	case <-ctx.Done():
 	}
 	path := "/v1/streams/" + reader.attempt + "?after=" + strconv.Itoa(reader.lastSeq)
-	req, err := client.Request(ctx, http.MethodGet, url(target, path), nil)
+	req, err := client.NewRequest(ctx, http.MethodGet, url(target, path), nil)
 	if err != nil {
 		return types.EngineEvent{}, err
 	}
--- a/gate/entry/entry.go
+++ b/gate/entry/entry.go
@@ -31,9 +31,9 @@
 	findTimeout = 600 * time.Millisecond
 )
 
-// Feed provides the current configuration.
-type Feed interface {
-	Known() access.ConfigSnapshot
+// ConfigSource provides the current configuration.
+type ConfigSource interface {
+	Current() access.ConfigSnapshot
 }
 
 // Boxes tells which box should own a slot and which boxes are reachable.
@@ -104,7 +104,7 @@
 	layout shard.Layout
 	// regions maps each availability zone to its region.
 	regions      work.Regions
-	feed         Feed
+	feed         ConfigSource
 	rules        access.Rules
 	quotas       Quotas
 	boxes        Boxes
@@ -118,7 +118,7 @@
 }
 
 // New returns an Entry for the box self.
-func New(self work.Box, layout shard.Layout, regions work.Regions, feed Feed, rules access.Rules, quotas Quotas, boxes Boxes, connectivity Connectivity, slots Slots, runner Runner,
+func New(self work.Box, layout shard.Layout, regions work.Regions, feed ConfigSource, rules access.Rules, quotas Quotas, boxes Boxes, connectivity Connectivity, slots Slots, runner Runner,
 	peers Peers, relay Relay, counts Counts, log *slog.Logger) *Entry {
 	return &Entry{
 		self: self, layout: layout, regions: regions, feed: feed, rules: rules, quotas: quotas, boxes: boxes, connectivity: connectivity, slots: slots, runner: runner,
@@ -130,7 +130,7 @@
 // after a complete answer. A fault with NotRun means that no replica has run the call or will; after any
 // other fault, a replica may have run it.
 func (e *Entry) Handle(ctx context.Context, call *work.Call, left time.Duration, out work.Answer) error {
-	known := e.feed.Known()
+	known := e.feed.Current()
 	path, _, _ := strings.Cut(call.Target, "?")
 	route, err := e.rules.Route(known, call, path)
 	if err != nil {
--- a/gate/entry/entry_test.go
+++ b/gate/entry/entry_test.go
@@ -50,7 +50,7 @@
 	err   error
 }
 
-func (f *fakeBox) Known() access.ConfigSnapshot {
+func (f *fakeBox) Current() access.ConfigSnapshot {
 	return access.ConfigSnapshot{Config: f.conf, ConfirmedAt: time.Now()}
 }
 func (f *fakeBox) Take(_ context.Context, space work.Workspace, begins bool) (quota.Permit, error) {
@@ -269,7 +269,7 @@
 func TestWorkspaces(t *testing.T) {
 	key := ident.KeyDigest("secret")
 	f := newFakeBox()
-	f.conf.Callers = work.NewCallers([]work.Workspace{{Name: "north", KeyDigests: []string{key}, Priority: 1, Rate: 10}})
+	f.conf.Callers = work.NewWorkspaceIndex([]work.Workspace{{Name: "north", KeyDigests: []string{key}, Priority: 1, Rate: 10}})
 	call := turnCall("")
 	call.KeyDigest = key
 	if err := f.handle(call); err != nil {
--- a/gate/feed/feed.go
+++ b/gate/feed/feed.go
@@ -67,7 +67,7 @@
 	Put(rep work.Replica)
 	// MarkMissing marks a replica whose entry disappeared but may come back.
 	MarkMissing(id string)
-	Drop(id string)
+	Remove(id string)
 	ListedIDs() []string
 	// SetEvacuated sets the availability zones whose replicas get no new calls.
 	SetEvacuated(zones map[string]bool)
@@ -118,8 +118,8 @@
 	return f.conf.Load()
 }
 
-// Known returns the newest configuration and when it was last shown to be the newest.
-func (f *Feed) Known() access.ConfigSnapshot {
+// Current returns the newest configuration and when it was last shown to be the newest.
+func (f *Feed) Current() access.ConfigSnapshot {
 	known := access.ConfigSnapshot{}
 	if confirmedAt := f.confirmedAt.Load(); confirmedAt != nil {
 		known.ConfirmedAt = *confirmedAt
@@ -134,13 +134,13 @@
 	return age(f.confirmedAt.Load())
 }
 
-// ConfigsRefused returns the number of configurations that did not decode.
-func (f *Feed) ConfigsRefused() int64 {
+// RejectedConfigs returns the number of configurations that did not decode.
+func (f *Feed) RejectedConfigs() int64 {
 	return f.rejectedConfigs.Load()
 }
 
-// EntriesRefused returns the number of replica entries that did not decode.
-func (f *Feed) EntriesRefused() int64 {
+// RejectedEntries returns the number of replica entries that did not decode.
+func (f *Feed) RejectedEntries() int64 {
 	return f.rejectedEntries.Load()
 }
 
@@ -457,7 +457,7 @@
 		l.malformed[id] = true
 	}
 	l.mu.Unlock()
-	l.feed.targets.Drop(id)
+	l.feed.targets.Remove(id)
 	l.feed.rejectedEntries.Add(1)
 	if !logged {
 		l.feed.logger.Warn("feed: invalid replica entry", "replica", id, "cause", cause)
@@ -467,7 +467,7 @@
 // remove drops a replica, or marks it as missing if its entry may come back until the given time.
 func (l *replicaList) remove(id string, until time.Time) {
 	if !time.Now().Before(until) {
-		l.feed.targets.Drop(id)
+		l.feed.targets.Remove(id)
 		return
 	}
 	l.mu.Lock()
@@ -502,7 +502,7 @@
 	for id, until := range l.missing {
 		if !now.Before(until) {
 			delete(l.missing, id)
-			l.feed.targets.Drop(id)
+			l.feed.targets.Remove(id)
 			continue
 		}
 		wait = min(wait, missingCheckInterval, until.Sub(now))
--- a/gate/feed/feed_test.go
+++ b/gate/feed/feed_test.go
@@ -144,7 +144,7 @@
 }
 func (t *fakeTargets) MarkMissing(string) {}
 
-func (t *fakeTargets) Drop(id string) {
+func (t *fakeTargets) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.ids, id)
--- a/gate/feed/proof_test.go
+++ b/gate/feed/proof_test.go
@@ -10,7 +10,7 @@
 // sinceConfirmed returns the time since the configuration was last confirmed as the newest.
 func sinceConfirmed(t *testing.T, f *Feed) time.Duration {
 	t.Helper()
-	known := f.Known()
+	known := f.Current()
 	if known.ConfirmedAt.IsZero() {
 		t.Fatal("no configuration was confirmed")
 	}
@@ -31,9 +31,9 @@
 		log.delay = 3 * time.Second // the answer to a request sent now comes late
 		log.mu.Unlock()
 		time.Sleep(2 * readWait)
-		before := f.Known().ConfirmedAt
+		before := f.Current().ConfirmedAt
 		time.Sleep(time.Second)
-		if f.Known().ConfirmedAt.After(before) {
+		if f.Current().ConfirmedAt.After(before) {
 			t.Error("a waiting read confirmed the configuration")
 		}
 		time.Sleep(4 * time.Second)
@@ -68,13 +68,13 @@
 		log.dropHistory()
 		for range 40 {
 			time.Sleep(37 * time.Millisecond)
-			known := f.Known()
+			known := f.Current()
 			if time.Since(known.ConfirmedAt) < 37*time.Millisecond && known.Config.Version != 7 {
 				t.Errorf("version %d confirmed", known.Config.Version)
 			}
 		}
-		if f.Known().Config.Version != 7 {
-			t.Errorf("version %d", f.Known().Config.Version)
+		if f.Current().Config.Version != 7 {
+			t.Errorf("version %d", f.Current().Config.Version)
 		}
 	})
 }
@@ -90,9 +90,9 @@
 		log.first[work.Settings] = 1000 // the history is gone, and the newest record is outdated
 		log.mu.Unlock()
 		time.Sleep(2 * readWait)
-		before := f.Known().ConfirmedAt
+		before := f.Current().ConfirmedAt
 		time.Sleep(3 * readWait)
-		known := f.Known()
+		known := f.Current()
 		if known.Config.Version != 9 || known.ConfirmedAt.After(before) {
 			t.Errorf("version %d confirmed", known.Config.Version)
 		}
@@ -109,8 +109,8 @@
 		log.put(work.Settings, "config", "broken")
 		time.Sleep(2 * time.Second)
 		expect(t, targets, "b", "c")
-		if f.Config().Version != 4 || f.ConfigsRefused() != 1 || f.EntriesRefused() != 2 {
-			t.Errorf("version %d, %d configurations and %d entries refused", f.Config().Version, f.ConfigsRefused(), f.EntriesRefused())
+		if f.Config().Version != 4 || f.RejectedConfigs() != 1 || f.RejectedEntries() != 2 {
+			t.Errorf("version %d, %d configurations and %d entries refused", f.Config().Version, f.RejectedConfigs(), f.RejectedEntries())
 		}
 		log.put(work.Replicas, "a", "x")
 		time.Sleep(2 * time.Second)
--- a/gate/fold/fold.go
+++ b/gate/fold/fold.go
@@ -35,19 +35,19 @@
 	Released bool
 	// Seq is the sequence number of the last entry of Epoch that was applied.
 	Seq int64
-	// Programs holds the programs by id, Purses the budgets by the id of the root program, and
+	// Programs holds the programs by id, TreeBudgets the budgets by the id of the root program, and
 	// Keys the idempotency keys.
-	Programs map[string]*types.Program
-	Purses   map[string]*types.TreeBudget
-	Keys     map[string]*types.KeyState
+	Programs    map[string]*types.Program
+	TreeBudgets map[string]*types.TreeBudget
+	Keys        map[string]*types.KeyState
 }
 
 // New returns the state of an empty stream.
 func New() *State {
 	return &State{
-		Programs: map[string]*types.Program{},
-		Purses:   map[string]*types.TreeBudget{},
-		Keys:     map[string]*types.KeyState{},
+		Programs:    map[string]*types.Program{},
+		TreeBudgets: map[string]*types.TreeBudget{},
+		Keys:        map[string]*types.KeyState{},
 	}
 }
 
@@ -98,7 +98,7 @@
 	s.Owner = c
 	s.Released = false
 	s.Seq = 0
-	for _, tree := range s.Purses {
+	for _, tree := range s.TreeBudgets {
 		tree.Spent = tree.Granted
 	}
 }
@@ -126,7 +126,7 @@
 		s.applySnapshot(*rec.Program)
 	case rec.TreeBudget != nil:
 		tree := *rec.TreeBudget
-		s.Purses[tree.Root] = &tree
+		s.TreeBudgets[tree.Root] = &tree
 	case rec.KeyState != nil:
 		key := *rec.KeyState
 		s.Keys[key.Intent.Key] = &key
@@ -139,7 +139,7 @@
 	}
 	s.Programs[b.ID] = &types.Program{Begin: b, LastAt: b.Created}
 	if b.ID == b.Root {
-		s.Purses[b.ID] = &types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
+		s.TreeBudgets[b.ID] = &types.TreeBudget{Root: b.ID, Budget: b.Budget, Granted: min(b.Grant, b.Budget)}
 	}
 	if parent, ok := s.Programs[b.Parent]; ok {
 		parent.Children++
@@ -160,19 +160,19 @@
 		return
 	}
 	prog.LastAt = t.At
-	if tree, ok := s.Purses[prog.Begin.Root]; ok {
+	if tree, ok := s.TreeBudgets[prog.Begin.Root]; ok {
 		tree.Spent = min(max(tree.Spent, t.TreeSpent), tree.Granted)
 	}
 }
 
 func (s *State) applyGrant(g types.Grant) {
-	if tree, ok := s.Purses[g.Root]; ok {
+	if tree, ok := s.TreeBudgets[g.Root]; ok {
 		tree.Granted = min(max(tree.Granted, g.Total), tree.Budget)
 	}
 }
 
 func (s *State) applySettle(settle types.Settle) {
-	tree, ok := s.Purses[settle.Root]
+	tree, ok := s.TreeBudgets[settle.Root]
 	if ok && settle.Spent <= tree.Granted {
 		tree.Granted = settle.Spent
 		tree.Spent = settle.Spent
--- a/gate/fold/fold_test.go
+++ b/gate/fold/fold_test.go
@@ -58,7 +58,7 @@
 	s.ApplyLogEntry(logEntry(t, 2, beginEntry(1, 1, "p")))
 	s.ApplyLogEntry(logEntry(t, 3, claimEntry("b")))
 	want := &types.TreeBudget{Root: "p", Budget: 100, Granted: 30, Spent: 30}
-	if diff := cmp.Diff(want, s.Purses["p"]); diff != "" {
+	if diff := cmp.Diff(want, s.TreeBudgets["p"]); diff != "" {
 		t.Errorf("tree budget (-want +got):\n%s", diff)
 	}
 }
--- a/gate/front/programs.go
+++ b/gate/front/programs.go
@@ -108,7 +108,7 @@
 	}
 	if f.allowedIn(begin, f.opts.Zone) {
 		if slot, ok := f.owners.PickOwned(c.id); ok {
-			return ident.NewProgram(slot), nil
+			return ident.NewProgramID(slot), nil
 		}
 	}
 	var names []string
@@ -131,7 +131,7 @@
 	if err != nil {
 		return "", err
 	}
-	return ident.NewProgram(slot), nil
+	return ident.NewProgramID(slot), nil
 }
 
 // allowedIn reports whether the policy allows the program's plaintext and checkpoints in the zone.
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	begin.ID = ident.NewProgram(slot)
+	begin.ID = ident.NewProgramID(slot)
 	if id := c.r.URL.Query().Get("id"); c.peer && id != "" {
 		begin.ID = id
 	}
--- a/gate/front/services.go
+++ b/gate/front/services.go
@@ -73,7 +73,7 @@
 	}
 	svcCall := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: c.workspace}, Key: key, Body: body.Input,
-		Chunk: f.policies.Defaults().GrantChunk,
+		GrantChunk: f.policies.Defaults().GrantChunk,
 	}
 	return svcCall, body.Continuation, nil
 }
--- a/gate/lease/message.go
+++ b/gate/lease/message.go
@@ -14,8 +14,8 @@
 // Targets replaces the list of engines.
 type Targets struct{ List []types.Target }
 
-// Leaving announces that an engine accepts no new work.
-type Leaving struct{ Name string }
+// EngineLeaving announces that an engine accepts no new work.
+type EngineLeaving struct{ Name string }
 
 // RemoteStreams holds the number of another box's streams in flight, by target.
 type RemoteStreams struct {
@@ -32,17 +32,17 @@
 	Tokens map[string]int
 }
 
-// Moved announces that a program's cache was copied from one engine to another.
-type Moved struct{ Program, From, To string }
+// CacheMoved announces that a program's cache was copied from one engine to another.
+type CacheMoved struct{ Program, From, To string }
 
-// Dropped announces that an engine no longer caches a program.
-type Dropped struct{ Program, Target string }
+// CacheDropped announces that an engine no longer caches a program.
+type CacheDropped struct{ Program, Target string }
 
-func (Dropped) isMessage()        {}
-func (Moved) isMessage()          {}
+func (CacheDropped) isMessage()   {}
+func (CacheMoved) isMessage()     {}
 func (Report) isMessage()         {}
 func (Targets) isMessage()        {}
-func (Leaving) isMessage()        {}
+func (EngineLeaving) isMessage()  {}
 func (RemoteStreams) isMessage()  {}
 func (ForgetPrograms) isMessage() {}
 func (CacheList) isMessage()      {}
--- a/gate/load/load.go
+++ b/gate/load/load.go
@@ -37,9 +37,9 @@
 
 // Targets holds the state of replicas as this box knows it.
 type Targets interface {
-	// Models returns the model replicas in this box's availability zone that accept work and whose
+	// ModelsToPoll returns the model replicas in this box's availability zone that accept work and whose
 	// load this box needs.
-	Models() []work.Replica
+	ModelsToPoll() []work.Replica
 	// UpdateLoad updates the load of a replica.
 	UpdateLoad(id string, load work.Load)
 	// UpdateFailureRate updates the share of calls that fail at a replica, as reported by another box.
@@ -128,7 +128,7 @@
 	if !slices.ContainsFunc(placing, func(box work.Box) bool { return box.Name == w.self.Name }) {
 		return
 	}
-	models := w.targets.Models()
+	models := w.targets.ModelsToPoll()
 	w.forgetRemoved(models)
 	for _, rep := range models {
 		recipients := w.boxesKnowing(placing, rep)
--- a/gate/load/load_test.go
+++ b/gate/load/load_test.go
@@ -25,7 +25,7 @@
 	failing map[string]float64
 }
 
-func (f *fakeTargets) Models() []work.Replica { return f.models }
+func (f *fakeTargets) ModelsToPoll() []work.Replica { return f.models }
 func (f *fakeTargets) UpdateLoad(id string, load work.Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gate/mirror/hosts.go
+++ b/gate/mirror/hosts.go
@@ -29,7 +29,7 @@
 
 func newSourceDirectory(self work.Box, zones []string, log work.Log, logger *slog.Logger) *sourceDirectory {
 	zoneIndex := max(slices.Index(zones, self.Zone), 0)
-	return &sourceDirectory{self: self, shard: work.Shard{Topic: work.Sources, Number: zoneIndex}, log: log, logger: logger}
+	return &sourceDirectory{self: self, shard: work.Shard{Topic: work.CopySources, Number: zoneIndex}, log: log, logger: logger}
 }
 
 // Known returns the sources that the last ReadAnnounced found.
--- a/gate/mirror/mirror_test.go
+++ b/gate/mirror/mirror_test.go
@@ -260,9 +260,9 @@
 	})
 }
 
-// TestPartsSurviveLapsedList checks that boxes do not read their parts again when all replicas disappear from
+// TestPartsSurviveEmptiedList checks that boxes do not read their parts again when all replicas disappear from
 // the list and soon return.
-func TestPartsSurviveLapsedList(t *testing.T) {
+func TestPartsSurviveEmptiedList(t *testing.T) {
 	withFollowers(t, func(t *testing.T, z *testZone, followers map[string]*follower) {
 		before := map[string]int{}
 		for name, f := range followers {
@@ -350,7 +350,7 @@
 			t.Errorf("the members were read from the log %d times, want at most 20", got)
 		}
 		announced := map[string]bool{}
-		for _, rec := range z.log.shards[work.Shard{Topic: work.Sources}] {
+		for _, rec := range z.log.shards[work.Shard{Topic: work.CopySources}] {
 			announced[rec.Key] = true
 		}
 		if len(announced) > 4*len(z.sources()) {
--- a/gate/node/leave_test.go
+++ b/gate/node/leave_test.go
@@ -52,9 +52,9 @@
 	t.Fatalf("live boxes: %v", v.Live())
 }
 
-// TestLeaveIsAnnouncedWhileStoreHangs checks that a leave is announced to the other boxes even if the store
+// TestLeaveIsAnnouncedWhileLogHangs checks that a leave is announced to the other boxes even if the store
 // hangs, and not to the leaving box itself.
-func TestLeaveIsAnnouncedWhileStoreHangs(t *testing.T) {
+func TestLeaveIsAnnouncedWhileLogHangs(t *testing.T) {
 	var other, self atomic.Int64
 	start := time.Now()
 	boxes := []work.Box{
--- a/gate/node/node.go
+++ b/gate/node/node.go
@@ -46,7 +46,7 @@
 
 // Replicas sends requests to replicas.
 type Replicas interface {
-	target.Opener
+	target.PoolOpener
 	relay.Sender
 	load.Reporter
 }
@@ -253,8 +253,8 @@
 	gauges.Gauge("node.memory_bytes", mappedMemory())
 	gauges.Gauge("node.list_age_ms", n.feed.ListAge().Milliseconds())
 	gauges.Gauge("node.config_age_ms", n.feed.ConfigAge().Milliseconds())
-	gauges.Gauge("node.configs_refused", n.feed.ConfigsRefused())
-	gauges.Gauge("node.entries_refused", n.feed.EntriesRefused())
+	gauges.Gauge("node.configs_refused", n.feed.RejectedConfigs())
+	gauges.Gauge("node.entries_refused", n.feed.RejectedEntries())
 	gauges.Gauge("node.replicas", int64(len(n.targets.ListedIDs())))
 	if conf := n.feed.Config(); conf != nil {
 		gauges.Gauge("node.config_version", conf.Version)
--- a/gate/parts/engine.go
+++ b/gate/parts/engine.go
@@ -57,7 +57,7 @@
 		}
 		queue.Notify(lease.RemoteStreams{Box: beat.GetBox(), Streams: streams})
 		for _, name := range beat.GetLeavingTargets() {
-			queue.Notify(lease.Leaving{Name: name})
+			queue.Notify(lease.EngineLeaving{Name: name})
 		}
 	})
 }
--- a/gate/parts/member.go
+++ b/gate/parts/member.go
@@ -28,7 +28,7 @@
 func (l *lister) List(ctx context.Context) (types.PlatformList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	req, err := client.Request(ctx, http.MethodGet, "http://"+l.addr.String()+"/v1/list", nil)
+	req, err := client.NewRequest(ctx, http.MethodGet, "http://"+l.addr.String()+"/v1/list", nil)
 	if err != nil {
 		return types.PlatformList{}, err
 	}
--- a/gate/parts/meter.go
+++ b/gate/parts/meter.go
@@ -14,7 +14,7 @@
 	})
 	register("trail", func(env *Env) kernel.ServiceSpec {
 		return kernel.ServiceSpec{Make: func(*kernel.Kernel) (kernel.Service, error) {
-			return trail.New(env.Settings.Limits.TrailSteps), nil
+			return trail.New(env.Settings.Limits.MaxTraceEvents), nil
 		}}
 	})
 }
--- a/gate/plain/plain.go
+++ b/gate/plain/plain.go
@@ -48,8 +48,8 @@
 	Key     string
 	Program string
 	Body    json.RawMessage
-	// Chunk is the minimum increase of the program's grant, in tokens.
-	Chunk int64
+	// GrantChunk is the minimum increase of the program's grant, in tokens.
+	GrantChunk int64
 	// Continuation is the program's decrypted continuation, if the caller sent one.
 	Continuation *types.Continuation
 }
@@ -124,7 +124,7 @@
 		return nil
 	}
 	intent := types.Intent{Workspace: call.Input.Workspace, Program: call.Program}
-	req := desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.Chunk}
+	req := desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.GrantChunk}
 	ticket, err := p.owner.Do(ctx, slot, desk.Durable, func(now time.Time, s *desk.OwnerState) ([]types.Record, error) {
 		adopted, err := adoptContinuation(s, call.Continuation)
 		if err != nil {
@@ -168,7 +168,7 @@
 			return nil, err
 		}
 		var recs []types.Record
-		start, recs, err = s.StartCall(now, desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.Chunk})
+		start, recs, err = s.StartCall(now, desk.CallRequest{Intent: intent, Price: call.Service.Price, GrantChunk: call.GrantChunk})
 		if start.Run != nil {
 			start.Run.Run = run
 		}
--- a/gate/plain/pool.go
+++ b/gate/plain/pool.go
@@ -76,7 +76,7 @@
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
 	for _, t := range list.Targets {
-		if t.Kind != types.Plain {
+		if t.Kind != types.PlainService {
 			continue
 		}
 		listed[t.Name] = true
@@ -379,7 +379,7 @@
 	}
 	start := time.Now()
 	var out result
-	req, err := client.Request(ctx, http.MethodGet, "http://"+chosen.target.Addr.String()+svc.ProbePath, nil)
+	req, err := client.NewRequest(ctx, http.MethodGet, "http://"+chosen.target.Addr.String()+svc.ProbePath, nil)
 	if err == nil {
 		query := req.URL.Query()
 		query.Set("key", key)
--- a/gate/plain/pool_test.go
+++ b/gate/plain/pool_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer srv.Close()
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-	list := types.PlatformList{Targets: []types.Target{{Name: "r", Kind: types.Plain, Service: "booking", Addr: addr}}}
+	list := types.PlatformList{Targets: []types.Target{{Name: "r", Kind: types.PlainService, Service: "booking", Addr: addr}}}
 	pools := NewPools("a", allowAll{}, noCounts{})
 	pools.UpdateTargets(list)
 	stop := make(chan struct{})
--- a/gate/pool/pool.go
+++ b/gate/pool/pool.go
@@ -25,8 +25,8 @@
 	SendModelOrder(ctx context.Context, target types.Target, order types.EngineOrder) error
 }
 
-// Policies is the configuration in force.
-type Policies interface {
+// Configuration is the configuration in force.
+type Configuration interface {
 	Slots() []ident.Slot
 	Models() []types.Model
 }
@@ -52,7 +52,7 @@
 type Pool struct {
 	owners         Owners
 	engines        Engines
-	policies       Policies
+	policies       Configuration
 	leavingEngines LeavingEngines
 	counts         Counts
 	logger         *slog.Logger
@@ -65,7 +65,7 @@
 }
 
 // New returns the service, not yet started.
-func New(owners Owners, engines Engines, policies Policies, leavingEngines LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
+func New(owners Owners, engines Engines, policies Configuration, leavingEngines LeavingEngines, counts Counts, logger *slog.Logger) *Pool {
 	p := &Pool{
 		owners: owners, engines: engines, policies: policies, leavingEngines: leavingEngines, counts: counts, logger: logger,
 		pausedUntil: map[string]time.Time{},
--- a/gate/prog/prog.go
+++ b/gate/prog/prog.go
@@ -48,8 +48,8 @@
 	Priority(in types.RuleInput) int64
 }
 
-// StepRecorder records scheduling events for operators.
-type StepRecorder interface {
+// TraceRecorder records scheduling events for operators.
+type TraceRecorder interface {
 	Record(event types.TraceEvent)
 }
 
@@ -75,7 +75,7 @@
 	engines  Engines
 	policies Policies
 	counts   Counts
-	trace    StepRecorder
+	trace    TraceRecorder
 	logger   *slog.Logger
 
 	ctx        context.Context
@@ -85,7 +85,7 @@
 }
 
 // New creates the service for a box in zone.
-func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, trace StepRecorder, logger *slog.Logger) *Prog {
+func New(zone string, owner Owner, queue Queue, engines Engines, policies Policies, counts Counts, trace TraceRecorder, logger *slog.Logger) *Prog {
 	p := &Prog{
 		zone: zone, owner: owner, queue: queue, engines: engines, policies: policies,
 		counts: counts, trace: trace, logger: logger,
--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -135,7 +135,7 @@
 	}
 	now := time.Now()
 	begin := types.Begin{
-		ID: ident.NewProgram(slot), Workspace: workspace, Model: "m", DataClass: "personal", Created: now,
+		ID: ident.NewProgramID(slot), Workspace: workspace, Model: "m", DataClass: "personal", Created: now,
 		Budget: o.budget, Deadline: now.Add(time.Hour),
 		Limits: types.Limits{Turns: 100, Depth: 2, FanOut: 4, Idle: types.Duration(time.Hour)},
 	}
@@ -170,7 +170,7 @@
 	}
 	now := time.Now()
 	begin := types.Begin{
-		ID: ident.NewProgram(slot), Workspace: parent.workspace, Parent: parent.id, Model: "m", DataClass: "personal",
+		ID: ident.NewProgramID(slot), Workspace: parent.workspace, Parent: parent.id, Model: "m", DataClass: "personal",
 		Created: now, Deadline: now.Add(time.Hour),
 		Limits: types.Limits{Turns: 100, Depth: 2, FanOut: 4, Idle: types.Duration(time.Hour)},
 	}
@@ -337,7 +337,7 @@
 		svc.ProbePath = "/v1/probe"
 	}
 	ask := plain.ServiceCall{
-		Service: svc, Input: types.RuleInput{Workspace: k.workspace}, Key: k.key, Body: json.RawMessage(k.input), Chunk: 150,
+		Service: svc, Input: types.RuleInput{Workspace: k.workspace}, Key: k.key, Body: json.RawMessage(k.input), GrantChunk: 150,
 	}
 	slot := ident.KeySlot(k.workspace, k.key, o.w.slots())
 	if p != nil {
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -128,7 +128,7 @@
 		Retention: retention, AppendRate: 100, MaxQueued: 1000,
 	}, counts, logger)
 	b.queue = admit.New(b.self.Zone, admit.Options{
-		Strategy: sched.Scored, Order: sched.Age, MaxWait: 2 * time.Second, StarvationAge: time.Second, HoldCaches: true, Seed: uint64(i),
+		Strategy: sched.Scored, Order: sched.OldestProgram, MaxWait: 2 * time.Second, StarvationAge: time.Second, HoldCaches: true, Seed: uint64(i),
 	}, b.store, counts, logger)
 	b.progs = prog.New(b.self.Zone, b.owners, b.queue, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
 	b.owners.Watch(b.progs)
--- a/gate/quota/counter.go
+++ b/gate/quota/counter.go
@@ -34,8 +34,8 @@
 
 // CounterLocator finds the counters of workspaces.
 type CounterLocator interface {
-	// Counter returns the box that counts the workspace's quota in an availability zone.
-	Counter(workspace, zone string) (work.Box, bool)
+	// QuotaCounter returns the box that counts the workspace's quota in an availability zone.
+	QuotaCounter(workspace, zone string) (work.Box, bool)
 }
 
 // Counter counts the parts of quotas that are assigned to this box.
@@ -128,7 +128,7 @@
 		return
 	}
 	for _, space := range conf.Callers.All() {
-		counter, ok := c.locator.Counter(space.Name, c.self.Zone)
+		counter, ok := c.locator.QuotaCounter(space.Name, c.self.Zone)
 		if !ok || counter.Name != c.self.Name {
 			delete(c.countingSince, space.Name)
 			delete(c.parts, space.Name)
--- a/gate/quota/counter_test.go
+++ b/gate/quota/counter_test.go
@@ -12,7 +12,7 @@
 // singleBox implements CounterLocator for a fleet of one box.
 type singleBox struct{ box work.Box }
 
-func (s singleBox) Counter(string, string) (work.Box, bool) { return s.box, true }
+func (s singleBox) QuotaCounter(string, string) (work.Box, bool) { return s.box, true }
 
 // newFullCounter returns a started counter whose part is full.
 func newFullCounter(t *testing.T) *Counter {
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	conf := work.NewConfig(1, nil, nil, work.Limits{})
-	conf.Callers = work.NewCallers([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}})
+	conf.Callers = work.NewWorkspaceIndex([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}})
 	c.Update(time.Now(), conf)
 	time.Sleep(20 * time.Second)
 	return c
@@ -70,7 +70,7 @@
 		c := newFullCounter(t)
 		defer func() { _ = c.Stop(context.Background()) }()
 		conf := work.NewConfig(2, nil, nil, work.Limits{})
-		conf.Callers = work.NewCallers([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}, {Name: "new", Rate: 10, Burst: 10}})
+		conf.Callers = work.NewWorkspaceIndex([]work.Workspace{{Name: "w", Rate: 10, Burst: 10}, {Name: "new", Rate: 10, Burst: 10}})
 		c.Update(time.Now(), conf)
 		if got := c.Grant(time.Now(), GrantRequest{Workspace: "new", Want: 10}).Granted; got != 10 {
 			t.Errorf("%d of 10 calls granted", got)
--- a/gate/quota/load_test.go
+++ b/gate/quota/load_test.go
@@ -64,8 +64,8 @@
 
 func (v boxView) Count(string, int64) {}
 
-// Counter returns the box that this box considers the counter.
-func (v boxView) Counter(workspace, zone string) (work.Box, bool) {
+// QuotaCounter returns the box that this box considers the counter.
+func (v boxView) QuotaCounter(workspace, zone string) (work.Box, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var candidates []work.Box
@@ -109,7 +109,7 @@
 	for _, space := range f.spaces {
 		spaces = append(spaces, space)
 	}
-	conf.Callers = work.NewCallers(spaces)
+	conf.Callers = work.NewWorkspaceIndex(spaces)
 	for i, counter := range f.counters {
 		if !f.dead[f.boxes[i].Name] {
 			counter.Update(time.Now(), conf)
@@ -339,7 +339,7 @@
 	counterLoss := func(f *fleet) {
 		for i, name := range []string{"large", "small0", "small1", "middle"} {
 			time.Sleep(3 * time.Second)
-			box, _ := boxView{f, f.boxes[0]}.Counter(name, zones[i%len(zones)])
+			box, _ := boxView{f, f.boxes[0]}.QuotaCounter(name, zones[i%len(zones)])
 			f.mu.Lock()
 			f.dead[box.Name] = true
 			f.mu.Unlock()
--- a/gate/quota/quota.go
+++ b/gate/quota/quota.go
@@ -233,7 +233,7 @@
 // askZone asks the counter of a zone for calls. asked is false if there is no counter, it did not answer, or
 // it is known to be lost. If it is known to be exhausted, the answer says so without a request.
 func (q *Quotas) askZone(ctx context.Context, space work.Workspace, zone string, begins bool) (answer GrantReply, box work.Box, asked bool) {
-	box, ok := q.locator.Counter(space.Name, zone)
+	box, ok := q.locator.QuotaCounter(space.Name, zone)
 	if !ok {
 		return GrantReply{}, box, false
 	}
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -45,7 +45,7 @@
 // Targets selects replicas.
 type Targets interface {
 	// Take selects a replica and reserves capacity on it.
-	Take(ask target.Ask) (*target.Lease, error)
+	Take(ask target.CallRequest) (*target.Lease, error)
 }
 
 // Counts records metrics.
@@ -151,7 +151,7 @@
 
 // try sends the call to one replica.
 func (a *attempts) try(ctx context.Context) (answer, error) {
-	lease, err := a.targets.Take(target.Ask{WorkKind: a.route.Name, Services: a.route.Splits, Regions: a.call.Regions, Exclude: a.avoid})
+	lease, err := a.targets.Take(target.CallRequest{WorkKind: a.route.Name, Services: a.route.Splits, Regions: a.call.Regions, Exclude: a.avoid})
 	if err != nil {
 		return answer{}, noReplicaError{cause: err}
 	}
--- a/gate/remote/client_test.go
+++ b/gate/remote/client_test.go
@@ -35,9 +35,9 @@
 	return fault.From(err)
 }
 
-// TestFullPoolIsNotPeerLost checks that a full connection pool yields OwnerUnavailable with a Retry-After
+// TestFullPoolIsNotPeerUnreachable checks that a full connection pool yields OwnerUnavailable with a Retry-After
 // delay, and a refused connection PeerUnreachable.
-func TestFullPoolIsNotPeerLost(t *testing.T) {
+func TestFullPoolIsNotPeerUnreachable(t *testing.T) {
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer srv.Close()
--- a/gate/replay/fleet_test.go
+++ b/gate/replay/fleet_test.go
@@ -65,7 +65,7 @@
 func (noPool) Open(work.Replica, int) target.Pool { return noPool{} }
 
 // placeFunc places a turn on behalf of a box.
-type placeFunc func(box *target.Targets, ask target.Ask) (*target.Lease, error)
+type placeFunc func(box *target.Targets, ask target.CallRequest) (*target.Lease, error)
 
 // fleet is a set of boxes that place calls on emulated engines.
 type fleet struct {
--- a/gate/replay/programs_test.go
+++ b/gate/replay/programs_test.go
@@ -229,7 +229,7 @@
 	defer stop()
 	arrived := time.Now()
 	time.Sleep(transitTime / 2)
-	ask := target.Ask{
+	ask := target.CallRequest{
 		WorkKind: p.name, Services: []work.Split{{Service: service, Weight: 1}},
 		Prompt:       &work.Prompt{Tokens: prompt, Most: 36 * p.spec.stride, Parts: []work.Part{{ID: p.name, Tokens: p.shared}}},
 		CachedTokens: p.cachedFor(conv),
--- a/gate/replay/replay_test.go
+++ b/gate/replay/replay_test.go
@@ -169,12 +169,12 @@
 }
 
 // placeAll places each turn, without admission control.
-func placeAll(box *target.Targets, ask target.Ask) (*target.Lease, error) {
+func placeAll(box *target.Targets, ask target.CallRequest) (*target.Lease, error) {
 	return box.Take(ask)
 }
 
 // placeAdmitted places turns as boxes do: programs must be admitted to start.
-func placeAdmitted(box *target.Targets, ask target.Ask) (*target.Lease, error) {
+func placeAdmitted(box *target.Targets, ask target.CallRequest) (*target.Lease, error) {
 	if ask.Turn.NewProgram {
 		if decision := box.Admit(ask); decision.Refuse {
 			return nil, fault.Refuse(fault.Overloaded, "not admitted").WithRetryAfter(decision.RetryAfter)
--- a/gate/sched/engine_test.go
+++ b/gate/sched/engine_test.go
@@ -115,10 +115,10 @@
 		first ProgramProgress
 		then  ProgramProgress
 	}{
-		{Age, old, young},
+		{OldestProgram, old, young},
 		{Attained, young, old},
 		{Fifo, young, old},
-		{Age, urgent, old},
+		{OldestProgram, urgent, old},
 		{Attained, urgent, old},
 	}
 	for _, c := range cases {
--- a/gate/sched/order.go
+++ b/gate/sched/order.go
@@ -10,8 +10,8 @@
 
 // The orders. Fifo is the baseline.
 const (
-	// Age runs the call of the program that started first.
-	Age Order = "age"
+	// OldestProgram runs the call of the program that started first.
+	OldestProgram Order = "age"
 	// Attained runs the call of the program that has received the least service.
 	Attained Order = "attained"
 	// Fifo runs the call that arrived first.
--- a/gate/target/admission.go
+++ b/gate/target/admission.go
@@ -17,7 +17,7 @@
 }
 
 // Admit decides whether the program of a turn may start.
-func (t *Targets) Admit(ask Ask) sched.AdmissionDecision {
+func (t *Targets) Admit(ask CallRequest) sched.AdmissionDecision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -75,7 +75,7 @@
 
 // uncachedTokens estimates how many tokens of the prompt the replica has to prefill.
 func (l *Lease) uncachedTokens() int {
-	return max(0, l.ask.Prompt.Tokens-l.Cached)
+	return max(0, l.ask.Prompt.Tokens-l.CachedTokens)
 }
 
 // finishTurn records the end of a turn. gap is the mean time between its events, zero if it is unknown.
--- a/gate/target/bench_test.go
+++ b/gate/target/bench_test.go
@@ -10,9 +10,9 @@
 // BenchmarkTake places model calls among 300 replicas.
 func BenchmarkTake(b *testing.B) {
 	t, _ := newTargets(300, true)
-	asks := make([]Ask, 64)
+	asks := make([]CallRequest, 64)
 	for i := range asks {
-		asks[i] = Ask{WorkKind: "w", Services: splitToS, CachedTokens: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
+		asks[i] = CallRequest{WorkKind: "w", Services: splitToS, CachedTokens: map[string]int{fmt.Sprintf("r%d", i): 900}, Prompt: &work.Prompt{
 			Tokens: 1500, Parts: []work.Part{{ID: fmt.Sprintf("shared%d", i%3), Tokens: 500}, {ID: fmt.Sprintf("own%d", i), Tokens: 1000}},
 		}}
 	}
--- a/gate/target/born_test.go
+++ b/gate/target/born_test.go
@@ -19,11 +19,11 @@
 
 // loadedTargets returns targets with one replica that is full, fails calls and caches a prompt. It also
 // returns the lease of a call in flight there, and what the call asked for.
-func loadedTargets(t *testing.T) (*Targets, *Lease, Ask) {
+func loadedTargets(t *testing.T) (*Targets, *Lease, CallRequest) {
 	t.Helper()
 	targets, _ := newTargets(0, true)
 	targets.Put(replicaStartedAt(100))
-	ask := Ask{WorkKind: "w", Services: splitToS, Prompt: &work.Prompt{Tokens: 1000, Parts: []work.Part{{ID: "p", Tokens: 1000}}}}
+	ask := CallRequest{WorkKind: "w", Services: splitToS, Prompt: &work.Prompt{Tokens: 1000, Parts: []work.Part{{ID: "p", Tokens: 1000}}}}
 	lease, err := targets.Take(ask)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 }
 
 // trackedState returns what is tracked for replica r0.
-func trackedState(t *testing.T, targets *Targets, ask Ask) (cached, waiting, inFlight int, failing bool) {
+func trackedState(t *testing.T, targets *Targets, ask CallRequest) (cached, waiting, inFlight int, failing bool) {
 	t.Helper()
 	targets.mu.Lock()
 	defer targets.mu.Unlock()
@@ -91,12 +91,12 @@
 func TestCachedTokensOfEarlierStart(t *testing.T) {
 	targets, _ := newTargets(0, true)
 	targets.Put(replicaStartedAt(100))
-	ask := Ask{Prompt: &work.Prompt{Tokens: 6000}, CachedTokens: map[string]int{replicaStartedAt(100).RunID(): 5500}}
-	if got := take(t, targets, ask).Cached; got != 5500 {
+	ask := CallRequest{Prompt: &work.Prompt{Tokens: 6000}, CachedTokens: map[string]int{replicaStartedAt(100).RunID(): 5500}}
+	if got := take(t, targets, ask).CachedTokens; got != 5500 {
 		t.Errorf("%d cached tokens", got)
 	}
 	targets.Put(replicaStartedAt(200))
-	if got := take(t, targets, ask).Cached; got != 0 {
+	if got := take(t, targets, ask).CachedTokens; got != 0 {
 		t.Errorf("%d cached tokens after the restart", got)
 	}
 }
--- a/gate/target/bound.go
+++ b/gate/target/bound.go
@@ -37,7 +37,7 @@
 }
 
 // excluded reports whether the call must not go to the replica, even if no other is available.
-func (t *Targets) excluded(now time.Time, s *state, svc work.Service, ask Ask) bool {
+func (t *Targets) excluded(now time.Time, s *state, svc work.Service, ask CallRequest) bool {
 	if t.evacuated[s.Zone] || !t.bounds.Regions.Allow(ask.Regions, s.Zone) {
 		return true
 	}
--- a/gate/target/bound_test.go
+++ b/gate/target/bound_test.go
@@ -16,7 +16,7 @@
 )
 
 // countPlacements counts the calls placed at each replica; calls that none can take count as "none".
-func countPlacements(t *testing.T, targets *Targets, ask Ask, calls int) map[string]int {
+func countPlacements(t *testing.T, targets *Targets, ask CallRequest, calls int) map[string]int {
 	t.Helper()
 	got := map[string]int{}
 	for range calls {
@@ -42,15 +42,15 @@
 	targets.Put(replica(0, "a"))
 	targets.Put(replica(1, "b"))
 	targets.SetEvacuated(map[string]bool{"a": true})
-	if diff := cmp.Diff(map[string]int{"r1": 5}, countPlacements(t, targets, Ask{}, 5)); diff != "" {
+	if diff := cmp.Diff(map[string]int{"r1": 5}, countPlacements(t, targets, CallRequest{}, 5)); diff != "" {
 		t.Errorf("zone a evacuated (-want +got):\n%s", diff)
 	}
 	targets.SetEvacuated(map[string]bool{"a": true, "b": true})
-	if diff := cmp.Diff(map[string]int{"none": 5}, countPlacements(t, targets, Ask{}, 5)); diff != "" {
+	if diff := cmp.Diff(map[string]int{"none": 5}, countPlacements(t, targets, CallRequest{}, 5)); diff != "" {
 		t.Errorf("both evacuated (-want +got):\n%s", diff)
 	}
 	targets.SetEvacuated(nil)
-	if got := countPlacements(t, targets, Ask{}, 5); got["none"] != 0 {
+	if got := countPlacements(t, targets, CallRequest{}, 5); got["none"] != 0 {
 		t.Errorf("after the evacuation: %v", got)
 	}
 }
@@ -68,7 +68,7 @@
 		{[]string{"south"}, map[string]int{"r1": 5}},
 		{[]string{"east"}, map[string]int{"none": 5}},
 	} {
-		if diff := cmp.Diff(c.want, countPlacements(t, targets, Ask{Regions: c.regions}, 5)); diff != "" {
+		if diff := cmp.Diff(c.want, countPlacements(t, targets, CallRequest{Regions: c.regions}, 5)); diff != "" {
 			t.Errorf("restricted to %v (-want +got):\n%s", c.regions, diff)
 		}
 	}
@@ -91,22 +91,22 @@
 func TestColdReplicaGetsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(2 * time.Second)
-		if diff := cmp.Diff(map[string]int{"r0": 4, "none": 6}, countPlacements(t, targets, Ask{}, 10)); diff != "" {
+		if diff := cmp.Diff(map[string]int{"r0": 4, "none": 6}, countPlacements(t, targets, CallRequest{}, 10)); diff != "" {
 			t.Errorf("cold (-want +got):\n%s", diff)
 		}
 		targets.Put(replica(1, "a"))
-		if diff := cmp.Diff(map[string]int{"r1": 10}, countPlacements(t, targets, Ask{}, 10)); diff != "" {
+		if diff := cmp.Diff(map[string]int{"r1": 10}, countPlacements(t, targets, CallRequest{}, 10)); diff != "" {
 			t.Errorf("with a warm one (-want +got):\n%s", diff)
 		}
 		time.Sleep(2 * time.Second)
-		targets.Drop("r1")
-		if diff := cmp.Diff(map[string]int{"r0": 10}, countPlacements(t, targets, Ask{}, 10)); diff != "" {
+		targets.Remove("r1")
+		if diff := cmp.Diff(map[string]int{"r0": 10}, countPlacements(t, targets, CallRequest{}, 10)); diff != "" {
 			t.Errorf("warm (-want +got):\n%s", diff)
 		}
 		again := replica(0, "a")
 		again.WarmupLeft = time.Second
 		targets.Put(again)
-		if diff := cmp.Diff(map[string]int{"r0": 4, "none": 6}, countPlacements(t, targets, Ask{}, 10)); diff != "" {
+		if diff := cmp.Diff(map[string]int{"r0": 4, "none": 6}, countPlacements(t, targets, CallRequest{}, 10)); diff != "" {
 			t.Errorf("cold again (-want +got):\n%s", diff)
 		}
 	})
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(2 * time.Second)
 		targets.SetWarmingCheck(func(work.Replica, bool) bool { return false })
-		if diff := cmp.Diff(map[string]int{"none": 3}, countPlacements(t, targets, Ask{}, 3)); diff != "" {
+		if diff := cmp.Diff(map[string]int{"none": 3}, countPlacements(t, targets, CallRequest{}, 3)); diff != "" {
 			t.Errorf("calls (-want +got):\n%s", diff)
 		}
 	})
@@ -129,15 +129,15 @@
 func TestJustStartedReplicaIsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := coldTargets(0)
-		targets.Drop("r0")
+		targets.Remove("r0")
 		started := replica(1, "a")
 		started.StartedAt = time.Now().Add(-time.Second)
 		targets.Put(started)
-		if got := countPlacements(t, targets, Ask{}, 10); got["r1"] != 4 {
+		if got := countPlacements(t, targets, CallRequest{}, 10); got["r1"] != 4 {
 			t.Errorf("just started: %v", got)
 		}
 		time.Sleep(4 * time.Second)
-		if got := countPlacements(t, targets, Ask{}, 10); got["r1"] != 10 {
+		if got := countPlacements(t, targets, CallRequest{}, 10); got["r1"] != 10 {
 			t.Errorf("warm: %v", got)
 		}
 	})
@@ -148,20 +148,20 @@
 func TestIdleReplicasNeedNoReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets, _ := newTargets(200, true)
-		if got := len(targets.Models()); got != 200 {
+		if got := len(targets.ModelsToPoll()); got != 200 {
 			t.Errorf("%d replicas of a small fleet are polled", got)
 		}
 		targets.SetLevels(subset.Levels{subset.Group("s", "a"): 3})
-		if got := targets.Models(); len(got) != 0 {
+		if got := targets.ModelsToPoll(); len(got) != 0 {
 			t.Errorf("%d idle replicas are polled", len(got))
 		}
-		lease := take(t, targets, Ask{Prompt: &work.Prompt{Tokens: 100, Parts: []work.Part{{ID: "p", Tokens: 100}}}})
+		lease := take(t, targets, CallRequest{Prompt: &work.Prompt{Tokens: 100, Parts: []work.Part{{ID: "p", Tokens: 100}}}})
 		lease.Done(Answered, 0)
-		if diff := cmp.Diff([]work.Replica{lease.Replica}, targets.Models(), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
+		if diff := cmp.Diff([]work.Replica{lease.Replica}, targets.ModelsToPoll(), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
 			t.Errorf("polled replicas (-want +got):\n%s", diff)
 		}
 		time.Sleep(recentTurnWindow)
-		if got := targets.Models(); len(got) != 0 {
+		if got := targets.ModelsToPoll(); len(got) != 0 {
 			t.Errorf("%d replicas without recent turns are polled", len(got))
 		}
 	})
--- a/gate/target/choose.go
+++ b/gate/target/choose.go
@@ -21,7 +21,7 @@
 // choose returns a replica with nearly the lowest expected cost and the number of candidates. Suspect and
 // ejected replicas are used only if no other of the service is available, and other services of the route
 // only after those.
-func (t *Targets) choose(now time.Time, ask Ask, service string) (choice, int) {
+func (t *Targets) choose(now time.Time, ask CallRequest, service string) (choice, int) {
 	best, candidates := t.pickReplica(now, ask, service, false)
 	if best.state == nil {
 		best, candidates = t.pickReplica(now, ask, service, true)
@@ -61,7 +61,7 @@
 
 // pickReplica selects among the usable replicas of a service, and returns the number of them. With
 // lastResort, it includes suspect and ejected ones.
-func (t *Targets) pickReplica(now time.Time, ask Ask, service string, lastResort bool) (choice, int) {
+func (t *Targets) pickReplica(now time.Time, ask CallRequest, service string, lastResort bool) (choice, int) {
 	t.candidates, t.costs = t.candidates[:0], t.costs[:0]
 	ejector := t.ejectorFor(service)
 	lapsed := t.entriesLapsed(service)
@@ -113,7 +113,7 @@
 
 // estimate returns the input of the cost model for the call at the replica. utilization is the share of
 // slots in use at those replicas of its service that report.
-func (t *Targets) estimate(now time.Time, ask Ask, s *state, utilization float64) sched.ReplicaState {
+func (t *Targets) estimate(now time.Time, ask CallRequest, s *state, utilization float64) sched.ReplicaState {
 	age := now.Sub(s.loadAt)
 	est := sched.ReplicaState{
 		InFlight: s.inFlight, InFlightAtReport: s.inFlightAtReport, Slots: s.Slots, Reported: age <= loadMaxAge, ReportAge: age,
@@ -135,6 +135,6 @@
 }
 
 // cachedTokens estimates how many tokens of the prompt are in the replica's cache.
-func (t *Targets) cachedTokens(now time.Time, ask Ask, s *state) int {
+func (t *Targets) cachedTokens(now time.Time, ask CallRequest, s *state) int {
 	return min(max(ask.CachedTokens[s.RunID()], s.cachedPartTokens(now, ask.Prompt.Parts)), ask.Prompt.Tokens)
 }
--- a/gate/target/lease.go
+++ b/gate/target/lease.go
@@ -10,8 +10,8 @@
 // Lease is a call's place at a replica. Done must be called exactly once.
 type Lease struct {
 	Replica work.Replica
-	// Cached is the estimated number of prompt tokens in the replica's cache.
-	Cached int
+	// CachedTokens is the estimated number of prompt tokens in the replica's cache.
+	CachedTokens int
 	// ExpectedCost is the expected cost of the call at the replica, and Candidates the number of replicas
 	// that it was selected from.
 	ExpectedCost time.Duration
@@ -19,7 +19,7 @@
 
 	targets   *Targets
 	state     *state
-	ask       Ask
+	ask       CallRequest
 	startedAt time.Time
 	// firstEventAfter is the time from the lease to the answer's first event, zero before it.
 	firstEventAfter time.Duration
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -80,15 +80,15 @@
 	HasIdle() bool
 }
 
-// Opener creates the connection pool of a replica.
-type Opener interface {
+// PoolOpener creates the connection pool of a replica.
+type PoolOpener interface {
 	Open(rep work.Replica, connections int) Pool
 }
 
 // Targets tracks the replicas of all services and places calls at them.
 type Targets struct {
 	zone   string
-	opener Opener
+	opener PoolOpener
 	log    *slog.Logger
 
 	mu   sync.Mutex
@@ -121,7 +121,7 @@
 }
 
 // New returns Targets without replicas for a box in the zone.
-func New(zone string, opener Opener, log *slog.Logger) *Targets {
+func New(zone string, opener PoolOpener, log *slog.Logger) *Targets {
 	return &Targets{
 		zone: zone, opener: opener, log: log, boxes: 1, placers: 1,
 		byID: map[string]*state{}, services: map[string][]*state{}, ejectors: map[string]*limit.Ejector{},
@@ -255,8 +255,8 @@
 	}
 }
 
-// Drop removes a replica. Calls in flight there continue.
-func (t *Targets) Drop(id string) {
+// Remove removes a replica. Calls in flight there continue.
+func (t *Targets) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.byID[id]; ok {
@@ -269,10 +269,10 @@
 // exceeds the usual pause between two turns of a program.
 const recentTurnWindow = 5 * time.Second
 
-// Models returns the model replicas of this box's zone that accept work and whose load this box needs:
+// ModelsToPoll returns the model replicas of this box's zone that accept work and whose load this box needs:
 // all replicas of groups without a subset level, otherwise those where this box places turns. Most
 // replicas of a large fleet are idle, and polling those would open new connections.
-func (t *Targets) Models() []work.Replica {
+func (t *Targets) ModelsToPoll() []work.Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -335,8 +335,8 @@
 	}
 }
 
-// Ask describes a call to place.
-type Ask struct {
+// CallRequest describes a call to place.
+type CallRequest struct {
 	// WorkKind names the kind of work, by which unit times are averaged.
 	WorkKind string
 	Services []work.Split
@@ -354,7 +354,7 @@
 }
 
 // Take selects a replica and takes a place there. It fails with NoTarget if no replica can take the call.
-func (t *Targets) Take(ask Ask) (*Lease, error) {
+func (t *Targets) Take(ask CallRequest) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -366,7 +366,7 @@
 }
 
 // lease takes a place at the selected replica.
-func (t *Targets) lease(now time.Time, ask Ask, best choice, candidates int) *Lease {
+func (t *Targets) lease(now time.Time, ask CallRequest, best choice, candidates int) *Lease {
 	s := best.state
 	if s.pool == nil {
 		s.pool = t.opener.Open(s.Replica, t.maxConnections(s))
@@ -381,7 +381,7 @@
 		t.admissionFor(s.Service).TurnStarted(now, ask.Turn)
 	}
 	return &Lease{
-		Replica: s.Replica, Cached: best.estimate.CachedTokens, ExpectedCost: best.cost, Candidates: candidates,
+		Replica: s.Replica, CachedTokens: best.estimate.CachedTokens, ExpectedCost: best.cost, Candidates: candidates,
 		targets: t, state: s, ask: ask, startedAt: now, lightLoad: best.estimate.LightlyLoaded(),
 	}
 }
--- a/gate/target/target_test.go
+++ b/gate/target/target_test.go
@@ -62,7 +62,7 @@
 
 var splitToS = []work.Split{{Service: "s", Weight: 1}}
 
-func take(tb testing.TB, t *Targets, ask Ask) *Lease {
+func take(tb testing.TB, t *Targets, ask CallRequest) *Lease {
 	tb.Helper()
 	ask.WorkKind, ask.Services = "w", splitToS
 	lease, err := t.Take(ask)
@@ -76,7 +76,7 @@
 	targets, _ := newTargets(4, false)
 	got := map[string]int{}
 	for range 40 {
-		got[take(t, targets, Ask{}).Replica.ID]++
+		got[take(t, targets, CallRequest{}).Replica.ID]++
 	}
 	if diff := cmp.Diff(map[string]int{"r0": 10, "r1": 10, "r2": 10, "r3": 10}, got); diff != "" {
 		t.Errorf("calls (-want +got):\n%s", diff)
@@ -91,13 +91,13 @@
 	targets.Put(replica(3, "b"))
 	got := map[string]int{}
 	for range 2 {
-		got[take(t, targets, Ask{}).Replica.Zone]++
+		got[take(t, targets, CallRequest{}).Replica.Zone]++
 	}
 	if diff := cmp.Diff(map[string]int{"a": 2}, got); diff != "" {
 		t.Errorf("first calls (-want +got):\n%s", diff)
 	}
 	for range 4 {
-		got[take(t, targets, Ask{}).Replica.Zone]++
+		got[take(t, targets, CallRequest{}).Replica.Zone]++
 	}
 	if diff := cmp.Diff(map[string]int{"a": 4, "b": 2}, got); diff != "" {
 		t.Errorf("calls once the zone's replicas are busy (-want +got):\n%s", diff)
@@ -109,13 +109,13 @@
 func TestPlainCallsReuseConnections(t *testing.T) {
 	targets, pools := newTargets(4, false)
 	for range 4 { // opens a pool to each replica
-		take(t, targets, Ask{})
+		take(t, targets, CallRequest{})
 	}
 	for _, s := range targets.byID {
 		s.inFlight = 0
 	}
 	pools.connected = "r2"
-	first, second := take(t, targets, Ask{}), take(t, targets, Ask{})
+	first, second := take(t, targets, CallRequest{}), take(t, targets, CallRequest{})
 	if first.Replica.ID != "r2" || second.Replica.ID == "r2" {
 		t.Errorf("calls go to %s and %s", first.Replica.ID, second.Replica.ID)
 	}
@@ -126,7 +126,7 @@
 	targets, _ := newTargets(2, false)
 	got := map[string]int{}
 	for range 200 {
-		lease := take(t, targets, Ask{})
+		lease := take(t, targets, CallRequest{})
 		got[lease.Replica.ID]++
 		took := 20 * time.Millisecond
 		if lease.Replica.ID == "r0" {
@@ -143,10 +143,10 @@
 // reports a long queue.
 func TestTurnsFollowCachedPrompt(t *testing.T) {
 	targets, _ := newTargets(3, true)
-	ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
+	ask := CallRequest{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
 	for range 5 {
-		if lease := take(t, targets, ask); lease.Replica.ID != "r1" || lease.Cached != 5500 {
-			t.Fatalf("placed at %s with %d cached tokens", lease.Replica.ID, lease.Cached)
+		if lease := take(t, targets, ask); lease.Replica.ID != "r1" || lease.CachedTokens != 5500 {
+			t.Fatalf("placed at %s with %d cached tokens", lease.Replica.ID, lease.CachedTokens)
 		}
 	}
 	targets.UpdateLoad("r1", work.Load{Running: 8, Waiting: 60})
@@ -162,10 +162,10 @@
 	targets.UpdateLoad("r0", work.Load{Running: 7})
 	targets.UpdateLoad("r1", work.Load{Running: 1})
 	targets.UpdateLoad("r2", work.Load{Running: 6})
-	if got := take(t, targets, Ask{Prompt: &work.Prompt{Tokens: 1000}}).Replica.ID; got != "r1" {
+	if got := take(t, targets, CallRequest{Prompt: &work.Prompt{Tokens: 1000}}).Replica.ID; got != "r1" {
 		t.Errorf("placed at %s", got)
 	}
-	if diff := cmp.Diff(3, len(targets.Models())); diff != "" {
+	if diff := cmp.Diff(3, len(targets.ModelsToPoll())); diff != "" {
 		t.Errorf("model replicas (-want +got):\n%s", diff)
 	}
 }
@@ -177,7 +177,7 @@
 	targets.MarkMissing("r0")
 	targets.MarkMissing("r1")
 	for range 10 {
-		if got := take(t, targets, Ask{}).Replica.ID; got != "r2" {
+		if got := take(t, targets, CallRequest{}).Replica.ID; got != "r2" {
 			t.Fatalf("call placed at %s", got)
 		}
 	}
@@ -190,7 +190,7 @@
 	used := func() []string {
 		got := map[string]bool{}
 		for range 40 {
-			lease := take(t, targets, Ask{})
+			lease := take(t, targets, CallRequest{})
 			got[lease.Replica.ID] = true
 			defer lease.Done(Answered, 0)
 		}
@@ -204,7 +204,7 @@
 		{func() { targets.MarkMissing("r2"); targets.MarkMissing("r3") }, []string{"r4", "r5"}},
 		{func() { targets.MarkMissing("r4") }, []string{"r0", "r1", "r2", "r3", "r4", "r5"}},
 		{func() { targets.Put(replica(1, "a")) }, []string{"r1", "r5"}},
-		{func() { targets.Drop("r0") }, []string{"r1", "r5"}},
+		{func() { targets.Remove("r0") }, []string{"r1", "r5"}},
 	}
 	for n, step := range steps {
 		step.do()
@@ -221,18 +221,18 @@
 	draining := replica(0, "a")
 	draining.Draining = true
 	targets.Put(draining)
-	unreached := take(t, targets, Ask{})
+	unreached := take(t, targets, CallRequest{})
 	unreached.Done(Unreached, 0)
 	for range 20 {
-		lease := take(t, targets, Ask{})
+		lease := take(t, targets, CallRequest{})
 		if lease.Replica.ID == "r0" || lease.Replica.ID == unreached.Replica.ID {
 			t.Fatalf("call placed at %s", lease.Replica.ID)
 		}
 		lease.Done(Answered, time.Millisecond)
 	}
-	targets.Drop("r1")
-	targets.Drop("r2")
-	if _, err := targets.Take(Ask{Services: splitToS}); !fault.Is(err, fault.NoTarget) {
+	targets.Remove("r1")
+	targets.Remove("r2")
+	if _, err := targets.Take(CallRequest{Services: splitToS}); !fault.Is(err, fault.NoTarget) {
 		t.Errorf("fault %v", err)
 	}
 	if p.closed != p.open {
@@ -244,8 +244,8 @@
 // call ends.
 func TestDroppedReplicaFinishesCalls(t *testing.T) {
 	targets, p := newTargets(1, false)
-	lease := take(t, targets, Ask{})
-	targets.Drop("r0")
+	lease := take(t, targets, CallRequest{})
+	targets.Remove("r0")
 	if p.closed != 0 {
 		t.Error("pool closed while a call is in flight")
 	}
@@ -262,7 +262,7 @@
 		for _, waiting := range []int{0, 2} {
 			targets, _ := newTargets(3, true)
 			targets.UpdateLoad("r1", work.Load{Running: 1, Waiting: waiting})
-			ask := Ask{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
+			ask := CallRequest{Prompt: &work.Prompt{Tokens: 6000, Most: 100}, CachedTokens: map[string]int{"r1": 5500}}
 			for range 3 {
 				if lease := take(t, targets, ask); lease.Replica.ID == "r1" {
 					lease.Done(Unresponsive, 0)
@@ -282,7 +282,7 @@
 	var got []int
 	for _, boxes := range []int{6, 21, 46, 1000} {
 		targets.SetBoxCount(boxes)
-		take(t, targets, Ask{}).Done(Answered, 0)
+		take(t, targets, CallRequest{}).Done(Answered, 0)
 		got = append(got, p.limit)
 	}
 	if diff := cmp.Diff([]int{10, 4, 2, minConnections}, got); diff != "" || p.open != 1 {
@@ -299,7 +299,7 @@
 	}
 	got := map[string]int{}
 	for range 1000 {
-		lease, err := targets.Take(Ask{Services: []work.Split{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}})
+		lease, err := targets.Take(CallRequest{Services: []work.Split{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -326,7 +326,7 @@
 				rep.Draining = rapid.Bool().Draw(rt, "draining")
 				targets.Put(rep)
 			case 1:
-				targets.Drop(fmt.Sprintf("r%d", i))
+				targets.Remove(fmt.Sprintf("r%d", i))
 			case 2:
 				if len(leases) > 0 {
 					leases[0].Done(Outcome(rapid.IntRange(0, 6).Draw(rt, "outcome")), time.Duration(i)*time.Millisecond)
@@ -334,7 +334,7 @@
 				}
 			default:
 				exclude := []string{fmt.Sprintf("r%d", i)}
-				lease, err := targets.Take(Ask{WorkKind: "w", Services: splitToS, Exclude: exclude, Prompt: &work.Prompt{Tokens: 100 * i}})
+				lease, err := targets.Take(CallRequest{WorkKind: "w", Services: splitToS, Exclude: exclude, Prompt: &work.Prompt{Tokens: 100 * i}})
 				if err != nil {
 					continue
 				}
@@ -355,7 +355,7 @@
 		targets, _ := newTargets(4, false)
 		run := func(n int) (toFailing int) {
 			for i := range n {
-				lease := take(t, targets, Ask{})
+				lease := take(t, targets, CallRequest{})
 				out := Answered
 				if lease.Replica.ID == "r0" {
 					toFailing++
--- a/gate/turns/ledger.go
+++ b/gate/turns/ledger.go
@@ -95,8 +95,8 @@
 	l.cachedTokens = map[string]int{}
 	for _, earlier := range history {
 		l.prompt = append(l.prompt, earlier.Text...)
-		if earlier.RanOn != "" {
-			l.cachedTokens[earlier.RanOn] = earlier.CachedTokens
+		if earlier.ReplicaRun != "" {
+			l.cachedTokens[earlier.ReplicaRun] = earlier.CachedTokens
 		}
 	}
 	l.prompt = append(l.prompt, l.input...)
@@ -117,7 +117,7 @@
 	var pending *shard.PendingWrite
 	l.slot.Update(func(state *chain.State) {
 		finished, recs := state.Finish(time.Now(), l.open, tokens, text)
-		finished.RanOn = l.lease.Replica.RunID()
+		finished.ReplicaRun = l.lease.Replica.RunID()
 		if l.call.Prompt != nil {
 			finished.CachedTokens = l.call.Prompt.Tokens + tokens
 		}
@@ -225,6 +225,6 @@
 func (t *turn) answered(confirm time.Duration) {
 	t.counts.Time("turns.first_event{class="+t.route.Name+"}", t.firstEventLatency)
 	t.log.Info("turns: turn answered", "id", t.call.ID, "program", t.call.Turn.Program, "route", t.route.Name, "slot", t.slot.Number(),
-		"replica", t.lease.Replica.ID, "prompt", promptTokens(t.call), "cached", t.lease.Cached, "score", t.lease.ExpectedCost, "among", t.lease.Candidates,
+		"replica", t.lease.Replica.ID, "prompt", promptTokens(t.call), "cached", t.lease.CachedTokens, "score", t.lease.ExpectedCost, "among", t.lease.Candidates,
 		"sent", t.sent, "placed", t.sentAt.Sub(t.call.Arrived), "events", t.answer.collected.count, "first", t.firstEventLatency, "confirm", confirm, "took", time.Since(t.call.Arrived))
 }
--- a/gate/turns/turns.go
+++ b/gate/turns/turns.go
@@ -47,9 +47,9 @@
 // Targets selects replicas.
 type Targets interface {
 	// Admit decides whether the program of a turn may start.
-	Admit(ask target.Ask) sched.AdmissionDecision
+	Admit(ask target.CallRequest) sched.AdmissionDecision
 	// Take selects a replica and reserves capacity on it.
-	Take(ask target.Ask) (*target.Lease, error)
+	Take(ask target.CallRequest) (*target.Lease, error)
 }
 
 // Counts records metrics.
@@ -231,8 +231,8 @@
 }
 
 // ask returns the placement request for the turn; avoid lists the replicas already tried.
-func (t *turn) ask(avoid []string) target.Ask {
-	return target.Ask{
+func (t *turn) ask(avoid []string) target.CallRequest {
+	return target.CallRequest{
 		WorkKind: t.route.Name, Services: t.route.Splits, Regions: t.call.Regions, Exclude: avoid, Prompt: t.call.Prompt, CachedTokens: t.cachedTokens,
 		Turn: sched.Turn{
 			Program: t.open.Program, Kind: t.route.Name, NewProgram: t.firstTurn, Priority: t.route.Priority, TimeLeft: t.call.Turn.Left,
--- a/gate/view/owners.go
+++ b/gate/view/owners.go
@@ -104,9 +104,9 @@
 	return 1 / (cost * cost)
 }
 
-// Counter returns the box that counts the workspace's quota in the availability zone; false if the zone has no
+// QuotaCounter returns the box that counts the workspace's quota in the availability zone; false if the zone has no
 // live box.
-func (v *View) Counter(workspace, zone string) (work.Box, bool) {
+func (v *View) QuotaCounter(workspace, zone string) (work.Box, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.rankCache.quotaCounter(v.live, workspace, zone)
--- a/gate/work/config.go
+++ b/gate/work/config.go
@@ -97,7 +97,7 @@
 	Services map[string]Service
 	Limits   Limits
 	// Callers is nil if calls need no key.
-	Callers *Callers
+	Callers *WorkspaceIndex
 
 	byHost map[string][]*Route
 }
--- a/gate/work/record.go
+++ b/gate/work/record.go
@@ -20,8 +20,8 @@
 	Settings Topic = "settings"
 	// Replicas holds the list of replicas. It is read-only for boxes.
 	Replicas Topic = "replicas"
-	// Sources names, by availability zone, the boxes that serve copies of topics to other boxes.
-	Sources Topic = "sources"
+	// CopySources names, by availability zone, the boxes that serve copies of topics to other boxes.
+	CopySources Topic = "sources"
 )
 
 // Shard is a partition of a topic, within which records are ordered.
--- a/gate/work/space.go
+++ b/gate/work/space.go
@@ -17,15 +17,15 @@
 	Rate, Burst float64
 }
 
-// Callers is the index of workspaces by name and key. It must not be modified once it is in use.
-type Callers struct {
+// WorkspaceIndex is the index of workspaces by name and key. It must not be modified once it is in use.
+type WorkspaceIndex struct {
 	byName   map[string]Workspace
 	byDigest map[string]string
 }
 
-// NewCallers returns an index of the workspaces.
-func NewCallers(list []Workspace) *Callers {
-	callers := &Callers{byName: map[string]Workspace{}, byDigest: map[string]string{}}
+// NewWorkspaceIndex returns an index of the workspaces.
+func NewWorkspaceIndex(list []Workspace) *WorkspaceIndex {
+	callers := &WorkspaceIndex{byName: map[string]Workspace{}, byDigest: map[string]string{}}
 	for _, space := range list {
 		callers.byName[space.Name] = space
 		for _, digest := range space.KeyDigests {
@@ -36,7 +36,7 @@
 }
 
 // WorkspaceByKey returns the workspace that holds the key with the digest.
-func (c *Callers) WorkspaceByKey(digest string) (Workspace, bool) {
+func (c *WorkspaceIndex) WorkspaceByKey(digest string) (Workspace, bool) {
 	name, ok := c.byDigest[digest]
 	if !ok || digest == "" {
 		return Workspace{}, false
@@ -45,12 +45,12 @@
 }
 
 // All returns the workspaces by name. The map must not be modified.
-func (c *Callers) All() map[string]Workspace {
+func (c *WorkspaceIndex) All() map[string]Workspace {
 	return c.byName
 }
 
 // WorkspaceByName returns the workspace with the name.
-func (c *Callers) WorkspaceByName(name string) (Workspace, bool) {
+func (c *WorkspaceIndex) WorkspaceByName(name string) (Workspace, bool) {
 	space, ok := c.byName[name]
 	return space, ok
 }
--- a/stand/plat/plat.go
+++ b/stand/plat/plat.go
@@ -116,7 +116,7 @@
 	}
 	p.Tools[name] = t
 	p.initialList.Targets = append(p.initialList.Targets, types.Target{
-		Name: name, Kind: types.Plain, Zone: spec.Zones[index%len(spec.Zones)], Addr: addr, Service: service,
+		Name: name, Kind: types.PlainService, Zone: spec.Zones[index%len(spec.Zones)], Addr: addr, Service: service,
 	})
 	return nil
 }
