--- a/bench/mutant/list.go
+++ b/bench/mutant/list.go
@@ -35,11 +35,11 @@
 		},
 		{
 			Name: "waiting_read_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
-			Old: "f.proven.Store(&asked)", New: "now := time.Now()\n\tf.proven.Store(&now)",
+			Old: "f.confirmedAt.Store(&requestedAt)", New: "now := time.Now()\n\tf.confirmedAt.Store(&now)",
 		},
 		{
 			Name: "told_late_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
-			Old: "t.current(start.Add(-age))", New: "t.current(start)",
+			Old: "f.onConfirmed(start.Add(-age))", New: "f.onConfirmed(start)",
 		},
 		{
 			Name: "evacuated_zone_serves", Property: "an evacuated zone gets no calls", File: "gate/target/bound.go", TestPackage: "./target",
@@ -59,11 +59,11 @@
 		},
 		{
 			Name: "old_page_proves", Property: "a revoked key is refused within the bound", File: "gate/feed/feed.go", TestPackage: "./feed",
-			Old: "f.newest < f.version()", New: "f.newest < 0",
+			Old: "f.newestVersion < f.version()", New: "f.newestVersion < 0",
 		},
 		{
 			Name: "foreign_entry_keeps_replica", Property: "a replica whose entry is invalid gets no calls", File: "gate/feed/feed.go", TestPackage: "./feed",
-			Old: "l.feed.targets.Drop(id)\n\tl.feed.foreign", New: "l.feed.foreign",
+			Old: "l.feed.targets.Remove(id)\n\tl.feed.rejectedEntries", New: "l.feed.rejectedEntries",
 		},
 		{
 			Name: "reborn_replica_believed", Property: "a restarted replica starts without earlier state", File: "gate/target/target.go", TestPackage: "./target",
@@ -90,20 +90,20 @@
 	return []Mutant{
 		{
 			Name: "claim_bounded_in_all", Property: "every program has an owner", File: "gate/shard/claim.go", TestPackage: shardTests,
-			Old: "next, err := work.AllNewest(s.ctx, s.log, shard, callTimeout, loader.apply)",
-			New: "whole, end := context.WithTimeout(s.ctx, callTimeout+handoverTimeout)\n\tdefer end()\n\tnext, err := work.AllNewest(whole, s.log, shard, callTimeout, loader.apply)",
+			Old: "next, err := work.AllNewest(m.ctx, m.log, shard, callTimeout, loader.apply)",
+			New: "whole, end := context.WithTimeout(m.ctx, callTimeout+handoverTimeout)\n\tdefer end()\n\tnext, err := work.AllNewest(whole, m.log, shard, callTimeout, loader.apply)",
 		},
 		{
 			Name: "claim_without_tail", Property: "history is never lost", File: "gate/shard/claim.go", TestPackage: shardTests,
-			Old: "if err := s.catchUp(ctx, shard, next, loader); err != nil {", New: "if err := ctx.Err(); err != nil || next < 0 {",
+			Old: "if err := m.catchUp(ctx, shard, next, loader); err != nil {", New: "if err := ctx.Err(); err != nil || next < 0 {",
 		},
 		{
 			Name: "records_not_forwarded", Property: "a planned stop interrupts no call", File: "gate/shard/slot.go", TestPackage: shardTests,
-			Old: "if !fault.Is(err, fault.NotOwner) {\n\t\treturn err\n\t}\n\treturn s.shards.forward", New: "if err != nil {\n\t\treturn err\n\t}\n\treturn s.shards.forward",
+			Old: "if !fault.Is(err, fault.NotOwner) {\n\t\treturn err\n\t}\n\treturn s.manager.forward", New: "if err != nil {\n\t\treturn err\n\t}\n\treturn s.manager.forward",
 		},
 		{
 			Name: "lost_taken_for_written", Property: "history is never lost", File: "gate/shard/slot.go", TestPackage: shardTests,
-			Old: "return s.shards.forward(ctx, s.number, p.batch.recs)", New: "return nil",
+			Old: "return s.manager.forward(ctx, s.number, p.batch.recs)", New: "return nil",
 		},
 		{
 			Name: "shared_epochs", Property: "one writer per slot", File: "gate/shard/claim.go", TestPackage: shardTests,
@@ -170,7 +170,7 @@
 		},
 		{
 			Name: "any_turn", Property: "turns of a program run in order", File: "gate/desk/turn.go",
-			Old: "if req.Turn != head+1 {", New: "if req.Turn <= head {",
+			Old: "if req.Turn != lastTurn+1 {", New: "if req.Turn <= lastTurn {",
 		},
 		{
 			Name: "no_tail", Property: "history is never lost", File: "gate/desk/adopt.go",
@@ -182,11 +182,11 @@
 		},
 		{
 			Name: "no_newer_owner", Property: "history is never lost", File: "gate/desk/adopt.go",
-			Old: "if cont.Epoch > d.State.Epoch {", New: "if false {",
+			Old: "if cont.Epoch > s.State.Epoch {", New: "if false {",
 		},
 		{
 			Name: "no_snapshots", Property: "history survives the retention of the log", File: "gate/slots/owner.go",
-			Old: "if retention := o.svc.timing.Retention; retention > 0 && o.desk.LogAvailable {", New: "if retention := o.svc.timing.Retention; false && retention > 0 {",
+			Old: "if retention := o.svc.timing.Retention; retention > 0 && o.state.LogAvailable {", New: "if retention := o.svc.timing.Retention; false && retention > 0 {",
 		},
 		{
 			Name: "no_sweep", Property: "memory of ended programs is released", File: "gate/prog/prog.go",
@@ -208,19 +208,19 @@
 	return []Mutant{
 		{
 			Name: "no_escrow_at_claim", Property: "no program exceeds its budget", File: "gate/fold/fold.go",
-			Old: "purse.Spent = purse.Granted\n\t}\n}", New: "_ = purse\n\t}\n}",
+			Old: "tree.Spent = tree.Granted\n\t}\n}", New: "_ = tree\n\t}\n}",
 		},
 		{
 			Name: "spend_unconfirmed_grants", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
-			Old: "return ok && tree.Spent+d.reserved[root] <= d.confirmed[root]", New: "return ok && tree != nil",
+			Old: "return ok && tree.Spent+s.reserved[root] <= s.confirmed[root]", New: "return ok && tree != nil",
 		},
 		{
 			Name: "no_reservation", Property: "no program exceeds its budget", File: "gate/desk/purse.go",
-			Old: "d.reserved[tree.Root] += need", New: "d.reserved[tree.Root] += 0",
+			Old: "s.reserved[tree.Root] += need", New: "s.reserved[tree.Root] += 0",
 		},
 		{
 			Name: "free_broken_attempts", Property: "no program exceeds its budget", File: "gate/desk/turn.go",
-			Old: "d.settle(prog.Begin.Root, need, min(spent, need))", New: "d.settle(prog.Begin.Root, need, 0)",
+			Old: "s.settle(prog.Begin.Root, need, min(spent, need))", New: "s.settle(prog.Begin.Root, need, 0)",
 		},
 		{
 			Name: "adopted_grant_unspent", Property: "no program exceeds its budget", File: "gate/desk/adopt.go",
@@ -242,7 +242,7 @@
 		},
 		{
 			Name: "no_carry", Property: "configuration survives the retention of the log", File: "gate/policy/policy.go",
-			Old: "if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDiv {", New: "if s.timing.Retention > 0 {",
+			Old: "if rev == nil || s.timing.Retention == 0 || age < s.timing.Retention/copyAgeDivisor {", New: "if s.timing.Retention > 0 {",
 		},
 	}
 }
