--- a/base/sample/sample.go
+++ b/base/sample/sample.go
@@ -67,17 +67,17 @@
 	}
 }
 
-// Config returns the configuration of a shape. Its policy keeps personal data in the region, and
+// Config returns the configuration of a deployment. Its policy keeps personal data in the region, and
 // gives priority to the kinds of programs that serve a waiting person (booking and recharge).
-func Config(shape Deployment, keys Keys) (types.Config, error) {
+func Config(deployment Deployment, keys Keys) (types.Config, error) {
 	root, err := seal.NewRootKey(keys.Root)
 	if err != nil {
 		return types.Config{}, err
 	}
 	cfg := types.Config{
-		Services: shape.Services,
+		Services: deployment.Services,
 		Policy: types.Policy{
-			Place: `data_class != "personal" || region == "` + shape.Region + `"`,
+			Place: `data_class != "personal" || region == "` + deployment.Region + `"`,
 			Order: `kind == "booking" || kind == "recharge" ? 1 : 0`,
 			Spend: `budget < 2000000 ? budget : 2000000`,
 		},
@@ -86,23 +86,23 @@
 	}
 	yes, no, one := true, false, int64(1)
 	cfg.Policy.Samples = []types.Sample{
-		{Name: "home", Input: types.RuleInput{DataClass: "personal", Region: shape.Region, Use: "run"}, Want: types.ExpectedResults{Place: &yes}},
+		{Name: "home", Input: types.RuleInput{DataClass: "personal", Region: deployment.Region, Use: "run"}, Want: types.ExpectedResults{Place: &yes}},
 		{Name: "abroad", Input: types.RuleInput{DataClass: "personal", Region: "elsewhere", Use: "run"}, Want: types.ExpectedResults{Place: &no}},
 		{Name: "line", Input: types.RuleInput{Kind: "booking"}, Want: types.ExpectedResults{Order: &one}},
 	}
-	for _, zone := range shape.Zones {
-		cfg.Zones = append(cfg.Zones, types.Zone{Name: zone, Region: shape.Region, Slots: shape.Slots})
+	for _, zone := range deployment.Zones {
+		cfg.Zones = append(cfg.Zones, types.Zone{Name: zone, Region: deployment.Region, Slots: deployment.Slots})
 	}
-	for _, workspace := range shape.Workspaces {
+	for _, workspace := range deployment.Workspaces {
 		cfg.Workspaces = append(cfg.Workspaces, types.Workspace{Name: workspace, TokenHashes: []string{ident.KeyDigest(Token(workspace))}})
 	}
-	for _, model := range shape.Models {
+	for _, model := range deployment.Models {
 		cfg.Models = append(cfg.Models, types.Model{Name: model, MinWarm: 1})
 	}
 	return cfg, nil
 }
 
-// Defaults returns limits that suit both example deployments.
+// Defaults returns default limits that suit both example deployments.
 func Defaults() types.Defaults {
 	return types.Defaults{
 		Turns: 600, Depth: 3, FanOut: 16, Idle: types.Duration(30 * time.Minute), Deadline: types.Duration(24 * time.Hour),
