--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -21,11 +21,11 @@
 	// maxPrograms bounds the programs without a parent that run at a time.
 	maxPrograms = 4
 	callTimeout = 4 * time.Second
-	// routeTimeout bounds the time for which a call is routed again after it missed its owner.
+	// routeTimeout bounds the time for which a call that does not reach the slot's owner is retried.
 	routeTimeout = 2 * time.Second
 )
 
-// program is the state that a correct client keeps of its program.
+// program is what a correct client knows about its program.
 type program struct {
 	id, root, workspace, parent string
 	token                       string
@@ -37,7 +37,7 @@
 	tokens []string
 }
 
-// keyCall is the state that a client keeps of an idempotency key.
+// keyCall is what a client knows about its requests with one idempotency key.
 type keyCall struct {
 	key, workspace, service, input string
 	// mayHaveRun is set once a request with the key may have run.
@@ -241,7 +241,8 @@
 	return answer, err
 }
 
-// checkError checks that a correct client gets no error that blames it, and no internal error.
+// checkError checks that a correct client gets neither an error that only wrong requests deserve nor an
+// internal one.
 func (o *oracle) checkError(p *program, err error) {
 	switch fault.From(err).Kind {
 	case fault.TurnConflict, fault.BadContinuation, fault.NoProgram:
@@ -283,7 +284,7 @@
 	if !o.reserve(p) {
 		return
 	}
-	// An old token alone is valid, so it is sent with a turn number out of order.
+	// An old token is valid by itself, so it is sent with a turn number out of order.
 	token, turn := p.tokens[how%len(p.tokens)], p.turn+2
 	foreign := false
 	switch how % 3 {
@@ -392,7 +393,7 @@
 	return out
 }
 
-// end closes a program.
+// end ends a program and its sub-agents, and reports whether it succeeded.
 func (o *oracle) end(p *program, entry int) bool {
 	if !o.reserve(p) {
 		return false
@@ -402,7 +403,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	err := o.route(ctx, entry, slot, func(b *box) error {
-		// The token carries state that the log may no longer hold.
+		// The token restores records of the program that the log no longer holds.
 		if _, err := b.progs.State(ctx, p.workspace, p.id, o.tokenOf(p)); err != nil {
 			return err
 		}
@@ -418,6 +419,7 @@
 	return true
 }
 
+// endTree marks a program and its sub-agents as ended.
 func (o *oracle) endTree(p *program) {
 	p.ended = true
 	for _, q := range o.programs {
--- a/gate/proof/fakes_test.go
+++ b/gate/proof/fakes_test.go
@@ -71,10 +71,10 @@
 	return out, ok, nil
 }
 
-// engineState is the state of all engines: the tokens they charged and the caches they hold.
+// engineState is the state of all engines.
 type engineState struct {
 	mu sync.Mutex
-	// charged counts tokens by program; cached holds the programs whose cache is kept.
+	// charged counts the tokens charged to each program; cached holds the programs whose cache is kept.
 	charged map[string]int64
 	cached  map[string]bool
 	// streamsToBreak is the number of further streams that break in the middle.
@@ -85,7 +85,7 @@
 	return &engineState{charged: map[string]int64{}, cached: map[string]bool{}}
 }
 
-func (m *engineState) targets() []types.Target {
+func (s *engineState) targets() []types.Target {
 	return []types.Target{
 		{Name: "e-0", Kind: types.Engine, Zone: zones[0], Models: []string{"m"}},
 		{Name: "e-1", Kind: types.Engine, Zone: zones[1], Models: []string{"m"}},
@@ -93,47 +93,47 @@
 }
 
 // breakNext makes the next n streams break in the middle. They are charged in full.
-func (m *engineState) breakNext(n int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.streamsToBreak = n
+func (s *engineState) breakNext(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streamsToBreak = n
 }
 
-func (m *engineState) charge(program string, tokens int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.charged[program] += int64(tokens)
+func (s *engineState) charge(program string, tokens int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.charged[program] += int64(tokens)
 }
 
-func (m *engineState) chargedTokens(program string) int64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.charged[program]
+func (s *engineState) chargedTokens(program string) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.charged[program]
 }
 
-func (m *engineState) nextBreaks() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.streamsToBreak == 0 {
+func (s *engineState) nextBreaks() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.streamsToBreak == 0 {
 		return false
 	}
-	m.streamsToBreak--
+	s.streamsToBreak--
 	return true
 }
 
 // engineClient is one box's client for the engines.
 type engineClient struct{ b *box }
 
-// Run streams the answer to a model call. The full cost is charged at its start.
+// Run streams the answer to a model call. All its tokens are charged before the stream starts.
 func (e *engineClient) Run(ctx context.Context, _ types.Target, call types.EngineCall, emit func(types.EngineEvent)) (types.EngineEvent, error) {
 	if !e.b.waitResumed() {
 		return types.EngineEvent{}, fault.Refuse(fault.TargetFailed, "box is down")
 	}
-	m := e.b.w.engines
+	engines := e.b.w.engines
 	words := model.AnswerWords(call.Messages, call.MaxTokens)
 	prompt := model.CountTokens(call.Messages)
-	m.charge(call.CacheKey, prompt+len(words))
-	breaks := m.nextBreaks()
+	engines.charge(call.CacheKey, prompt+len(words))
+	breaks := engines.nextBreaks()
 	for i, word := range words {
 		time.Sleep(2 * time.Millisecond)
 		if !e.b.waitResumed() || ctx.Err() != nil || (breaks && i == 1) {
@@ -141,9 +141,9 @@
 		}
 		emit(types.EngineEvent{Attempt: call.Attempt, Seq: i + 1, Text: word})
 	}
-	m.mu.Lock()
-	m.cached[call.CacheKey] = true
-	m.mu.Unlock()
+	engines.mu.Lock()
+	engines.cached[call.CacheKey] = true
+	engines.mu.Unlock()
 	finish := "stop"
 	if len(words) == call.MaxTokens {
 		finish = "length"
@@ -170,23 +170,23 @@
 	if !e.b.waitResumed() {
 		return
 	}
-	m := e.b.w.engines
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	engines := e.b.w.engines
+	engines.mu.Lock()
+	defer engines.mu.Unlock()
 	for _, id := range programs {
-		delete(m.cached, id)
+		delete(engines.cached, id)
 	}
 }
 
 // Sweep releases the caches of the programs that are gone.
 func (e *engineClient) Sweep(gone func(program string) bool) {
-	m := e.b.w.engines
-	m.mu.Lock()
-	ids := make([]string, 0, len(m.cached))
-	for id := range m.cached {
+	engines := e.b.w.engines
+	engines.mu.Lock()
+	ids := make([]string, 0, len(engines.cached))
+	for id := range engines.cached {
 		ids = append(ids, id)
 	}
-	m.mu.Unlock()
+	engines.mu.Unlock()
 	for _, id := range ids {
 		if gone(id) {
 			e.Release([]string{id})
--- a/gate/proof/fuzz_test.go
+++ b/gate/proof/fuzz_test.go
@@ -59,7 +59,8 @@
 	"cut_log", "cut_peers", "log_down", "lose_answers", "late_appends", "tool_loses", "tool_refuses", "break_streams", "publish", "old_copy", "wait",
 }
 
-// step is one drawn action. A, B and C select among the programs, keys and boxes present when it runs.
+// step is one drawn action. A, B and C select programs, keys and boxes when it runs, and
+// set durations.
 type step struct{ Op, A, B, C int }
 
 func (s step) String() string {
@@ -73,6 +74,7 @@
 	return step{Op: op, A: small.Draw(t, "a"), B: small.Draw(t, "b"), C: small.Draw(t, "c")}
 }
 
+// TestFleetKeepsItsPromises checks the invariants of a fleet during random steps and after them.
 func TestFleetKeepsItsPromises(t *testing.T) {
 	steps, answers := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -91,6 +93,7 @@
 	t.Logf("%d steps, %d answers", steps, answers)
 }
 
+// report lists the violated invariants in the order of their names.
 func (o *oracle) report() string {
 	var lines []string
 	for invariant, detail := range o.violations {
@@ -246,6 +249,7 @@
 	return o.programs[i%len(o.programs)]
 }
 
+// withProgram runs do unless p is nil.
 func (o *oracle) withProgram(p *program, do func()) {
 	if p != nil {
 		do()
@@ -263,8 +267,8 @@
 	return k
 }
 
-// billedProgram returns the program to which the call of the newest key is billed, or nil if none is.
-// It adds the program to the key, where billedTo finds it.
+// billedProgram returns the program to which the call with the newest key is billed, or nil for none.
+// It adds the program's ID to the key, where billedTo finds it.
 func (o *oracle) billedProgram(p *program, s step) *program {
 	if p == nil || s.B%2 == 0 || p.workspace != "one" {
 		return nil
@@ -276,7 +280,7 @@
 	return p
 }
 
-// billedTo returns the program that the key names, or nil if it names none.
+// billedTo returns the program whose ID billedProgram added to the key, or nil for none.
 func (o *oracle) billedTo(k *keyCall) *program {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -290,11 +294,11 @@
 
 // racePublish has two operators publish on the same base revision and checks that at most one succeeds.
 func (o *oracle) racePublish(entry int) {
-	fold, err := o.history()
-	if err != nil || fold.Current == nil {
+	state, err := o.readConfig()
+	if err != nil || state.Current == nil {
 		return
 	}
-	base := fold.Current.Number
+	base := state.Current.Number
 	won := make(chan bool, 2)
 	for i := range 2 {
 		o.async.Go(func() {
@@ -338,11 +342,12 @@
 	_, _ = o.w.log.Append(ctx, revs.Stream, raw)
 }
 
-func (o *oracle) history() (*revs.StreamState, error) {
+// readConfig returns the state of the configuration stream in the log.
+func (o *oracle) readConfig() (*revs.StreamState, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	fold, _, err := revs.History(ctx, o.w.log, o.w.operatorKeys())
-	return fold, err
+	state, _, err := revs.History(ctx, o.w.log, o.w.operatorKeys())
+	return state, err
 }
 
 // checkInvariants checks the invariants that hold at all times.
@@ -433,10 +438,11 @@
 	return false
 }
 
-// checkConverged checks that every box uses the log's current revision, and none older than acknowledged.
+// checkConverged checks that every box has the log's current revision, which must not be older than the
+// newest acknowledged one.
 func (o *oracle) checkConverged() {
-	fold, err := o.history()
-	if err != nil || fold.Current == nil {
+	state, err := o.readConfig()
+	if err != nil || state.Current == nil {
 		o.fail("config_never_reverts", "no configuration in the log: %v", err)
 		return
 	}
@@ -444,8 +450,8 @@
 		if n := o.w.box(i).store.RevisionNumber(); n < o.newestAccepted {
 			o.fail("config_never_reverts", "box %d has revision %d, but %d was accepted", i, n, o.newestAccepted)
 		}
-		if n := o.w.box(i).store.RevisionNumber(); n != fold.Current.Number {
-			o.fail("config_in_force_everywhere", "box %d has revision %d, want %d", i, n, fold.Current.Number)
+		if n := o.w.box(i).store.RevisionNumber(); n != state.Current.Number {
+			o.fail("config_in_force_everywhere", "box %d has revision %d, want %d", i, n, state.Current.Number)
 		}
 	}
 }
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -70,12 +70,12 @@
 	// stopping is set during a planned stop, when the balancer sends no more calls.
 	stopping bool
 
-	view   *member.View
-	store  *policy.Store
-	owners *slots.Slots
-	queue  *admit.Scheduler
-	progs  *prog.Prog
-	calls  *plain.Plain
+	view      *member.View
+	store     *policy.Store
+	owners    *slots.Slots
+	scheduler *admit.Scheduler
+	progs     *prog.Prog
+	calls     *plain.Plain
 }
 
 func newWorld() (*world, error) {
@@ -127,10 +127,10 @@
 		CheckInterval: 100 * time.Millisecond, FlushDelay: 10 * time.Millisecond, AdoptionDelay: 2 * time.Second,
 		Retention: retention, AppendRate: 100, MaxQueued: 1000,
 	}, counts, logger)
-	b.queue = admit.New(b.self.Zone, admit.Options{
+	b.scheduler = admit.New(b.self.Zone, admit.Options{
 		Strategy: sched.Scored, Order: sched.OldestProgram, MaxWait: 2 * time.Second, StarvationAge: time.Second, HoldCaches: true, Seed: uint64(i),
 	}, b.store, counts, logger)
-	b.progs = prog.New(b.self.Zone, b.owners, b.queue, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
+	b.progs = prog.New(b.self.Zone, b.owners, b.scheduler, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
 	b.owners.Watch(b.progs)
 	b.calls = plain.New(b.owners, w.tools, b.store, counts, logger)
 	w.mu.Lock()
@@ -140,9 +140,9 @@
 	_ = b.view.Start(ctx)
 	_ = b.store.Start(ctx)
 	_ = b.owners.Start(ctx)
-	_ = b.queue.Start(ctx)
+	_ = b.scheduler.Start(ctx)
 	_ = b.progs.Start(ctx)
-	b.queue.Notify(lease.Targets{List: w.engines.targets()})
+	b.scheduler.Notify(lease.Targets{List: w.engines.targets()})
 }
 
 // logOutput returns the writer of the boxes' logs, which discards them unless PROOF_LOG is set.
@@ -166,7 +166,7 @@
 	}
 }
 
-// replace starts box i if it is down, as the platform does within seconds of a crash.
+// replace starts box i if it is down, as the platform does after a crash.
 func (w *world) replace(i int) {
 	w.restarting.Lock()
 	defer w.restarting.Unlock()
@@ -182,7 +182,7 @@
 	_ = b.progs.Stop(ctx)
 	_ = b.owners.Stop(ctx)
 	_ = b.calls.Stop(ctx)
-	_ = b.queue.Stop(ctx)
+	_ = b.scheduler.Stop(ctx)
 	_ = b.store.Stop(ctx)
 	_ = b.view.Stop(ctx)
 }
