--- a/gate/proof/caller_test.go
+++ b/gate/proof/caller_test.go
@@ -211,8 +211,8 @@
 	if err != nil {
 		return false, err
 	}
-	ask := []types.Message{{Role: "user", Content: fmt.Sprintf("%s turn %d len=3", p.id, p.turn+1)}}
-	body := types.TurnRequest{Turn: p.turn + 1, Messages: ask, MaxTokens: 8, Continuation: o.tokenOf(p)}
+	input := []types.Message{{Role: "user", Content: fmt.Sprintf("%s turn %d len=3", p.id, p.turn+1)}}
+	body := types.TurnRequest{Turn: p.turn + 1, Messages: input, MaxTokens: 8, Continuation: o.tokenOf(p)}
 	for _, entry := range entries {
 		answer, err2 := o.answer(entry, slot, p, body)
 		err = err2
@@ -220,7 +220,7 @@
 			o.checkError(p, err)
 			continue
 		}
-		o.acceptAnswer(p, ask, answer)
+		o.acceptAnswer(p, input, answer)
 		return true, nil
 	}
 	return false, err
@@ -253,8 +253,8 @@
 }
 
 // acceptAnswer checks the answer against the client's own history and adds it to that.
-func (o *oracle) acceptAnswer(p *program, ask []types.Message, answer types.TurnAnswer) {
-	all := append(append([]types.Message{}, p.history...), ask...)
+func (o *oracle) acceptAnswer(p *program, input []types.Message, answer types.TurnAnswer) {
+	all := append(append([]types.Message{}, p.history...), input...)
 	got := answer.Choices[0].Message.Content
 	maxTokens := 8
 	if answer.Choices[0].FinishReason == "length" {
@@ -280,14 +280,14 @@
 
 // attack sends a turn with a token that is old, altered or from another program, and checks that
 // it is rejected and not charged. Later turns show whether the history is intact.
-func (o *oracle) attack(p, other *program, entry, how int) {
+func (o *oracle) attack(p, other *program, entry, variant int) {
 	if !o.reserve(p) {
 		return
 	}
 	// An old token is valid by itself, so it is sent with a turn number out of order.
-	token, turn := p.tokens[how%len(p.tokens)], p.turn+2
+	token, turn := p.tokens[variant%len(p.tokens)], p.turn+2
 	foreign := false
-	switch how % 3 {
+	switch variant % 3 {
 	case 0:
 		if other.id == p.id {
 			o.release(p)
@@ -337,12 +337,12 @@
 	if k.service == "probed" {
 		svc.ProbePath = "/v1/probe"
 	}
-	ask := plain.ServiceCall{
+	request := plain.ServiceCall{
 		Service: svc, Input: types.RuleInput{Workspace: k.workspace}, Key: k.key, Body: json.RawMessage(k.input), GrantChunk: 150,
 	}
 	slot := ident.KeySlot(k.workspace, k.key, o.w.slots())
 	if p != nil {
-		ask.Program = p.id
+		request.Program = p.id
 		slot, _ = ident.ProgramSlot(p.id)
 	}
 	var answer types.ServiceAnswer
@@ -352,10 +352,10 @@
 			if err != nil {
 				return err
 			}
-			ask.Continuation = cont
+			request.Continuation = cont
 		}
 		var err error
-		answer, err = b.calls.Call(ctx, slot, ask)
+		answer, err = b.calls.Call(ctx, slot, request)
 		return err
 	})
 	o.checkCall(k, answer, err)
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -117,7 +117,7 @@
 	b.self = types.Member{Name: fmt.Sprintf("box-%d", i), Zone: zones[i%zoneCount], Peer: addr(i)}
 	inc := ident.RandomID()
 	logger := slog.New(slog.NewTextHandler(logOutput(), &slog.HandlerOptions{Level: slog.LevelDebug})).With("box", b.self.Name)
-	counts := meter.New()
+	metrics := meter.New()
 	root, _ := seal.NewRootKey(w.keys.Root)
 	timing := member.Timing{HeartbeatInterval: 100 * time.Millisecond, SuspectTimeout: 400 * time.Millisecond, ListInterval: 200 * time.Millisecond, Fanout: 8}
 	b.view = member.New(b.self, inc, b, b, timing, logger)
@@ -126,13 +126,13 @@
 	b.owners = slots.New(b.self, inc, b, b.view, b.store, slots.Timing{
 		CheckInterval: 100 * time.Millisecond, FlushDelay: 10 * time.Millisecond, AdoptionDelay: 2 * time.Second,
 		Retention: retention, AppendRate: 100, MaxQueued: 1000,
-	}, counts, logger)
+	}, metrics, logger)
 	b.scheduler = admit.New(b.self.Zone, admit.Options{
 		Strategy: sched.Scored, Order: sched.OldestProgram, MaxWait: 2 * time.Second, StarvationAge: time.Second, HoldCaches: true, Seed: uint64(i),
-	}, b.store, counts, logger)
-	b.progs = prog.New(b.self.Zone, b.owners, b.scheduler, &engineClient{b: b}, b.store, counts, trail.New(64), logger)
+	}, b.store, metrics, logger)
+	b.progs = prog.New(b.self.Zone, b.owners, b.scheduler, &engineClient{b: b}, b.store, metrics, trail.New(64), logger)
 	b.owners.Watch(b.progs)
-	b.calls = plain.New(b.owners, w.tools, b.store, counts, logger)
+	b.calls = plain.New(b.owners, w.tools, b.store, metrics, logger)
 	w.mu.Lock()
 	w.boxes[i] = b
 	w.mu.Unlock()
