--- a/base/sample/sample.go
+++ b/base/sample/sample.go
@@ -33,20 +33,20 @@
 	return "token-" + workspace
 }
 
-// Deployment describes a sample configuration. All zones are in one region, with Slots slots each.
+// Deployment describes a sample configuration. All zones are in one region, with SlotsPerZone slots each.
 type Deployment struct {
-	Region     string
-	Zones      []string
-	Slots      int
-	Workspaces []string
-	Models     []string
-	Services   []types.Service
+	Region       string
+	Zones        []string
+	SlotsPerZone int
+	Workspaces   []string
+	Models       []string
+	Services     []types.Service
 }
 
 // Ghent returns the example deployment of two teams that book blood donors.
 func Ghent() Deployment {
 	return Deployment{
-		Region: "be-central", Zones: []string{"hall-gent", "hall-mechelen", "hall-namur"}, Slots: 4,
+		Region: "be-central", Zones: []string{"hall-gent", "hall-mechelen", "hall-namur"}, SlotsPerZone: 4,
 		Workspaces: []string{"flanders", "wallonia"}, Models: []string{"planner"},
 		Services: []types.Service{
 			{Name: "booking", ProbePath: "/v1/probe", Price: 50, Timeout: types.Duration(5 * time.Second)},
@@ -58,7 +58,7 @@
 // Ndokwa returns the example deployment of a trust that sells airtime.
 func Ndokwa() Deployment {
 	return Deployment{
-		Region: "ng-south", Zones: []string{"enugu-a", "enugu-b", "onitsha-a", "aba-a"}, Slots: 4,
+		Region: "ng-south", Zones: []string{"enugu-a", "enugu-b", "onitsha-a", "aba-a"}, SlotsPerZone: 4,
 		Workspaces: []string{"trust", "telco"}, Models: []string{"assistant"},
 		Services: []types.Service{
 			{Name: "topup", ProbePath: "/v1/probe", Price: 50, Timeout: types.Duration(5 * time.Second)},
@@ -91,7 +91,7 @@
 		{Name: "line", Input: types.RuleInput{Kind: "booking"}, Want: types.ExpectedResults{Order: &one}},
 	}
 	for _, zone := range deployment.Zones {
-		cfg.Zones = append(cfg.Zones, types.Zone{Name: zone, Region: deployment.Region, Slots: deployment.Slots})
+		cfg.Zones = append(cfg.Zones, types.Zone{Name: zone, Region: deployment.Region, Slots: deployment.SlotsPerZone})
 	}
 	for _, workspace := range deployment.Workspaces {
 		cfg.Workspaces = append(cfg.Workspaces, types.Workspace{Name: workspace, TokenHashes: []string{ident.KeyDigest(Token(workspace))}})
--- a/bench/cmds/cost.go
+++ b/bench/cmds/cost.go
@@ -26,7 +26,7 @@
 func measureCost(ctx context.Context, b *builder, table *report.Table) error {
 	f, err := b.fleet(ctx, fleetNeeds{
 		boxes: 1, engines: 4, env: []string{"GOMAXPROCS=1"},
-		shape: func(s *sample.Deployment) { s.Zones, s.Slots = s.Zones[:1], 4 },
+		shape: func(s *sample.Deployment) { s.Zones, s.SlotsPerZone = s.Zones[:1], 4 },
 		engine: func(s *model.Spec) {
 			s.StepTime, s.BatchCost, s.MaxBatch, s.CacheSize = types.Duration(time.Millisecond), 0, 64, 10_000_000
 		},
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -388,7 +388,7 @@
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	want := f.spec.Shape.Slots * len(f.spec.Shape.Zones)
+	want := f.spec.Shape.SlotsPerZone * len(f.spec.Shape.Zones)
 	for {
 		owned, ready := 0, 0
 		for _, n := range f.SlotCounts(ctx) {
--- a/gate/cmds/dev.go
+++ b/gate/cmds/dev.go
@@ -146,7 +146,7 @@
 		for _, settings := range allSettings {
 			owned += countOwnedSlots(ctx, cli, settings)
 		}
-		if owned == len(allSettings)*sample.Ghent().Slots {
+		if owned == len(allSettings)*sample.Ghent().SlotsPerZone {
 			return nil
 		}
 		select {
--- a/gate/proof/world_test.go
+++ b/gate/proof/world_test.go
@@ -83,7 +83,7 @@
 	w.tools = &fakeTools{counts: map[string]int{}, outputs: map[string]json.RawMessage{}}
 	w.engines = newEngineState()
 	cfg, err := sample.Config(sample.Deployment{
-		Region: "home", Zones: zones, Slots: slotCount, Workspaces: []string{"one", "two"}, Models: []string{"m"},
+		Region: "home", Zones: zones, SlotsPerZone: slotCount, Workspaces: []string{"one", "two"}, Models: []string{"m"},
 		Services: []types.Service{{Name: "book", Price: 40}, {Name: "probed", Price: 40, ProbePath: "/v1/probe"}},
 	}, w.keys)
 	if err != nil {
