--- a/gate/feed/feed.go
+++ b/gate/feed/feed.go
@@ -14,16 +14,13 @@
 )
 
 const (
-	// readWait is how long one read waits for new records. The log may fail to wake a read that starts at
-	// the moment of a change. So readWait is half of the 2 s within which a change must be in force and
-	// for which replicas that leave keep serving.
+	// readWait is how long one read waits for new records. It is half of the 2 s within which a change must
+	// be in force and leaving replicas keep serving, as the log may not wake a read that starts at a change.
 	readWait = time.Second
-	// readTimeoutMargin is how much longer than readWait a read may take. It leaves time for two attempts
-	// that hang.
+	// readTimeoutMargin is how much longer than readWait a read may take: time for two attempts that hang.
 	readTimeoutMargin = 2 * time.Second
-	// configReadInterval and replicaReadInterval are the minimum time from the start of one read to the
-	// next, so that many small changes cost few calls. Both are well below the time within which a change
-	// must be in force.
+	// configReadInterval and replicaReadInterval are the minimum time between the starts of reads, so that
+	// many small changes cost few calls. Both are well below the time within which a change must be in force.
 	configReadInterval  = 150 * time.Millisecond
 	replicaReadInterval = 800 * time.Millisecond
 	// retryInterval is the time from the start of a failed read to the next one.
@@ -37,8 +34,7 @@
 	// lateAfter is the time between two answers above which the newer one is logged as late. It is longer
 	// than an interval and a read that gets no new records.
 	lateAfter = replicaReadInterval + readWait + outageAfter
-	// missingCheckInterval bounds how long a read waits while replicas are missing, so that they are
-	// dropped in time.
+	// missingCheckInterval bounds a read's wait while replicas are missing, so that they are dropped in time.
 	missingCheckInterval = 300 * time.Millisecond
 )
 
@@ -56,8 +52,7 @@
 	// Config returns nil for a record that is not a configuration.
 	Config(rec work.Record) (*work.Config, error)
 	Replica(rec work.Record) (work.Replica, error)
-	// Evacuation returns the availability zone that a record with the key evacuates; ok is false for
-	// other keys.
+	// Evacuation returns the zone that a record with the key evacuates; ok is false for other keys.
 	Evacuation(key string) (zone string, ok bool)
 }
 
@@ -87,19 +82,16 @@
 	// newestVersion is the version of the configuration that the log returned last.
 	newestVersion int64
 	// confirmedAt is when the newest request was sent whose answer showed that conf is the newest
-	// configuration, less the age of that answer; nil before the first. It is stored after the records of
-	// that answer have been applied.
+	// configuration, less the answer's age; nil before. It is stored after the answer's records are applied.
 	confirmedAt atomic.Pointer[time.Time]
 	// listLoaded is set once the list of replicas has been read.
 	listLoaded atomic.Bool
-	// listCheckedAt is the time as of which the list of replicas was last read or found unchanged; nil
-	// before.
+	// listCheckedAt is the time as of which the list was last read or found unchanged; nil before.
 	listCheckedAt atomic.Pointer[time.Time]
 	// evacuated holds the evacuated availability zones. Only the goroutine that follows the settings uses
 	// it, and replaces the map instead of changing it.
 	evacuated map[string]bool
-	// rejectedConfigs counts the configurations that did not decode, and rejectedEntries the replica
-	// entries that did not.
+	// rejectedConfigs and rejectedEntries count the configurations and replica entries that did not decode.
 	rejectedConfigs, rejectedEntries atomic.Int64
 }
 
@@ -128,8 +120,7 @@
 	return known
 }
 
-// ConfigAge returns the time since the configuration was last shown to be the newest; zero if it never
-// was.
+// ConfigAge returns the time since the configuration was last shown to be the newest; zero if it never was.
 func (f *Feed) ConfigAge() time.Duration {
 	return age(f.confirmedAt.Load())
 }
@@ -188,7 +179,6 @@
 	return nil
 }
 
-// applySetting applies one record of the settings topic.
 func (f *Feed) applySetting(rec work.Record, _ time.Time) {
 	if zone, ok := f.decoder.Evacuation(rec.Key); ok {
 		f.setEvacuated(zone, len(rec.Value) > 0)
@@ -199,8 +189,7 @@
 	}
 }
 
-// applySettingsSnapshot ends the evacuation of each availability zone that none of the newest settings
-// records names.
+// applySettingsSnapshot ends the evacuation of each zone that none of the newest settings records names.
 func (f *Feed) applySettingsSnapshot(recs []work.Record, _ time.Time) {
 	named := map[string]bool{}
 	for _, rec := range recs {
@@ -215,7 +204,6 @@
 	}
 }
 
-// setEvacuated starts or ends the evacuation of an availability zone.
 func (f *Feed) setEvacuated(zone string, on bool) {
 	if f.evacuated[zone] == on {
 		return
@@ -263,8 +251,7 @@
 	return -1
 }
 
-// confirmConfig records that the configuration was the newest at requestedAt. An answer with an older
-// configuration than the known one confirms nothing.
+// confirmConfig records that conf was the newest at requestedAt, unless the answer's configuration was older.
 func (f *Feed) confirmConfig(requestedAt time.Time) {
 	if f.conf.Load() == nil || f.newestVersion < f.version() {
 		return
@@ -357,8 +344,7 @@
 	f.lastAnswerAt = now
 }
 
-// readOnce reads the next records, or the newest record of each key if the next offset is unknown or its
-// record is no longer kept.
+// readOnce reads the next records, or each key's newest if the next offset is unknown or no longer kept.
 func (f *follower) readOnce(ctx context.Context, start time.Time) error {
 	if f.next < 0 {
 		return f.reload(ctx, start)
@@ -408,8 +394,7 @@
 	return nil
 }
 
-// reportFreshness reports that the answer to a request sent at start has been applied. The answer was age
-// old when it arrived.
+// reportFreshness reports that the answer to a request sent at start, age old on arrival, has been applied.
 func (f *follower) reportFreshness(start time.Time, age time.Duration) {
 	f.onAnswer(time.Now().Add(-age))
 	f.onConfirmed(start.Add(-age))
